--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 use yarrowfront::command::Outcome;
-use yarrowfront::terms::{Effect, Profile};
+use yarrowfront::settings::{Effect, Profile};
 use yarrowfront::times::{Moment, Span};
 
 /// Of what is told, and of the words of a rolling change.
@@ -353,7 +353,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use yarrowfront::terms::Among;
+    use yarrowfront::settings::Among;
 
     /// A second is told once it is over and only once, its counts sum to the total, and old ones are forgotten: a rolling
     /// change that read a half second, or one twice, would compare what was never there.
--- a/crates/node/src/desk.rs
+++ b/crates/node/src/desk.rs
@@ -18,7 +18,7 @@
 use yarrowfront::command::{Command, Outcome};
 use yarrowfront::decide::{Balancer, Errand, ListKind, Listed, Say};
 use yarrowfront::ids::{BackendId, CommandId, Hand};
-use yarrowfront::terms::Terms;
+use yarrowfront::settings::Terms;
 use yarrowfront::times::{Moment, Span};
 
 /// Unix time at start and a monotonic clock from there: a list's start times compare, and nothing runs back.
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -21,7 +21,7 @@
 use tower::Service;
 use yarrowfront::command::Command;
 use yarrowfront::ids::CommandId;
-use yarrowfront::terms::Effect;
+use yarrowfront::settings::Effect;
 use yarrowfront::times::Span;
 
 const ID: &str = "x-correlation-id";
--- a/crates/node/src/names.rs
+++ b/crates/node/src/names.rs
@@ -3,7 +3,7 @@
 //! commands and backends are still held by the earlier ones.
 
 use yarrowfront::ids::ProfileId;
-use yarrowfront::terms::{Profile, Terms};
+use yarrowfront::settings::{Profile, Terms};
 
 pub struct Names {
     /// Every zone and kind that there has been, by id.
@@ -79,7 +79,7 @@
     use super::Names;
     use serde_json::json;
     use yarrowfront::ids::ProfileId;
-    use yarrowfront::terms::Terms;
+    use yarrowfront::settings::Terms;
 
     fn file(zone: u16, zones: [&str; 2], kinds: [&str; 2], profiles: &[(&str, u64)]) -> (Names, Terms) {
         let profile = |(name, goal): &(&str, u64)| {
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -7,7 +7,7 @@
 use sites::plan::Plan;
 use std::net::SocketAddr;
 use std::time::Duration;
-use yarrowfront::terms::Terms;
+use yarrowfront::settings::Terms;
 use yarrowfront::times::Span;
 use yarrowfront_view::terms::ViewTerms;
 
--- a/crates/rehearsal/src/policy.rs
+++ b/crates/rehearsal/src/policy.rs
@@ -7,7 +7,7 @@
 use yarrowfront::command::{Command, Fate, Outcome};
 use yarrowfront::decide::{Balancer, Errand, ListKind, Listed, Say, State};
 use yarrowfront::ids::{BackendId, Hand};
-use yarrowfront::terms::Terms;
+use yarrowfront::settings::Terms;
 use yarrowfront::times::{Moment, Span};
 
 /// A launch as its node's driver keeps it.
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -8,7 +8,7 @@
 use yarrowfront::command::{Command, Outcome};
 use yarrowfront::decide::{Balancer, Errand, ListKind, Listed, Say, State};
 use yarrowfront::ids::{BackendId, CommandId, GroupId, Hand, KindId, ProfileId, ZoneId};
-use yarrowfront::terms::Terms;
+use yarrowfront::settings::Terms;
 use yarrowfront::times::{Moment, Span};
 
 type Map<K, V> = HashMap<K, V, BuildHasherDefault<DefaultHasher>>;
--- a/crates/sites/src/door.rs
+++ b/crates/sites/src/admission.rs
@@ -3,10 +3,10 @@
 //! What it promises: while every site is whole, or no loss is known, everything is let in; who is turned back is told a
 //! time to come back that others are not told too; what was let in once is counted once, however it ends.
 
-use crate::coming::Coming;
-use crate::going::{Gate, Second, Whose};
-use crate::knowing::{Evidence, Knowing, State, Times, Why, Word};
+use crate::detection::{Evidence, Knowing, State, Times, Why, Word};
+use crate::failover::{Gate, Second, Whose};
 use crate::plan::{Plan, ProfileId, SiteId};
+use crate::return_ramp::Coming;
 use std::collections::BTreeMap;
 use yarrowfront::times::{Moment, Span};
 
--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -2,8 +2,8 @@
 //! goes and what is refused first, and how a return is paced. `docs/sites.md` tells why it is as it is.
 #![forbid(unsafe_code)]
 
-pub mod coming;
-pub mod door;
-pub mod going;
-pub mod knowing;
+pub mod admission;
+pub mod detection;
+pub mod failover;
 pub mod plan;
+pub mod return_ramp;
--- a/crates/sites/src/main.rs
+++ b/crates/sites/src/main.rs
@@ -2,7 +2,7 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use sites::going::{best, going};
+use sites::failover::{best, going};
 use sites::plan::{Hour, Plan, SiteId};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
--- a/crates/sites/tests/door.rs
+++ b/crates/sites/tests/door.rs
@@ -1,8 +1,8 @@
 //! The door of one node: nothing is turned back without a loss, and with one what is cheap is, first the guests'.
 
-use sites::door::{Door, Look, Said};
-use sites::going::Whose;
-use sites::knowing::{Evidence, State, Times};
+use sites::admission::{Door, Look, Said};
+use sites::detection::{Evidence, State, Times};
+use sites::failover::Whose;
 use sites::plan::{Plan, ProfileId, SiteId};
 use std::collections::BTreeMap;
 use yarrowfront::times::{Moment, Span};
--- a/crates/sites/tests/going.rs
+++ b/crates/sites/tests/going.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sites::going::{best, going, let_in, Gate, Second, Whose};
+use sites::failover::{best, going, let_in, Gate, Second, Whose};
 use sites::plan::{Hour, Plan, ProfileId, SiteId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
--- a/crates/sites/tests/knowing.rs
+++ b/crates/sites/tests/knowing.rs
@@ -2,8 +2,8 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sites::coming::Coming;
-use sites::knowing::{Evidence, Knowing, State, Times, Why, Word};
+use sites::detection::{Evidence, Knowing, State, Times, Why, Word};
+use sites::return_ramp::Coming;
 use yarrowfront::times::{Moment, Span};
 
 fn whole() -> Evidence {
--- a/src/allowance.rs
+++ b/src/allowance.rs
@@ -1,7 +1,7 @@
 //! How many launches beyond commands' first a node may still make: a count over the last window of time, the
 //! strict way where it is not exact. What has been counted is kept in a bounded number of slices.
 
-use crate::terms::Budget;
+use crate::settings::Budget;
 use crate::times::{Moment, Span};
 use std::collections::VecDeque;
 
--- a/src/backend.rs
+++ b/src/backend.rs
@@ -1,7 +1,7 @@
 //! What a node has in its books of one backend, and of one profile: figures and sums, and no choice.
 
+use crate::backend_list::Listed;
 use crate::command::Launch;
-use crate::listed::Listed;
 use crate::times::Moment;
 
 #[derive(Default)]
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -4,14 +4,14 @@
 
 use crate::allowance::{Allowance, UNSTATED};
 use crate::backend::{Backend, Row};
+pub use crate::backend_list::{ListKind, Listed, State};
 use crate::chance::Chance;
 use crate::command::{Bounds, Command, Fate, Held, Launch, Outcome, MOST_LAUNCHES};
+pub use crate::decision::{Errand, Say};
 use crate::ids::{BackendId, Hand, KindId};
 use crate::list_calls::ListCalls;
-pub use crate::listed::{ListKind, Listed, State};
 use crate::portion;
-pub use crate::say::{Errand, Say};
-use crate::terms::{Among, Budget, Effect, Profile, Terms};
+use crate::settings::{Among, Budget, Effect, Profile, Terms};
 use crate::times::{Moment, Span};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,13 +3,13 @@
 
 mod allowance;
 mod backend;
+pub mod backend_list;
 mod chance;
 pub mod command;
 pub mod decide;
+pub mod decision;
 pub mod ids;
 mod list_calls;
-pub mod listed;
 mod portion;
-pub mod say;
-pub mod terms;
+pub mod settings;
 pub mod times;
--- a/src/list_calls.rs
+++ b/src/list_calls.rs
@@ -5,7 +5,7 @@
 //! or of failures: an overloaded discovery refuses calls at once, and a refusal costs it nothing.
 
 use crate::chance::Chance;
-use crate::terms::Terms;
+use crate::settings::Terms;
 use crate::times::{Moment, Span};
 
 /// The first calls of all nodes are spread over this much for each node: a hundred nodes call as often as discovery was
--- a/src/portion.rs
+++ b/src/portion.rs
@@ -4,7 +4,7 @@
 //! All nodes hold the backends in one order and start in it at places evenly apart: each then has as many
 //! as any other. A node that keeps to few does much of their work itself, and so knows how busy they are.
 
-use crate::terms::Terms;
+use crate::settings::Terms;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{BuildHasher, BuildHasherDefault};
 
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -8,7 +8,7 @@
 use yarrowfront::command::Outcome::{self, *};
 use yarrowfront::decide::{Errand, ListKind, Say, State};
 use yarrowfront::ids::{BackendId, Hand};
-use yarrowfront::terms::Terms;
+use yarrowfront::settings::Terms;
 use yarrowfront::times::Span;
 
 /// Rule 2: what may follow a launch, by profile kind and what is known of it. The second backend is of the
--- a/tests/help/mod.rs
+++ b/tests/help/mod.rs
@@ -4,7 +4,7 @@
 use yarrowfront::command::{Command, Outcome};
 use yarrowfront::decide::{Balancer, Errand, ListKind, Listed, Say, State};
 use yarrowfront::ids::{BackendId, CommandId, GroupId, Hand, KindId, ProfileId, ZoneId};
-use yarrowfront::terms::Terms;
+use yarrowfront::settings::Terms;
 use yarrowfront::times::{Moment, Span};
 
 /// Goal time in milliseconds.
