--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -10,7 +10,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::thread::sleep;
 use std::time::Duration;
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 use yarrowfront_fleet::plot::Line;
 use yarrowfront_fleet::search::{orders, walk, Sabotage};
 use yarrowfront_fleet::{measure, plot, watch};
@@ -152,14 +152,14 @@
     let cases: Vec<(usize, f64)> = nodes.iter().flat_map(|n| loss.iter().map(|l| (*n, *l))).collect();
     cases.par_iter().for_each(|&(nodes, loss)| {
         let (mut net, took) = measure::settled(seed, nodes, loss);
-        let calm = measure::calm(&mut net, Span(calm * 1_000_000));
+        let calm = measure::calm(&mut net, Micros(calm * 1_000_000));
         let mut worst = [Some(0.0f64); 3];
         for death in 0..deaths.min(nodes / 2) {
             let found = measure::death(&mut net, nodes - 1 - death);
             for (worst, found) in worst.iter_mut().zip([found.first, found.most, found.all]) {
                 *worst = worst.and_then(|w| found.map(|f| w.max(f)));
             }
-            net.run(Span(2_000_000));
+            net.run(Micros(2_000_000));
         }
         if loss == least {
             draw(0, nodes, worst[1]);
@@ -167,7 +167,7 @@
         }
         println!(
             "| {nodes} | {loss} | {} | {} | {} | {} | {:.0} | {:.0} | {} | {:.1} | {:.0} |",
-            show(took.map(|t| t.micros() / 1e6)),
+            show(took.map(|t| t.as_f64() / 1e6)),
             show(worst[0]),
             show(worst[1]),
             show(worst[2]),
@@ -187,7 +187,7 @@
     let cases: Vec<(usize, &[usize])> = nodes.iter().flat_map(|n| parts.iter().map(|p| (*n, *p))).collect();
     cases.par_iter().for_each(|&(nodes, parts)| {
         let (mut net, _) = measure::settled(seed, nodes, 0.0);
-        let healed = measure::partition(&mut net, parts, Span(30_000_000));
+        let healed = measure::partition(&mut net, parts, Micros(30_000_000));
         draw(1, nodes, healed.together);
         let (apart, together) = (show(healed.apart), show(healed.together));
         println!("| {nodes} | {parts:?} | {apart} | {together} | {} |", healed.largest);
--- a/crates/fleet/src/measure.rs
+++ b/crates/fleet/src/measure.rs
@@ -2,7 +2,7 @@
 
 use crate::net::{Law, Net};
 use std::net::SocketAddr;
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 use yarrowfront_view::terms::ViewTerms;
 
 fn terms(listen: SocketAddr) -> ViewTerms {
@@ -10,13 +10,13 @@
 }
 
 /// A fleet of so many that have found each other, at so much loss of a hundred. The second is how long it took.
-pub fn settled(seed: u64, nodes: usize, loss: f64) -> (Net, Option<Span>) {
+pub fn settled(seed: u64, nodes: usize, loss: f64) -> (Net, Option<Micros>) {
     let mut net = Net::new(seed, terms);
     for node in 0..nodes {
         net.start(node, nodes as u32, &[0, 1, 2]);
     }
     net.law = Law { loss, ..Law::default() };
-    let took = net.until_agreed(Span(120_000_000));
+    let took = net.until_agreed(Micros(120_000_000));
     (net, took)
 }
 
@@ -31,8 +31,8 @@
 /// Seconds, for a table; none where it did not come so far.
 pub type Seconds = Option<f64>;
 
-fn seconds(span: Span) -> f64 {
-    span.micros() / 1e6
+fn seconds(span: Micros) -> f64 {
+    span.as_f64() / 1e6
 }
 
 pub fn death(net: &mut Net, of: usize) -> Death {
@@ -40,8 +40,8 @@
     net.kill(of);
     let live = net.up().len();
     let (mut first, mut most, mut all) = (None, None, None);
-    while all.is_none() && net.now.since(start) < Span(30_000_000) {
-        net.run(Span::millis(10));
+    while all.is_none() && net.now.since(start) < Micros(30_000_000) {
+        net.run(Micros::from_millis(10));
         let know = net.know_death(of);
         let at = Some(seconds(net.now.since(start)));
         first = first.or(at.filter(|_| know > 0));
@@ -63,7 +63,7 @@
     pub suspicions: f64,
 }
 
-pub fn calm(net: &mut Net, span: Span) -> Calm {
+pub fn calm(net: &mut Net, span: Micros) -> Calm {
     let start = net.now;
     for node in &mut net.nodes {
         (node.bytes, node.largest, node.second) = (0, 0, (0, 0));
@@ -91,7 +91,7 @@
     pub largest: u64,
 }
 
-pub fn partition(net: &mut Net, parts: &[usize], apart: Span) -> Healed {
+pub fn partition(net: &mut Net, parts: &[usize], apart: Micros) -> Healed {
     for node in &mut net.nodes {
         node.largest = 0;
     }
@@ -107,9 +107,9 @@
     }
     let start = net.now;
     let settled = net.until_agreed(apart);
-    net.run(Span(apart.0.saturating_sub(net.now.since(start).0)));
+    net.run(Micros(apart.0.saturating_sub(net.now.since(start).0)));
     net.nodes.iter_mut().for_each(|node| node.group = 0);
-    let together = net.until_agreed(Span(120_000_000));
+    let together = net.until_agreed(Micros(120_000_000));
     let largest = net.nodes.iter().map(|node| node.largest).max().unwrap_or(0);
     Healed { apart: settled.map(seconds), together: together.map(seconds), largest }
 }
--- a/crates/fleet/src/net.rs
+++ b/crates/fleet/src/net.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 use yarrowfront_view::card::{Card, Life, Phase};
 use yarrowfront_view::share::{Share, Sharer};
 use yarrowfront_view::terms::ViewTerms;
@@ -17,9 +17,9 @@
     pub sharer: Sharer,
     pub up: bool,
     /// Stopped until then: what comes waits, as in a socket's buffer.
-    pub paused: Option<Moment>,
+    pub paused: Option<Timestamp>,
     /// When it is called next, if it is.
-    called: Option<Moment>,
+    called: Option<Timestamp>,
     pub group: u32,
     /// Bytes sent in this second and in the largest one, and in all.
     pub second: (u64, u64),
@@ -33,15 +33,15 @@
     /// Of a hundred datagrams so many are lost.
     pub loss: f64,
     /// The least a datagram takes, and what chance adds at the most.
-    pub least: Span,
-    pub more: Span,
+    pub least: Micros,
+    pub more: Micros,
     /// Of a hundred, so many come twice.
     pub twice: f64,
 }
 
 impl Default for Law {
     fn default() -> Law {
-        Law { loss: 0.0, least: Span(200), more: Span(800), twice: 0.0 }
+        Law { loss: 0.0, least: Micros(200), more: Micros(800), twice: 0.0 }
     }
 }
 
@@ -52,20 +52,20 @@
 }
 
 pub struct Net {
-    pub now: Moment,
+    pub now: Timestamp,
     pub nodes: Vec<Node>,
     pub law: Law,
     /// Further loss on whatever a node of this group sends or is sent, of a hundred.
     pub lossy: Option<(u32, f64)>,
     /// Ways that are cut, one direction each.
     pub cut: Vec<(usize, usize)>,
-    events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
+    events: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
     turn: u64,
     chance: ChaCha8Rng,
     terms: fn(SocketAddr) -> ViewTerms,
     lives: u64,
     /// Deaths that views have told of: when, at whom, of whom.
-    pub deaths: Vec<(Moment, usize, usize)>,
+    pub deaths: Vec<(Timestamp, usize, usize)>,
     pub changes: u64,
     pub suspicions: u64,
 }
@@ -94,7 +94,7 @@
     pub fn new(seed: u64, terms: fn(SocketAddr) -> ViewTerms) -> Net {
         Net {
             // Some time after which a node may have begun before.
-            now: Moment(1_000_000_000),
+            now: Timestamp(1_000_000_000),
             nodes: Vec::new(),
             law: Law::default(),
             lossy: None,
@@ -153,7 +153,7 @@
         self.nodes[node].up = false;
     }
 
-    fn put(&mut self, at: Moment, event: Event) {
+    fn put(&mut self, at: Timestamp, event: Event) {
         self.turn += 1;
         self.events.push(Reverse((at, self.turn, event)));
     }
@@ -195,7 +195,7 @@
             }
             let copies = if self.chance.random_range(0.0..100.0) < self.law.twice { 2 } else { 1 };
             for _ in 0..copies {
-                let more = Span(self.chance.random_range(0..=self.law.more.0));
+                let more = Micros(self.chance.random_range(0..=self.law.more.0));
                 let comes = self.now + self.law.least + more;
                 self.put(comes, Event::Come { to, from, bytes: bytes.clone() });
             }
@@ -211,7 +211,7 @@
     }
 
     /// Plays on for so long.
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(Reverse((at, _, _))) = self.events.peek() {
             if *at > end {
@@ -225,7 +225,7 @@
                     let now = self.now;
                     let node = &mut self.nodes[to];
                     match node.paused.filter(|until| *until > now) {
-                        Some(until) => self.put(until + Span(1), Event::Come { to, from, bytes }),
+                        Some(until) => self.put(until + Micros(1), Event::Come { to, from, bytes }),
                         None if node.up => {
                             node.view.heard(now, address(from), &bytes);
                             self.wake(to);
@@ -259,7 +259,7 @@
     }
 
     /// Stops a process for so long; what comes for it waits.
-    pub fn pause(&mut self, node: usize, span: Span) {
+    pub fn pause(&mut self, node: usize, span: Micros) {
         self.nodes[node].paused = Some(self.now + span);
     }
 
@@ -289,13 +289,13 @@
     }
 
     /// Plays on until all agree, in steps; how long that took, if it came so far.
-    pub fn until_agreed(&mut self, most: Span) -> Option<Span> {
+    pub fn until_agreed(&mut self, most: Micros) -> Option<Micros> {
         let start = self.now;
         while !self.agree() {
             if self.now.since(start) >= most {
                 return None;
             }
-            self.run(Span::millis(50));
+            self.run(Micros::from_millis(50));
         }
         Some(self.now.since(start))
     }
--- a/crates/fleet/src/search.rs
+++ b/crates/fleet/src/search.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 use yarrowfront_view::card::{Card, Edition, Life, Phase, Standing};
 use yarrowfront_view::share::{Places, Share, Sharer, Why, NONE};
 use yarrowfront_view::terms::ViewTerms;
@@ -94,12 +94,12 @@
     view: View,
     sharer: Sharer,
     share: Share,
-    looked: Moment,
+    looked: Timestamp,
 }
 
 #[derive(Clone)]
 struct World {
-    now: Moment,
+    now: Timestamp,
     nodes: Vec<Node>,
     /// On the way, by sender and receiver; no more than a few each, as a network holds.
     ways: BTreeMap<(usize, usize), Vec<Vec<u8>>>,
@@ -114,7 +114,7 @@
 /// Datagrams that a way holds; more are lost, the newest first.
 const HELD: usize = 3;
 /// Between two looks at a node's portion, as in the node.
-const LOOK: Span = Span::millis(200);
+const LOOK: Micros = Micros::from_millis(200);
 
 fn terms(node: usize, nodes: usize) -> ViewTerms {
     let times = "[times]\nperiod = 200\nseeds = 400\nrelease = 1000\nsure = 6000\nforget = 20000";
@@ -130,7 +130,7 @@
 impl World {
     fn new(nodes: usize, places: u32, sabotage: Sabotage) -> World {
         let mut world = World {
-            now: Moment(1_000_000_000),
+            now: Timestamp(1_000_000_000),
             nodes: Vec::new(),
             ways: BTreeMap::new(),
             mask: 0,
@@ -158,7 +158,7 @@
         let sharer = Sharer::new(now, terms.times);
         let share = self.first(node);
         let view = View::new(now, terms, &name(node), life, card, node as u64 + life.0);
-        Node { view, sharer, share, looked: Moment(0) }
+        Node { view, sharer, share, looked: Timestamp(0) }
     }
 
     /// What holds before anything is known.
@@ -269,7 +269,7 @@
         it.looked = now;
         let me = node as u32;
         it.share = it.sharer.look(now, &it.view, places, me);
-        let missing = Places::of(&it.view, places, now, Span(0));
+        let missing = Places::of(&it.view, places, now, Micros(0));
         let whole = |nodes: u32| Share { nodes, ..it.share };
         it.share = match sabotage {
             Sabotage::NoRelease if it.share.why == Why::Unsure => whole(places),
@@ -309,7 +309,7 @@
     }
 
     /// With all ways whole and nothing lost all views are one within this, and all nodes alive in them.
-    fn settles(&mut self, within: Span) -> Option<String> {
+    fn settles(&mut self, within: Micros) -> Option<String> {
         self.mask = 0;
         let end = self.now + within;
         let (mut at, mut said) = (self.now, 0);
@@ -367,7 +367,7 @@
 }
 
 /// How long small worlds may take to settle once all ways are whole.
-const SETTLES: Span = Span::millis(20_000);
+const SETTLES: Micros = Micros::from_millis(20_000);
 
 /// Everything that can happen from the start of a world of so many nodes, to that depth; from each end it must settle.
 pub fn orders(nodes: usize, depth: usize, sabotage: Sabotage) -> Result<Looked, Broken> {
--- a/crates/fleet/tests/net.rs
+++ b/crates/fleet/tests/net.rs
@@ -1,6 +1,6 @@
 //! Fleets on the virtual network: what a few processes cannot show.
 
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 use yarrowfront_fleet::measure::{calm, death, partition, settled};
 
 const SECOND: u64 = 1_000_000;
@@ -10,14 +10,14 @@
 #[test]
 fn a_hundred() {
     let (mut net, took) = settled(3, 100, 0.0);
-    assert!(took.is_some_and(|took| took < Span(10 * SECOND)), "{took:?}");
+    assert!(took.is_some_and(|took| took < Micros(10 * SECOND)), "{took:?}");
     for node in [99, 40] {
         let death = death(&mut net, node);
         assert!(death.most.is_some_and(|seconds| seconds < 3.5), "{death:?}");
     }
     for parts in [&[50, 50][..], &[34, 33, 33]] {
         let (mut net, _) = settled(4, 100, 0.0);
-        let healed = partition(&mut net, parts, Span(20 * SECOND));
+        let healed = partition(&mut net, parts, Micros(20 * SECOND));
         assert!(healed.apart.is_some(), "{parts:?}: {healed:?}");
         assert!(healed.together.is_some_and(|seconds| seconds < 5.0), "{parts:?}: {healed:?}");
     }
@@ -27,7 +27,7 @@
 #[test]
 fn calm_at_a_loss() {
     let (mut net, _) = settled(5, 30, 5.0);
-    let found = calm(&mut net, Span(600 * SECOND));
+    let found = calm(&mut net, Micros(600 * SECOND));
     assert!(found.false_deaths == 0.0 && found.mean < 4000.0, "{found:?}");
 }
 
@@ -36,7 +36,7 @@
 fn a_lossy_site() {
     let (mut net, _) = settled(6, 30, 0.0);
     net.lossy = Some((1, 30.0));
-    net.run(Span(60 * SECOND));
+    net.run(Micros(60 * SECOND));
     let among_others = |(_, by, of): &&(_, usize, usize)| by % 3 != 1 && of % 3 != 1;
     assert_eq!(net.deaths.iter().filter(among_others).count(), 0);
 }
@@ -47,29 +47,29 @@
 fn hard_cases() {
     let (mut net, _) = settled(7, 20, 0.0);
     (10..20).for_each(|node| net.kill(node));
-    assert!(net.until_agreed(Span(20 * SECOND)).is_some(), "half is killed");
+    assert!(net.until_agreed(Micros(20 * SECOND)).is_some(), "half is killed");
     (10..20).for_each(|node| net.start(node, 20, &[0, 1, 2]));
-    assert!(net.until_agreed(Span(20 * SECOND)).is_some(), "and starts again");
+    assert!(net.until_agreed(Micros(20 * SECOND)).is_some(), "and starts again");
     net.deaths.clear();
-    net.pause(5, Span(10 * SECOND));
-    net.run(Span(12 * SECOND));
-    assert!(net.until_agreed(Span(10 * SECOND)).is_some(), "one was stopped");
+    net.pause(5, Micros(10 * SECOND));
+    net.run(Micros(12 * SECOND));
+    assert!(net.until_agreed(Micros(10 * SECOND)).is_some(), "one was stopped");
     assert!(net.deaths.iter().all(|(_, by, of)| *by != 5 && *of == 5), "{:?}", net.deaths);
     let group = |net: &mut yarrowfront_fleet::net::Net, of: fn(usize) -> u32| {
         net.nodes.iter_mut().enumerate().for_each(|(node, it)| it.group = of(node));
     };
     group(&mut net, |node| node as u32 % 2);
-    net.run(Span(15 * SECOND));
+    net.run(Micros(15 * SECOND));
     group(&mut net, |node| u32::from(node >= 15));
-    net.run(Span(15 * SECOND));
+    net.run(Micros(15 * SECOND));
     group(&mut net, |_| 0);
-    assert!(net.until_agreed(Span(10 * SECOND)).is_some(), "all ways are whole");
+    assert!(net.until_agreed(Micros(10 * SECOND)).is_some(), "all ways are whole");
     for nodes in [1, 2] {
         let (mut net, took) = settled(8, nodes, 0.0);
         assert!(took.is_some(), "{nodes}");
         // A portion is whole only for who has been looked at among a majority for long.
         for _ in 0..20 {
-            net.run(Span(SECOND));
+            net.run(Micros(SECOND));
             net.shares(nodes as u32);
         }
         let shares: Vec<u32> = net.shares(nodes as u32).iter().map(|(_, share)| share.nodes).collect();
--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -7,8 +7,8 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 use yarrowfront::command::Outcome;
-use yarrowfront::settings::{Effect, Profile};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::settings::{Idempotency, Profile};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// Of what is told, and of the words of a rolling change.
 pub const VERSION: u32 = 1;
@@ -81,10 +81,10 @@
         Outcome::Errored => 1,
         Outcome::Full => 2,
         Outcome::TimedOut => 3,
-        Outcome::Unreachable => 4,
-        Outcome::Broken => 5,
+        Outcome::ConnectFailed => 4,
+        Outcome::ConnectionLost => 5,
         Outcome::Cancelled => 6,
-        Outcome::Unsent => 7,
+        Outcome::NotSent => 7,
     }
 }
 
@@ -118,8 +118,8 @@
     inner: RefCell<Inner>,
 }
 
-fn bucket(span: Span) -> u8 {
-    let steps = (span.micros() / FIRST).max(1.0).log2() * PARTS;
+fn bucket(span: Micros) -> u8 {
+    let steps = (span.as_f64() / FIRST).max(1.0).log2() * PARTS;
     steps.min((BUCKETS - 1) as f64) as u8
 }
 
@@ -147,7 +147,7 @@
     }
 
     /// The second that it is now, and all of the tallies beside it.
-    fn now<T>(&self, now: Moment, call: impl FnOnce(&mut Inner) -> T) -> T {
+    fn now<T>(&self, now: Timestamp, call: impl FnOnce(&mut Inner) -> T) -> T {
         let inner = &mut *self.inner.borrow_mut();
         let at = now.0 / 1_000_000;
         if inner.seconds.back().is_none_or(|last| last.at < at) {
@@ -159,7 +159,7 @@
         call(inner)
     }
 
-    fn tally(&self, now: Moment, profile: &str, change: impl Fn(&mut Tally)) {
+    fn tally(&self, now: Timestamp, profile: &str, change: impl Fn(&mut Tally)) {
         self.now(now, |inner| {
             let place = inner.place(profile);
             change(&mut inner.total[place]);
@@ -172,12 +172,12 @@
         });
     }
 
-    fn taken(&self, now: Moment, profile: &str) {
+    fn taken(&self, now: Timestamp, profile: &str) {
         self.tally(now, profile, |tally| tally.taken += 1);
     }
 
     /// A launch goes out; `extra` beyond the command's first, `twice` if what may run once may have run already.
-    fn launched(&self, now: Moment, profile: &str, extra: bool, twice: bool) {
+    fn launched(&self, now: Timestamp, profile: &str, extra: bool, twice: bool) {
         self.tally(now, profile, |tally| {
             tally.launches += 1;
             tally.extra += u32::from(extra);
@@ -186,7 +186,7 @@
     }
 
     /// A command is over, by its answer or without one.
-    fn ended(&self, now: Moment, name: &str, (payoff, goal): (f64, Span), arrived: Moment, end: End) {
+    fn ended(&self, now: Timestamp, name: &str, (payoff, goal): (f64, Micros), arrived: Timestamp, end: End) {
         let took = now.since(arrived);
         self.tally(now, name, |tally| {
             let in_goal = end == End::Finished && took <= goal;
@@ -215,7 +215,7 @@
         });
     }
 
-    pub fn outcome(&self, now: Moment, outcome: Outcome) {
+    pub fn outcome(&self, now: Timestamp, outcome: Outcome) {
         self.now(now, |inner| {
             inner.outcomes[place(outcome)] += 1;
             if let Some(second) = inner.seconds.back_mut() {
@@ -224,21 +224,21 @@
         });
     }
 
-    pub fn connected(&self, now: Moment) {
+    pub fn connected(&self, now: Timestamp) {
         self.now(now, |inner| {
             inner.connections += 1;
             inner.seconds.back_mut().into_iter().for_each(|second| second.connections += 1);
         });
     }
 
-    pub fn probed(&self, now: Moment) {
+    pub fn probed(&self, now: Timestamp) {
         self.now(now, |inner| {
             inner.probes += 1;
             inner.seconds.back_mut().into_iter().for_each(|second| second.probes += 1);
         });
     }
 
-    pub fn listed(&self, now: Moment) {
+    pub fn listed(&self, now: Timestamp) {
         self.now(now, |inner| {
             inner.lists += 1;
             inner.seconds.back_mut().into_iter().for_each(|second| second.lists += 1);
@@ -247,7 +247,7 @@
 
     /// All since the start, and the whole seconds after that one. Times in microseconds: of a second as pairs of a
     /// bucket's beginning and how many are in it.
-    pub fn told(&self, now: Moment, after: u64) -> Value {
+    pub fn told(&self, now: Timestamp, after: u64) -> Value {
         let inner = self.inner.borrow();
         let by = |tallies: &[Tally]| -> Value {
             let some = inner.names.iter().zip(tallies).filter(|(_, tally)| **tally != Tally::default());
@@ -284,7 +284,7 @@
     counts: Rc<Counts>,
     name: String,
     payoff: f64,
-    goal: Span,
+    goal: Micros,
     once: bool,
     launched: u32,
     out: u32,
@@ -294,15 +294,16 @@
 }
 
 impl Account {
-    pub fn open(counts: Rc<Counts>, now: Moment, name: &str, profile: &Profile) -> Account {
+    pub fn open(counts: Rc<Counts>, now: Timestamp, name: &str, profile: &Profile) -> Account {
         counts.taken(now, name);
-        let (payoff, goal, once) = (profile.payoff, profile.goal_time, profile.effect == Effect::OnceOnly);
+        let (payoff, goal, once) =
+            (profile.payoff, profile.goal_time, profile.idempotency == Idempotency::Once);
         let (launched, out, ran, over) = Default::default();
         Account { counts, name: name.to_owned(), payoff, goal, once, launched, out, ran, over }
     }
 
     /// A launch of it goes out.
-    pub fn launched(&mut self, now: Moment) {
+    pub fn launched(&mut self, now: Timestamp) {
         let twice = self.once && (self.ran || self.out > 0);
         self.counts.launched(now, &self.name, self.launched > 0, twice);
         (self.launched, self.out) = (self.launched + 1, self.out + 1);
@@ -315,7 +316,7 @@
     }
 
     /// Its client has its answer, or has gone. What is said after the first time counts for nothing.
-    pub fn over(&mut self, now: Moment, arrived: Moment, end: End) {
+    pub fn over(&mut self, now: Timestamp, arrived: Timestamp, end: End) {
         if !std::mem::replace(&mut self.over, true) {
             self.counts.ended(now, &self.name, (self.payoff, self.goal), arrived, end);
         }
@@ -353,7 +354,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use yarrowfront::settings::Among;
+    use yarrowfront::settings::DedupScope;
 
     /// A second is told once it is over and only once, its counts sum to the total, and old ones are forgotten: a rolling
     /// change that read a half second, or one twice, would compare what was never there.
@@ -361,18 +362,18 @@
     fn seconds_add_up() {
         let counts = Counts::new(5);
         for second in 0..9u64 {
-            let now = Moment(second * 1_000_000 + 1000);
+            let now = Timestamp(second * 1_000_000 + 1000);
             counts.taken(now, "pay");
             counts.launched(now, "pay", false, false);
             counts.launched(now, "pay", true, second == 3);
             counts.outcome(now, Outcome::Finished);
             let end = if second % 2 == 0 { End::Finished } else { End::TurnedBack };
-            counts.ended(now + Span::millis(40), "pay", (2.0, Span::millis(50)), now, end);
+            counts.ended(now + Micros::from_millis(40), "pay", (2.0, Micros::from_millis(50)), now, end);
         }
-        let told = counts.told(Moment(8_500_000), 0);
+        let told = counts.told(Timestamp(8_500_000), 0);
         let seconds = told["seconds"].as_array().expect("seconds");
         assert_eq!(seconds.iter().map(|s| s["at"].as_u64()).collect::<Vec<_>>(), [4, 5, 6, 7].map(Some));
-        assert_eq!(counts.told(Moment(9_000_000), 6)["seconds"].as_array().map(Vec::len), Some(2));
+        assert_eq!(counts.told(Timestamp(9_000_000), 6)["seconds"].as_array().map(Vec::len), Some(2));
         let all = &told["total"]["all"];
         assert_eq!([&all["taken"], &all["in_goal"], &all["turned_back"]], [&json!(9), &json!(5), &json!(4)]);
         assert_eq!([&all["asked"], &all["served"]], [&json!(18.0), &json!(10.0)]);
@@ -390,27 +391,33 @@
     #[test]
     fn second_runs() {
         let cases = [
-            (Effect::OnceOnly, Some(true), 0),
-            (Effect::OnceOnly, Some(false), 1),
-            (Effect::OnceOnly, None, 1),
-            (Effect::Repeatable, Some(false), 0),
-            (Effect::Tagged, None, 0),
+            (Idempotency::Once, Some(true), 0),
+            (Idempotency::Once, Some(false), 1),
+            (Idempotency::Once, None, 1),
+            (Idempotency::Repeatable, Some(false), 0),
+            (Idempotency::ByKey, None, 0),
         ];
         for (effect, proves_not_run, twice) in cases {
-            let span = Span::millis(500);
+            let span = Micros::from_millis(500);
             let (goal_time, time_limit, memory_span) = (span, span, span);
-            let profile =
-                Profile { goal_time, time_limit, effect, among: Among::All, memory_span, payoff: 1.0 };
+            let profile = Profile {
+                goal_time,
+                time_limit,
+                idempotency: effect,
+                dedup_scope: DedupScope::All,
+                dedup_window: memory_span,
+                payoff: 1.0,
+            };
             let counts = Rc::new(Counts::new(10));
-            let mut account = Account::open(counts.clone(), Moment(1), "p", &profile);
-            account.launched(Moment(1));
+            let mut account = Account::open(counts.clone(), Timestamp(1), "p", &profile);
+            account.launched(Timestamp(1));
             if let Some(proves) = proves_not_run {
                 account.outcome(proves);
             }
-            account.launched(Moment(1));
-            account.over(Moment(2), Moment(1), End::Errored);
-            account.over(Moment(2), Moment(1), End::Left);
-            let all = counts.told(Moment(1), 0)["total"]["all"].clone();
+            account.launched(Timestamp(1));
+            account.over(Timestamp(2), Timestamp(1), End::Errored);
+            account.over(Timestamp(2), Timestamp(1), End::Left);
+            let all = counts.told(Timestamp(1), 0)["total"]["all"].clone();
             assert_eq!([&all["twice"], &all["left"]], [&json!(twice), &json!(0)], "{effect:?}");
         }
     }
@@ -419,20 +426,28 @@
     #[test]
     #[ignore = "measures"]
     fn what_it_costs() {
-        let (goal_time, time_limit, memory_span) = (Span::millis(50), Span::millis(500), Span(0));
-        let (effect, among) = (Effect::Repeatable, Among::All);
-        let profile = Profile { goal_time, time_limit, effect, among, memory_span, payoff: 1.0 };
+        let (goal_time, time_limit, memory_span) =
+            (Micros::from_millis(50), Micros::from_millis(500), Micros(0));
+        let (effect, among) = (Idempotency::Repeatable, DedupScope::All);
+        let profile = Profile {
+            goal_time,
+            time_limit,
+            idempotency: effect,
+            dedup_scope: among,
+            dedup_window: memory_span,
+            payoff: 1.0,
+        };
         let (counts, many) = (Rc::new(Counts::new(300)), 1_000_000u64);
         let start = std::time::Instant::now();
         for number in 0..many {
             // Two thousand commands a second, of four profiles.
-            let now = Moment(number * 500);
+            let now = Timestamp(number * 500);
             let name = ["list", "book", "pay", "count"][number as usize % 4];
             let mut account = Account::open(counts.clone(), now, name, &profile);
             account.launched(now);
             counts.outcome(now, Outcome::Finished);
             account.outcome(false);
-            account.over(now + Span(number % 40_000), now, End::Finished);
+            account.over(now + Micros(number % 40_000), now, End::Finished);
         }
         println!("{:.0} ns a command", start.elapsed().as_nanos() as f64 / many as f64);
     }
@@ -442,13 +457,13 @@
     fn bounded() {
         let counts = Counts::new(3);
         for name in 0..1000u64 {
-            let now = Moment(name * 1000);
+            let now = Timestamp(name * 1000);
             counts.taken(now, &format!("p{name}"));
-            counts.ended(Moment(name * 1_000_000_000), "x", (1.0, Span(1)), Moment(0), End::Finished);
+            counts.ended(Timestamp(name * 1_000_000_000), "x", (1.0, Micros(1)), Timestamp(0), End::Finished);
         }
-        let profiles = counts.told(Moment(0), 0)["total"]["profiles"].clone();
+        let profiles = counts.told(Timestamp(0), 0)["total"]["profiles"].clone();
         assert_eq!(profiles.as_object().map(serde_json::Map::len), Some(PROFILES + 1));
-        assert_eq!(bucket(Span(u64::MAX / 2)) as usize, BUCKETS - 1);
-        assert_eq!((bucket(Span(0)), begins(0), begins(8)), (0, 32, 64));
+        assert_eq!(bucket(Micros(u64::MAX / 2)) as usize, BUCKETS - 1);
+        assert_eq!((bucket(Micros(0)), begins(0), begins(8)), (0, 32, 64));
     }
 }
--- a/crates/node/src/desk.rs
+++ b/crates/node/src/desk.rs
@@ -16,10 +16,10 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::Instant;
 use yarrowfront::command::{Command, Outcome};
-use yarrowfront::decide::{Balancer, Errand, ListKind, Listed, Say};
-use yarrowfront::ids::{BackendId, CommandId, Hand};
-use yarrowfront::settings::Terms;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::decide::{Action, Balancer, Decision, ListEntry, ListUpdateKind};
+use yarrowfront::ids::{BackendId, CommandHandle, CommandId};
+use yarrowfront::settings::Settings;
+use yarrowfront::times::{Micros, Timestamp};
 
 /// Unix time at start and a monotonic clock from there: a list's start times compare, and nothing runs back.
 #[derive(Clone, Copy)]
@@ -34,22 +34,22 @@
         Clock { unix: unix.as_micros() as u64, start: Instant::now() }
     }
 
-    pub fn now(&self) -> Moment {
-        Moment(self.unix + self.start.elapsed().as_micros() as u64)
+    pub fn now(&self) -> Timestamp {
+        Timestamp(self.unix + self.start.elapsed().as_micros() as u64)
     }
 
     /// When the process began.
-    pub fn began(&self) -> Moment {
-        Moment(self.unix)
+    pub fn began(&self) -> Timestamp {
+        Timestamp(self.unix)
     }
 
-    pub fn instant(&self, at: Moment) -> Instant {
-        self.start + Duration::from_micros(at.since(Moment(self.unix)).0)
+    pub fn instant(&self, at: Timestamp) -> Instant {
+        self.start + Duration::from_micros(at.since(Timestamp(self.unix)).0)
     }
 }
 
 /// A line of the list as the module takes it, and where that backend is; none for one that is gone.
-pub type Line = (Listed, Option<SocketAddr>);
+pub type Line = (ListEntry, Option<SocketAddr>);
 
 struct InHand {
     command: Command,
@@ -74,7 +74,7 @@
     /// A backend that says that it is full may have run the command.
     full_may_have_run: bool,
     /// The longest time to come back that may be told; none where none may.
-    longest_come_back: Span,
+    longest_come_back: Micros,
     /// How many share what all share, and this node's place among them, as a view of the fleet tells it.
     portion: Option<Portion>,
 }
@@ -84,7 +84,7 @@
 pub struct Portion {
     pub nodes: u32,
     pub me: u32,
-    pub until: Moment,
+    pub until: Timestamp,
     pub without: (u32, u32),
 }
 
@@ -92,7 +92,7 @@
     pub clock: Clock,
     tick: Duration,
     inner: RefCell<Inner>,
-    errands: mpsc::UnboundedSender<Errand>,
+    errands: mpsc::UnboundedSender<Action>,
     /// The module's own time to be asked has moved.
     moved: Notify,
     told: Cell<bool>,
@@ -112,9 +112,9 @@
         names: Names,
         clock: Clock,
         tick: Duration,
-        errands: mpsc::UnboundedSender<Errand>,
+        errands: mpsc::UnboundedSender<Action>,
         (counts, witness): (Option<Rc<Counts>>, Option<Rc<Witness>>),
-        (full_may_have_run, longest_come_back): (bool, Span),
+        (full_may_have_run, longest_come_back): (bool, Micros),
     ) -> Desk {
         let (hands, ids) = (Slab::new(), HashMap::new());
         let (open, addresses) = (HashSet::new(), Vec::new());
@@ -139,18 +139,18 @@
     }
 
     /// One call of the module, and the errands that came of it.
-    fn ask<T>(&self, call: impl FnOnce(&mut Inner, Moment) -> T) -> T {
+    fn ask<T>(&self, call: impl FnOnce(&mut Inner, Timestamp) -> T) -> T {
         let now = self.clock.now();
         let inner = &mut *self.inner.borrow_mut();
         // A process that was stopped, or a view that has got stuck, must not go on by what it knew.
         if let Some(old) = inner.portion.take_if(|portion| portion.until < now) {
-            inner.module.fleet(old.without.0, old.without.1);
+            inner.module.set_membership(old.without.0, old.without.1);
         }
-        let before = inner.module.wait(now, None);
+        let before = inner.module.wakeup_delay(now, None);
         let value = call(inner, now);
-        while let Some(errand) = inner.module.errand(now) {
+        while let Some(errand) = inner.module.next_action(now) {
             match errand {
-                Errand::Again(hand) => {
+                Action::Reevaluate(hand) => {
                     if let Some(held) = inner.hands.get(hand.0 as usize) {
                         held.again.notify_one();
                     }
@@ -159,7 +159,7 @@
                 other => drop(self.errands.send(other)),
             }
         }
-        if inner.module.wait(now, None) != before {
+        if inner.module.wakeup_delay(now, None) != before {
             self.moved.notify_one();
         }
         value
@@ -180,7 +180,7 @@
     }
 
     /// Takes a command in hand; none if one that is called so is in hand: it would run twice.
-    pub fn take(&self, mut command: Command, id: HeaderValue) -> Option<(Hand, Rc<Notify>)> {
+    pub fn take(&self, mut command: Command, id: HeaderValue) -> Option<(CommandHandle, Rc<Notify>)> {
         if id.to_str().is_ok_and(|id| self.elsewhere.borrow().contains(id)) {
             return None;
         }
@@ -192,20 +192,20 @@
         command.id = CommandId(inner.commands);
         let again = Rc::new(Notify::new());
         let key = inner.hands.insert(InHand { command, id, again: again.clone(), left: false });
-        Some((Hand(key as u32), again))
+        Some((CommandHandle(key as u32), again))
     }
 
-    pub fn place(&self, hand: Hand) -> Say {
-        self.ask(|inner, now| inner.module.place(now, hand, &mut inner.hands[hand.0 as usize].command))
+    pub fn place(&self, hand: CommandHandle) -> Decision {
+        self.ask(|inner, now| inner.module.decide(now, hand, &mut inner.hands[hand.0 as usize].command))
     }
 
     /// This command is to have its end now: what may be said, as it may have run or not.
-    pub fn give_up(&self, hand: Hand) -> Say {
-        self.ask(|inner, _| inner.module.give_up(&mut inner.hands[hand.0 as usize].command))
+    pub fn give_up(&self, hand: CommandHandle) -> Decision {
+        self.ask(|inner, _| inner.module.reject_or_fail(&mut inner.hands[hand.0 as usize].command))
     }
 
     /// A launch of this command has ended; `spent` if it cannot be sent again.
-    pub fn after(&self, hand: Hand, done: &Done, spent: bool) -> Say {
+    pub fn after(&self, hand: CommandHandle, done: &Done, spent: bool) -> Decision {
         if let Some(counts) = &self.counts {
             counts.outcome(self.clock.now(), done.outcome);
         }
@@ -215,26 +215,32 @@
         self.ask(|inner, now| {
             let key = hand.0 as usize;
             let command = &mut inner.hands[key].command;
-            command.closed |= done.outcome == Outcome::Finished;
-            command.spent = spent;
-            let say = inner.module.after(now, hand, command, done.number, done.outcome);
+            command.is_closed |= done.outcome == Outcome::Finished;
+            command.is_body_consumed = spent;
+            let say = inner.module.on_launch_outcome(now, hand, command, done.number, done.outcome);
             // By the order of fields that it was read in: after a switch that may be another.
             let report = done.report.as_ref().filter(|(turn, _)| *turn == inner.names.turn);
-            inner.module.report(now, done.backend, true, None, report.map_or(&[], |(_, values)| values));
+            inner.module.on_load_report(
+                now,
+                done.backend,
+                true,
+                None,
+                report.map_or(&[], |(_, values)| values),
+            );
             inner.let_go(key);
             say
         })
     }
 
     /// Whether a launch is out that began with its first bytes, and its last one is still to come.
-    pub fn coming(&self, hand: Hand) -> bool {
+    pub fn coming(&self, hand: CommandHandle) -> bool {
         let command = &self.inner.borrow().hands[hand.0 as usize].command;
-        command.coming && command.out() > 0
+        command.is_body_incomplete && command.in_flight_count() > 0
     }
 
     /// The last byte of its body is on its way: its time counts from here.
-    pub fn flowed(&self, hand: Hand) {
-        self.ask(|inner, now| inner.module.came_whole(now, &mut inner.hands[hand.0 as usize].command));
+    pub fn flowed(&self, hand: CommandHandle) {
+        self.ask(|inner, now| inner.module.on_body_complete(now, &mut inner.hands[hand.0 as usize].command));
     }
 
     /// Where an operators' file asks for them.
@@ -243,12 +249,12 @@
     }
 
     /// From when on a command's time counts.
-    pub fn arrived(&self, hand: Hand) -> Moment {
-        self.inner.borrow().hands[hand.0 as usize].command.arrived
+    pub fn arrived(&self, hand: CommandHandle) -> Timestamp {
+        self.inner.borrow().hands[hand.0 as usize].command.arrived_at
     }
 
     /// What is counted of a command in hand, from here on; none where nothing is counted.
-    pub fn account(&self, hand: Hand) -> Option<Account> {
+    pub fn account(&self, hand: CommandHandle) -> Option<Account> {
         let counts = self.counts.clone()?;
         let inner = self.inner.borrow();
         let (name, profile) = inner.names.known(inner.hands[hand.0 as usize].command.profile)?;
@@ -261,14 +267,14 @@
     }
 
     /// Goes by other names and terms from this call on; held commands are asked for again by them.
-    pub fn switch(&self, names: Names, terms: Terms) {
+    pub fn switch(&self, names: Names, terms: Settings) {
         self.ask(|inner, _| {
             inner.names = Rc::new(names);
             inner.full_may_have_run = terms.full_may_have_run;
-            inner.longest_come_back = terms.longest_come_back;
-            inner.module.switch(terms);
+            inner.longest_come_back = terms.max_retry_after;
+            inner.module.replace_settings(terms);
             if let Some(portion) = inner.portion {
-                inner.module.fleet(portion.nodes, portion.me);
+                inner.module.set_membership(portion.nodes, portion.me);
             }
             for (_, held) in &inner.hands {
                 held.again.notify_one();
@@ -276,19 +282,19 @@
         });
     }
 
-    pub fn longest_come_back(&self) -> Span {
+    pub fn longest_come_back(&self) -> Micros {
         self.inner.borrow().longest_come_back
     }
 
     /// Of these sites, how many of their backends are listed ready, and how many of those have just started.
-    pub fn listed_by_site(&self, names: &[String], now: Moment, warm: Span) -> (Vec<u32>, Vec<u32>) {
+    pub fn listed_by_site(&self, names: &[String], now: Timestamp, warm: Micros) -> (Vec<u32>, Vec<u32>) {
         let (mut ready, mut cold) = (vec![0; names.len()], vec![0; names.len()]);
         for entry in self.entries.borrow().1.values() {
             let text = |key| entry.get(key).and_then(Value::as_str);
             let place = text("zone").and_then(|zone| names.iter().position(|name| name == zone));
             let Some(place) = place.filter(|_| text("status") == Some("ready")) else { continue };
             ready[place] += 1;
-            let age = now.since(Moment(start(entry) * 1000));
+            let age = now.since(Timestamp(start(entry) * 1000));
             cold[place] += u32::from(age < warm);
         }
         (ready, cold)
@@ -310,7 +316,7 @@
             return;
         }
         self.ask(|inner, _| {
-            inner.module.fleet(portion.nodes, portion.me);
+            inner.module.set_membership(portion.nodes, portion.me);
             inner.portion = Some(portion);
         });
     }
@@ -329,12 +335,12 @@
     }
 
     /// Its client has its answer, or has gone: true if it had none.
-    pub fn leave(&self, hand: Hand) -> bool {
+    pub fn leave(&self, hand: CommandHandle) -> bool {
         self.ask(|inner, _| {
             let held = &mut inner.hands[hand.0 as usize];
-            let unanswered = !held.command.closed;
+            let unanswered = !held.command.is_closed;
             if unanswered {
-                inner.module.dropped(&mut held.command);
+                inner.module.on_client_gone(&mut held.command);
             }
             held.left = true;
             inner.let_go(hand.0 as usize);
@@ -343,39 +349,39 @@
     }
 
     /// Until when this launch may be written, as it is now: what held when it was placed may have ended while it waited.
-    pub fn stands(&self, hand: Hand, number: u8) -> Moment {
+    pub fn stands(&self, hand: CommandHandle, number: u8) -> Timestamp {
         let inner = self.inner.borrow();
-        inner.module.stands(&inner.hands[hand.0 as usize].command, number)
+        inner.module.launch_valid_until(&inner.hands[hand.0 as usize].command, number)
     }
 
-    pub fn wait(&self, hand: Hand) -> Option<Duration> {
+    pub fn wait(&self, hand: CommandHandle) -> Option<Duration> {
         let inner = self.inner.borrow();
         self.pause(&inner, Some(&inner.hands[hand.0 as usize].command))
     }
 
     /// The module's time to be asked again, for a command or for the node, as the runtime can keep it.
     fn pause(&self, inner: &Inner, command: Option<&Command>) -> Option<Duration> {
-        let span = inner.module.wait(self.clock.now(), command)?;
+        let span = inner.module.wakeup_delay(self.clock.now(), command)?;
         Some(Duration::from_micros(span.0).max(self.tick))
     }
 
     /// The number of a command's last launch.
-    pub fn last_launch(&self, hand: Hand) -> u8 {
-        (self.inner.borrow().hands[hand.0 as usize].command.launched() - 1) as u8
+    pub fn last_launch(&self, hand: CommandHandle) -> u8 {
+        (self.inner.borrow().hands[hand.0 as usize].command.launch_count() - 1) as u8
     }
 
     /// What a probe found.
-    pub fn probed(&self, backend: BackendId, found: bool, trip: Span, values: &[f32]) {
+    pub fn probed(&self, backend: BackendId, found: bool, trip: Micros, values: &[f32]) {
         if let Some(counts) = &self.counts {
             counts.probed(self.clock.now());
         }
         if let Some(witness) = &self.witness {
             witness.probed(backend, found);
         }
-        self.ask(|inner, now| inner.module.report(now, backend, found, Some(trip), values));
+        self.ask(|inner, now| inner.module.on_load_report(now, backend, found, Some(trip), values));
     }
 
-    pub fn list(&self, kind: ListKind, lines: &[Line]) {
+    pub fn list(&self, kind: ListUpdateKind, lines: &[Line]) {
         if let Some(counts) = &self.counts {
             counts.listed(self.clock.now());
         }
@@ -383,22 +389,22 @@
             lines.iter().for_each(|(listed, _)| witness.listed(listed.backend, listed.zone.0));
         }
         self.ask(|inner, now| {
-            if kind == ListKind::Whole || kind == ListKind::Cached {
+            if kind == ListUpdateKind::Snapshot || kind == ListUpdateKind::Cached {
                 inner.addresses.fill(None);
             }
             for (listed, address) in lines {
                 inner.addresses[listed.backend.0 as usize] = *address;
             }
-            inner.module.list(now, kind, lines.iter().map(|(listed, _)| *listed));
+            inner.module.apply_list(now, kind, lines.iter().map(|(listed, _)| *listed));
         });
-        if !kind.tells_nothing() {
+        if !kind.is_failure() {
             self.told.set(true);
         }
     }
 
     /// From then on news that this node has not heard counts as known to it; none while nothing is missed.
-    pub fn list_binds_from(&self, binds: Option<Moment>) {
-        self.ask(|inner, _| inner.module.list_binds_from(binds));
+    pub fn list_binds_from(&self, binds: Option<Timestamp>) {
+        self.ask(|inner, _| inner.module.set_list_expiry(binds));
     }
 
     /// Whether there is a list to go by, an old one too.
@@ -427,7 +433,7 @@
 
     /// The process before this one runs, or has ended: until then what is spare of the launches is its own.
     pub fn beside(&self, other: bool) {
-        self.ask(|inner, now| inner.module.beside(now, other));
+        self.ask(|inner, now| inner.module.set_predecessor_running(now, other));
     }
 
     /// The id of a backend that was ever listed.
@@ -437,7 +443,7 @@
 
     /// Leaves a backend out, or uses it again, from this call on.
     pub fn maint(&self, backend: BackendId, out: bool) {
-        self.ask(|inner, now| inner.module.maint(now, backend, out));
+        self.ask(|inner, now| inner.module.set_maintenance(now, backend, out));
         // The next process too is to know that it is cold.
         let name = self.name(backend);
         if let Some(entry) = self.entries.borrow_mut().1.get_mut(&name).filter(|_| !out) {
@@ -448,7 +454,7 @@
     /// The names of all that are left out by the operators' word.
     pub fn left_out(&self) -> Vec<String> {
         let inner = self.inner.borrow();
-        let out = |(_, id): &(&String, &BackendId)| inner.module.is_left_out(**id);
+        let out = |(_, id): &(&String, &BackendId)| inner.module.is_in_maintenance(**id);
         inner.ids.iter().filter(out).map(|(name, _)| name.clone()).collect()
     }
 
@@ -509,7 +515,7 @@
 impl Inner {
     fn let_go(&mut self, key: usize) {
         let held = &self.hands[key];
-        if held.left && held.command.out() == 0 {
+        if held.left && held.command.in_flight_count() == 0 {
             let held = self.hands.remove(key);
             self.open.remove(&held.id);
         }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -17,7 +17,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 use yarrowfront_view::card::{Card, Life, Load, Phase};
 use yarrowfront_view::member::Member;
 use yarrowfront_view::share::{Share, Sharer, Why};
@@ -30,7 +30,7 @@
 /// Between two goes while more are waiting. With the above, up to 16,000 a second are read; the kernel drops the rest.
 const BREATH: Duration = Duration::from_millis(2);
 /// Between two looks at this node's own state and its portion.
-const LOOK: Span = Span::millis(200);
+const LOOK: Micros = Micros::from_millis(200);
 /// Between two tries to listen where a process before this one still does.
 const BIND: Duration = Duration::from_millis(50);
 /// Between two looks at the file of seeds.
@@ -86,10 +86,10 @@
     stop: Rc<Stop>,
     peer: Rc<Peer>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    looked: Cell<Moment>,
+    looked: Cell<Timestamp>,
     seeds_read: Cell<Instant>,
     /// Changes of late, the newest last.
-    lately: RefCell<Vec<(Moment, String)>>,
+    lately: RefCell<Vec<(Timestamp, String)>>,
     /// Something else than a datagram or the view's time is to be seen to.
     moved: Notify,
 }
@@ -123,7 +123,7 @@
             stop,
             peer,
             socket: RefCell::new(None),
-            looked: Cell::new(Moment(0)),
+            looked: Cell::new(Timestamp(0)),
             seeds_read: Cell::new(Instant::now()),
             lately: RefCell::new(Vec::new()),
             moved: Notify::new(),
@@ -146,7 +146,7 @@
         *self.sharer.borrow_mut() = Sharer::new(self.desk.clock.now(), terms.times);
         self.view.borrow_mut().follow(self.desk.clock.now(), terms);
         *self.own.borrow_mut() = own;
-        self.looked.set(Moment(0));
+        self.looked.set(Timestamp(0));
         self.moved.notify_one();
     }
 
@@ -335,7 +335,7 @@
     /// The view for programs: times are spans before now in milliseconds, bytes and counts since the start.
     pub fn told(&self) -> Value {
         let (view, own, now) = (self.view.borrow(), self.own.borrow(), self.desk.clock.now());
-        let age = |at: Moment| now.since(at).0 / 1000;
+        let age = |at: Timestamp| now.since(at).0 / 1000;
         let card = |card: &Card| {
             json!({"address": card.address, "site": card.site, "build": card.build,
                 "settings": format!("{:016x}", card.digest), "phase": card.phase.to_string(),
@@ -372,7 +372,7 @@
     /// The same for people.
     pub fn page(&self) -> String {
         let (view, now) = (self.view.borrow(), self.desk.clock.now());
-        let seconds = |at: Moment| format!("{:.1} s", now.since(at).micros() / 1e6);
+        let seconds = |at: Timestamp| format!("{:.1} s", now.since(at).as_f64() / 1e6);
         let mut page = String::new();
         let mut line = |text: String| {
             page.push_str(&text);
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -21,8 +21,8 @@
 use tower::Service;
 use yarrowfront::command::Command;
 use yarrowfront::ids::CommandId;
-use yarrowfront::settings::Effect;
-use yarrowfront::times::Span;
+use yarrowfront::settings::Idempotency;
+use yarrowfront::times::Micros;
 
 const ID: &str = "x-correlation-id";
 const PROFILE: &str = "x-service-class";
@@ -84,7 +84,7 @@
             Ok(command) => command,
             Err(why) => return plain(StatusCode::BAD_REQUEST, &why),
         };
-        let left = command.ends.since(command.arrived);
+        let left = command.deadline.since(command.arrived_at);
         let (head, body) = request.into_parts();
         // At a stop what is still to come then would not be answered in time.
         let given_up = self.stop.past(self.limits.idle_on);
@@ -116,8 +116,8 @@
             }
         };
         // Its time counts from its last byte; from here if that is still to come, and again from there.
-        command.arrived = self.desk.clock.now();
-        command.ends = command.arrived + left;
+        command.arrived_at = self.desk.clock.now();
+        command.deadline = command.arrived_at + left;
         let path = head.uri.path_and_query().cloned().unwrap_or_else(|| PathAndQuery::from_static("/api"));
         let id = head.headers[ID].clone();
         let (method, headers) = (head.method, onward(head.headers));
@@ -126,7 +126,7 @@
             Start::Whole(body) => Load::Whole(body),
             Start::Flows(mut flow) => {
                 flow.patience(self.limits.body_silent, true);
-                command.coming = true;
+                command.is_body_incomplete = true;
                 // hyper drops this future with the connection, and the rest of the body with it.
                 _cut = Some(flow.cut());
                 guest.look.notify_one();
@@ -150,18 +150,18 @@
             return Err("only GET and POST are commands".into());
         }
         // Without its tag a repeat would not be known as one.
-        if by.effect == Effect::Tagged && text(TAG).is_none_or(str::is_empty) {
+        if by.idempotency == Idempotency::ByKey && text(TAG).is_none_or(str::is_empty) {
             return Err(format!("{TAG} is missing"));
         }
         let left = text(TIME_LEFT).ok_or_else(|| format!("{TIME_LEFT} is missing"))?;
         let left: u64 = left.parse().map_err(|_| format!("{TIME_LEFT} is not whole milliseconds"))?;
         let left = Duration::from_millis(left).min(self.limits.longest_command);
         let now = self.desk.clock.now();
-        let mut command = Command::new(CommandId(0), profile, now, Span(left.as_micros() as u64));
+        let mut command = Command::new(CommandId(0), profile, now, Micros(left.as_micros() as u64));
         // A guess that cannot be read is none.
-        command.hint = text(HINT).and_then(|h| h.parse().ok()).map(Span);
-        command.repeat = text(REPEAT) == Some("1");
-        command.key = text(FACTS).map_or(0, key);
+        command.work_hint = text(HINT).and_then(|h| h.parse().ok()).map(Micros);
+        command.is_client_retry = text(REPEAT) == Some("1");
+        command.affinity_key = text(FACTS).map_or(0, key);
         Ok(command)
     }
 }
--- a/crates/node/src/launch.rs
+++ b/crates/node/src/launch.rs
@@ -22,20 +22,20 @@
 use tokio::time::{sleep, sleep_until, timeout_at};
 use tower::Service;
 use yarrowfront::command::Outcome;
-use yarrowfront::ids::{BackendId, Hand};
-use yarrowfront::times::Moment;
+use yarrowfront::ids::{BackendId, CommandHandle};
+use yarrowfront::times::Timestamp;
 
 const UNPROCESSED: &str = "x-unprocessed";
 const BACKEND_LOAD: &str = "x-backend-load";
 
 pub struct Launch {
     pub cargo: Rc<Cargo>,
-    pub hand: Hand,
+    pub hand: CommandHandle,
     pub number: u8,
     pub backend: BackendId,
     pub address: Option<SocketAddr>,
     /// When the command's client gives up; for a body that flows, how long after its last byte.
-    pub ends: Moment,
+    pub ends: Timestamp,
     /// Told once the last byte of a body that flows is on its way.
     pub flowed: Rc<watch::Sender<bool>>,
     pub reins: Rc<Reins>,
@@ -72,7 +72,7 @@
 impl Launcher {
     async fn run(&self, launch: Launch) -> Done {
         let (number, backend) = (launch.number, launch.backend);
-        let mut done = Done::bare(number, backend, Outcome::Unsent);
+        let mut done = Done::bare(number, backend, Outcome::NotSent);
         let until = self.desk.clock.instant(launch.ends);
         // A body that is gone is never sent as an empty one.
         let Some(address) = launch.address.filter(|_| !launch.cargo.spent()) else { return done };
@@ -85,7 +85,7 @@
             let lease = match timeout_at(stands, self.pool.lease(backend, address)).await {
                 Ok(Ok(lease)) => lease,
                 Ok(Err(NoLease::Unreachable)) => {
-                    done.outcome = Outcome::Unreachable;
+                    done.outcome = Outcome::ConnectFailed;
                     put_back(&launch, request);
                     return done;
                 }
@@ -135,14 +135,14 @@
                 Some(Exchange::Came(response)) => self.read(&mut done, response),
                 Some(Exchange::Unreachable(request)) => {
                     put_back(&launch, request);
-                    done.outcome = Outcome::Unreachable;
+                    done.outcome = Outcome::ConnectFailed;
                 }
                 Some(Exchange::Broken) => {
                     done.outcome = match over.get() {
                         // Its last byte was never written, so it never ran.
-                        Some(Over::Broken) => Outcome::Unsent,
-                        None if launch.cargo.flows() => Outcome::Unreachable,
-                        _ => Outcome::Broken,
+                        Some(Over::Broken) => Outcome::NotSent,
+                        None if launch.cargo.flows() => Outcome::ConnectFailed,
+                        _ => Outcome::ConnectionLost,
                     };
                 }
                 None => done.outcome = Outcome::TimedOut,
@@ -208,9 +208,9 @@
         Outcome::Full => "full or draining",
         Outcome::Errored => "answered with an error",
         Outcome::TimedOut => "no answer in the command's time",
-        Outcome::Unreachable => "no connection",
-        Outcome::Broken => "the connection broke while it was out",
+        Outcome::ConnectFailed => "no connection",
+        Outcome::ConnectionLost => "the connection broke while it was out",
         Outcome::Cancelled => "called off",
-        Outcome::Unsent => "not sent: no time or no socket left, its client or the backend gone",
+        Outcome::NotSent => "not sent: no time or no socket left, its client or the backend gone",
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -44,7 +44,7 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::task::{spawn_local, LocalSet};
-use yarrowfront::decide::{Balancer, Errand};
+use yarrowfront::decide::{Action, Balancer};
 
 /// The whole program: reads the start from the variables, serves, and ends with the process's code: failure where the
 /// start or a listening address is bad, which is told in one line on standard error.
@@ -86,9 +86,9 @@
     let limits = Rc::new(start.limits);
     log::allow(limits.notes_per_s);
     let clock = Clock::start();
-    let (must_ask, warm_within) = (start.terms.must_ask, start.terms.warm_within);
-    let ask_within = Duration::from_micros(start.terms.ask_within.0);
-    let said = (start.terms.full_may_have_run, start.terms.longest_come_back);
+    let (must_ask, warm_within) = (start.terms.list_is_requested, start.terms.warm_up_time);
+    let ask_within = Duration::from_micros(start.terms.list_request_interval.0);
+    let said = (start.terms.full_may_have_run, start.terms.max_retry_after);
     let (errand, mut errands) = mpsc::unbounded_channel();
     let module = Balancer::new(start.terms, start.seed, clock.now());
     let witness = start.sites.as_ref().map(|_| Rc::new(witness::Witness::default()));
@@ -178,11 +178,11 @@
     spawn_local(async move {
         while let Some(errand) = errands.recv().await {
             match errand {
-                Errand::Probe(backend) => drop(spawn_local(prober.clone().probe(backend))),
-                Errand::Follow => drop(follow.send(())),
-                Errand::Close(backend) => pool_of_errands.close(backend),
+                Action::Probe(backend) => drop(spawn_local(prober.clone().probe(backend))),
+                Action::RequestList => drop(follow.send(())),
+                Action::CloseIdleConnections(backend) => pool_of_errands.close(backend),
                 // The desk has woken that command itself.
-                Errand::Again(_) => {}
+                Action::Reevaluate(_) => {}
             }
         }
     });
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -7,9 +7,9 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{BuildHasher, BuildHasherDefault};
 use std::rc::Rc;
-use yarrowfront::decide::{ListKind, Listed, State};
-use yarrowfront::ids::{GroupId, KindId, ZoneId};
-use yarrowfront::times::Moment;
+use yarrowfront::decide::{BackendState, ListEntry, ListUpdateKind};
+use yarrowfront::ids::{BackendTypeId, GroupId, ZoneId};
+use yarrowfront::times::Timestamp;
 
 pub struct Lister {
     desk: Rc<Desk>,
@@ -53,15 +53,15 @@
             }
         }
         let kind = match (cached, whole) {
-            (true, _) => ListKind::Cached,
-            (false, true) => ListKind::Whole,
-            (false, false) => ListKind::Changes,
+            (true, _) => ListUpdateKind::Cached,
+            (false, true) => ListUpdateKind::Snapshot,
+            (false, false) => ListUpdateKind::Delta,
         };
         self.index.set(number(message, "index").unwrap_or(self.index.get()));
         if !cached {
             self.log_message(whole, &lines);
         }
-        self.desk.keep(self.index.get(), kind != ListKind::Changes, entries);
+        self.desk.keep(self.index.get(), kind != ListUpdateKind::Delta, entries);
         self.desk.list(kind, &lines);
         Ok(())
     }
@@ -72,45 +72,46 @@
             "list: version {} ({}): {} ready, {} draining, {} gone",
             self.index.get(),
             if whole { "whole" } else { "changes" },
-            count(State::Ready),
-            count(State::Draining),
-            count(State::Gone)
+            count(BackendState::Ready),
+            count(BackendState::Draining),
+            count(BackendState::Gone)
         );
     }
 
     fn line(&self, entry: &Value) -> Result<Line, String> {
         let name = entry.get("name").and_then(Value::as_str).ok_or("name is not a text")?;
         let state = match entry.get("status").and_then(Value::as_str) {
-            Some("ready") => State::Ready,
-            Some("draining") => State::Draining,
-            Some("gone") => State::Gone,
+            Some("ready") => BackendState::Ready,
+            Some("draining") => BackendState::Draining,
+            Some("gone") => BackendState::Gone,
             _ => return Err("status is unknown".into()),
         };
         match self.whole_line(entry, name, state) {
             // Nothing new goes to it, whatever else its entry says or lacks.
-            Err(_) if state != State::Ready => {
-                Ok((Listed { backend: self.desk.id(name), state: State::Gone, ..Listed::default() }, None))
-            }
+            Err(_) if state != BackendState::Ready => Ok((
+                ListEntry { backend: self.desk.id(name), state: BackendState::Gone, ..ListEntry::default() },
+                None,
+            )),
             line => line,
         }
     }
 
-    fn whole_line(&self, entry: &Value, name: &str, state: State) -> Result<Line, String> {
+    fn whole_line(&self, entry: &Value, name: &str, state: BackendState) -> Result<Line, String> {
         let address = entry.get("address").and_then(Value::as_str).and_then(|a| a.parse().ok());
         let address = address.ok_or("address is not an address with a port")?;
         let names = self.desk.names();
-        let listed = Listed {
-            mark: mark(name),
-            size: entry
+        let listed = ListEntry {
+            name_hash: mark(name),
+            weight: entry
                 .get("weight")
                 .and_then(Value::as_f64)
                 .filter(|w| (1e-3..1e6).contains(w))
                 .unwrap_or(1.0),
             zone: ZoneId(place(&names.zones, entry, "zone")? as u16),
-            kind: KindId(place(&names.kinds, entry, "type")? as u8),
+            backend_type: BackendTypeId(place(&names.kinds, entry, "type")? as u8),
             group: GroupId(number(entry, "group")? as u16),
             state,
-            started: Moment(number(entry, "since_ms")?.saturating_mul(1000)),
+            started_at: Timestamp(number(entry, "since_ms")?.saturating_mul(1000)),
             // Last: an entry that is left out names nobody.
             backend: self.desk.id(name),
         };
--- a/crates/node/src/list_age.rs
+++ b/crates/node/src/list_age.rs
@@ -3,36 +3,36 @@
 //! The deployment counts what discovery has to tell as known some seconds after a watch has been lost or discovery has
 //! moved, whether or not it has arrived. Only a call that waits for its answer can still bring it in time.
 
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// What the end of a watch hides counts as known so long after it.
-const KNOWN_AFTER_END: Span = Span::millis(2000);
+const KNOWN_AFTER_END: Micros = Micros::from_millis(2000);
 /// And what a watch misses that has fallen silent, which may have been right behind its last message.
-const KNOWN_AFTER_SILENCE: Span = Span::millis(6000);
+const KNOWN_AFTER_SILENCE: Micros = Micros::from_millis(6000);
 /// And all that discovery has to tell, so long after a configuration with another address of it.
-const KNOWN_AFTER_MOVE: Span = Span::millis(4000);
+const KNOWN_AFTER_MOVE: Micros = Micros::from_millis(4000);
 
 /// The events since the list was last heard of that news may hide behind.
 #[derive(Debug, Default)]
 pub struct ListAge {
-    after_move: Option<Moment>,
-    after_loss: Option<Moment>,
+    after_move: Option<Timestamp>,
+    after_loss: Option<Timestamp>,
 }
 
 impl ListAge {
-    pub fn discovery_moved(&mut self, now: Moment) {
+    pub fn discovery_moved(&mut self, now: Timestamp) {
         self.after_move.get_or_insert(now + KNOWN_AFTER_MOVE);
     }
 
-    pub fn watch_ended(&mut self, now: Moment) {
+    pub fn watch_ended(&mut self, now: Timestamp) {
         self.lost(now + KNOWN_AFTER_END);
     }
 
-    pub fn watch_silent(&mut self, last_message: Moment) {
+    pub fn watch_silent(&mut self, last_message: Timestamp) {
         self.lost(last_message + KNOWN_AFTER_SILENCE);
     }
 
-    fn lost(&mut self, known: Moment) {
+    fn lost(&mut self, known: Timestamp) {
         self.after_loss = Some(self.after_loss.map_or(known, |earlier| earlier.min(known)));
     }
 
@@ -50,16 +50,16 @@
     }
 
     /// From when on news binds this node unheard; none while nothing is missed.
-    pub fn binds_from(&self) -> Option<Moment> {
+    pub fn binds_from(&self) -> Option<Timestamp> {
         self.after_move.into_iter().chain(self.after_loss).min()
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::{ListAge, Moment};
+    use super::{ListAge, Timestamp};
 
-    const NOW: Moment = Moment(1_000_000);
+    const NOW: Timestamp = Timestamp(1_000_000);
 
     fn binds_after_millis(change: impl Fn(&mut ListAge)) -> Option<u64> {
         let mut age = ListAge::default();
--- a/crates/node/src/list_watches.rs
+++ b/crates/node/src/list_watches.rs
@@ -26,8 +26,8 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
-use yarrowfront::decide::ListKind;
-use yarrowfront::times::Moment;
+use yarrowfront::decide::ListUpdateKind;
+use yarrowfront::times::Timestamp;
 
 /// From a failed call at the present address to the next one, while a watch at a former address is still open.
 const RETRY_BESIDE_FORMER: Duration = Duration::from_millis(1000);
@@ -40,7 +40,7 @@
 /// How a call or its watch ends.
 enum End {
     /// No message has come for longer than its beats are apart, since then.
-    Silent(Moment),
+    Silent(Timestamp),
     Failed(String),
 }
 
@@ -157,8 +157,8 @@
         let (newest, elsewhere) = (call == self.newest.get(), self.call_is_due_elsewhere());
         let was_answered = call == self.answered.get();
         let kind = match &end {
-            End::Silent(_) => ListKind::Silent,
-            End::Failed(_) => ListKind::Failed,
+            End::Silent(_) => ListUpdateKind::Silent,
+            End::Failed(_) => ListUpdateKind::Failed,
         };
         match end {
             End::Silent(since) => {
@@ -184,7 +184,7 @@
         }
     }
 
-    fn change_age(&self, change: impl FnOnce(&mut ListAge, Moment)) {
+    fn change_age(&self, change: impl FnOnce(&mut ListAge, Timestamp)) {
         let binds = {
             let mut age = self.age.borrow_mut();
             change(&mut age, self.desk.clock.now());
@@ -280,7 +280,7 @@
         if line.is_empty() {
             if first {
                 // Nothing has changed since the version asked for: that too is an answer.
-                self.desk.list(ListKind::Changes, &[]);
+                self.desk.list(ListUpdateKind::Delta, &[]);
             }
             return;
         }
--- a/crates/node/src/names.rs
+++ b/crates/node/src/names.rs
@@ -3,7 +3,7 @@
 //! commands and backends are still held by the earlier ones.
 
 use yarrowfront::ids::ProfileId;
-use yarrowfront::settings::{Profile, Terms};
+use yarrowfront::settings::{Profile, Settings};
 
 pub struct Names {
     /// Every zone and kind that there has been, by id.
@@ -34,7 +34,7 @@
         kinds: Vec<String>,
         profiles: Vec<String>,
         report: Vec<String>,
-        terms: &Terms,
+        terms: &Settings,
     ) -> Names {
         let known: Vec<_> = profiles.iter().cloned().zip(terms.profiles.iter().cloned()).collect();
         let id = |(place, name): (usize, String)| (name, ProfileId(place as u16));
@@ -43,7 +43,7 @@
     }
 
     /// Names and terms of a new file, with the ids that stand already.
-    pub fn followed_by(&self, new: &Names, mut terms: Terms) -> Result<(Names, Terms), String> {
+    pub fn followed_by(&self, new: &Names, mut terms: Settings) -> Result<(Names, Settings), String> {
         let zones = union(&self.zones, &new.zones, 1 << 16, "settings.zones")?;
         let kinds = union(&self.kinds, &new.kinds, 1 << 8, "settings.flavors")?;
         let own = new.zones.get(usize::from(terms.zone));
@@ -79,9 +79,9 @@
     use super::Names;
     use serde_json::json;
     use yarrowfront::ids::ProfileId;
-    use yarrowfront::settings::Terms;
+    use yarrowfront::settings::Settings;
 
-    fn file(zone: u16, zones: [&str; 2], kinds: [&str; 2], profiles: &[(&str, u64)]) -> (Names, Terms) {
+    fn file(zone: u16, zones: [&str; 2], kinds: [&str; 2], profiles: &[(&str, u64)]) -> (Names, Settings) {
         let profile = |(name, goal): &(&str, u64)| {
             json!({"name": name, "goalTime": goal * 1000, "timeLimit": 500_000_000,
             "idempotency": "repeatable", "payoff": 1.0})
@@ -89,7 +89,7 @@
         let json = json!({"balancers": 1, "zone": zone, "discovery": "ask", "limits": {"mostLaunches": 4},
             "profiles": profiles.iter().map(profile).collect::<Vec<_>>(),
             "guarantees": {"startCapacity": 0.2, "warmWithin": 1, "tipMultiple": 4.0, "fall": 1}});
-        let terms = Terms::from_json(json.to_string().as_bytes()).expect("good settings");
+        let terms = Settings::from_json(json.to_string().as_bytes()).expect("good settings");
         let [zones, kinds] = [zones, kinds].map(|names| names.map(String::from).to_vec());
         let profiles = profiles.iter().map(|(name, _)| (*name).to_owned()).collect();
         (Names::new(zones, kinds, profiles, Vec::new(), &terms), terms)
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -17,14 +17,14 @@
 use tokio::time::sleep;
 use tower::ServiceExt;
 use yarrowfront::command::{Command, Outcome};
-use yarrowfront::decide::Say;
-use yarrowfront::ids::Hand;
-use yarrowfront::times::Span;
+use yarrowfront::decide::Decision;
+use yarrowfront::ids::CommandHandle;
+use yarrowfront::times::Micros;
 
 /// A command in hand. Dropped when it has its answer, or before that when its client has gone.
 struct Held {
     desk: Rc<Desk>,
-    hand: Hand,
+    hand: CommandHandle,
     ended: mpsc::UnboundedReceiver<Done>,
     /// By a launch's number.
     out: Vec<Rc<Reins>>,
@@ -77,7 +77,7 @@
     (busy, ticket): (Busy, Option<Ticket>),
 ) -> Reply {
     let desk = &node.desk;
-    let ends = command.ends;
+    let ends = command.deadline;
     let Some((hand, again)) = desk.take(command, id) else {
         return plain(StatusCode::CONFLICT, "a command with this id is in hand");
     };
@@ -90,7 +90,7 @@
     let mut say = desk.place(hand);
     loop {
         match say {
-            Say::Launch(backend) => {
+            Decision::Launch(backend) => {
                 let (number, address) = (desk.last_launch(hand), desk.address(backend));
                 let (cargo, flowed) = (cargo.clone(), flowed.clone());
                 let reins = Rc::<Reins>::default();
@@ -107,7 +107,7 @@
                         // Its connection goes with it; if it was written it may have run.
                         () = reins.called_off() => Done::bare(number, backend, match reins.written() {
                             true => Outcome::Cancelled,
-                            false => Outcome::Unsent,
+                            false => Outcome::NotSent,
                         }),
                     };
                     if let Err(unread) = end.send(done) {
@@ -115,16 +115,16 @@
                     }
                 });
             }
-            Say::NotYet => {}
-            Say::TurnBack(span) => {
+            Decision::Wait => {}
+            Decision::Reject(span) => {
                 held.over(End::TurnedBack);
                 return turn_back(span);
             }
-            Say::Errored => {
+            Decision::Fail => {
                 held.over(End::Errored);
                 return plain(StatusCode::BAD_GATEWAY, "errored");
             }
-            Say::CallOff(launch) => {
+            Decision::CancelLaunch(launch) => {
                 // An outcome that is on its way already goes first.
                 held.out[usize::from(launch)].call_off();
             }
@@ -146,12 +146,12 @@
             }
             Ok(()) = over.changed(), if flows => {
                 desk.flowed(hand);
-                Say::NotYet
+                Decision::Wait
             }
             // At a stop its last byte would come too late for an answer. Until then it has not run.
             () = node.stop.past(node.limits.idle_on), if flows => {
                 held.over(End::TurnedBack);
-                return turn_back(Span(0));
+                return turn_back(Micros(0));
             }
             // Not even an answer of the backend's would reach its client before the kill.
             () = node.stop.past(node.limits.answer_by.get()), if !flows => desk.give_up(hand),
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -7,8 +7,8 @@
 use sites::plan::Plan;
 use std::net::SocketAddr;
 use std::time::Duration;
-use yarrowfront::settings::Terms;
-use yarrowfront::times::Span;
+use yarrowfront::settings::Settings;
+use yarrowfront::times::Micros;
 use yarrowfront_view::terms::ViewTerms;
 
 pub struct Start {
@@ -20,7 +20,7 @@
     /// Where operators call.
     pub admin: Option<SocketAddr>,
     pub seed: u64,
-    pub terms: Terms,
+    pub terms: Settings,
     pub names: Names,
     pub limits: Limits,
     /// The list as this node last had it.
@@ -149,7 +149,7 @@
         let seed = text(&file, "seed")?;
         let seed = u64::from_str_radix(&seed, 16).map_err(|_| format!("seed is not hexadecimal: {seed}"))?;
         let settings = at(&file, "settings")?;
-        let mut terms = Terms::from_json(settings.to_string().as_bytes())?;
+        let mut terms = Settings::from_json(settings.to_string().as_bytes())?;
         let zones = texts(&file, "settings.zones", None)?;
         if !zones.is_empty() && usize::from(terms.zone) >= zones.len() {
             return Err(format!("settings.zone: there is no zone {} in settings.zones", terms.zone));
@@ -170,7 +170,7 @@
             Duration::from_micros(longest.0),
         )?;
         // The pool lets go of connections before their backend does: only those it has count.
-        terms.conn_idle = Span(limits.backend_idle.get().as_micros() as u64);
+        terms.connection_idle_timeout = Micros(limits.backend_idle.get().as_micros() as u64);
         let known = file.get("known").filter(|k| !k.is_null()).cloned();
         let folder = variable("TMPDIR");
         let view = match variable("ROUTER_FLEET").is_some() || at(&file, "fleet").is_ok() {
--- a/crates/node/src/witness.rs
+++ b/crates/node/src/witness.rs
@@ -45,8 +45,8 @@
         self.count(backend, |came| match outcome {
             Outcome::Finished | Outcome::Errored => came.answered += 1,
             Outcome::Full => (came.answered, came.slow) = (came.answered + 1, came.slow + 1),
-            Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken => came.dead += 1,
-            Outcome::Cancelled | Outcome::Unsent => {}
+            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::ConnectionLost => came.dead += 1,
+            Outcome::Cancelled | Outcome::NotSent => {}
         });
     }
 
--- a/crates/rehearsal/src/agenda.rs
+++ b/crates/rehearsal/src/agenda.rs
@@ -4,7 +4,7 @@
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 /// One for each millisecond of four seconds: most time limits lie within.
 const SLOTS: u64 = 4096;
@@ -50,7 +50,7 @@
 
 impl<E> Agenda<E> {
     /// Nothing may be put in for a time before this.
-    pub fn new(from: Moment) -> Agenda<E> {
+    pub fn new(from: Timestamp) -> Agenda<E> {
         Agenda {
             sequence: 0,
             slot: slot(from.0),
@@ -61,7 +61,7 @@
         }
     }
 
-    pub fn put(&mut self, at: Moment, event: E) {
+    pub fn put(&mut self, at: Timestamp, event: E) {
         self.sequence += 1;
         let entry = Entry { key: (at.0, self.sequence), event };
         let slot = slot(at.0);
@@ -75,11 +75,11 @@
         }
     }
 
-    pub fn take(&mut self) -> Option<(Moment, E)> {
+    pub fn take(&mut self) -> Option<(Timestamp, E)> {
         while self.near.is_empty() {
             self.turn()?;
         }
-        self.near.pop().map(|Reverse(entry)| (Moment(entry.key.0), entry.event))
+        self.near.pop().map(|Reverse(entry)| (Timestamp(entry.key.0), entry.event))
     }
 
     /// Goes on to the next millisecond that holds anything.
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -13,18 +13,18 @@
 pub use seen::{Ending, Final, Seen};
 use service::Service;
 use views::Views;
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 /// All judges.
 pub struct Judges {
     pub rules: Rules,
     pub service: Service,
     pub views: Views,
-    origin: Moment,
+    origin: Timestamp,
 }
 
 impl Judges {
-    pub fn new(scenario: &Scenario, origin: Moment, backends: usize) -> Judges {
+    pub fn new(scenario: &Scenario, origin: Timestamp, backends: usize) -> Judges {
         let (rules, service) = (Rules::new(scenario, origin), Service::new(scenario, origin, backends));
         Judges { rules, service, views: Views::new(scenario, origin), origin }
     }
@@ -34,8 +34,9 @@
         let mut played = Played::of(scenario, (&self.rules.broken, &self.service), of, seed);
         let (rules, found) = (&mut played.rules, &self.views.found);
         (rules.deaths, rules.portions, rules.views) = (found.deaths, found.portions, found.views);
-        let told =
-            |(at, text): &(Moment, String)| format!("{:.3} s: {text}", at.since(self.origin).micros() / 1e6);
+        let told = |(at, text): &(Timestamp, String)| {
+            format!("{:.3} s: {text}", at.since(self.origin).as_f64() / 1e6)
+        };
         rules.cases.extend(found.cases.iter().take(rules::CASES).map(told));
         played
     }
--- a/crates/rehearsal/src/judge/rules.rs
+++ b/crates/rehearsal/src/judge/rules.rs
@@ -4,7 +4,7 @@
 use crate::scenario::{EffectOf, Scenario, Scope};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// What broke, with the first cases in words.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -51,44 +51,44 @@
 pub const CASES: usize = 12;
 /// A launch may begin so long after its client has left, and a backend may be told so much more time than its client has;
 /// and what both trips take.
-const LEFT_SLACK: Span = Span::millis(100);
-const TOLD_SLACK: Span = Span::millis(150);
-const TRIPS: Span = Span::millis(50);
+const LEFT_SLACK: Micros = Micros::from_millis(100);
+const TOLD_SLACK: Micros = Micros::from_millis(150);
+const TRIPS: Micros = Micros::from_millis(50);
 /// An answer may come so much after its time: what a timer and a trip take.
-const SLACK: Span = Span::millis(50);
+const SLACK: Micros = Micros::from_millis(50);
 
 struct Open {
     command: u64,
     profile: u16,
     node: usize,
-    until: Moment,
+    until: Timestamp,
 }
 
 /// A cold backend, and the work that came to it of late.
 struct Cold {
-    started: Moment,
+    started: Timestamp,
     share: f64,
     warm: f64,
     capacity: f64,
-    came: VecDeque<(Moment, f64)>,
+    came: VecDeque<(Timestamp, f64)>,
     sum: f64,
 }
 
 pub struct Rules {
-    origin: Moment,
+    origin: Timestamp,
     effects: Vec<(EffectOf, Scope)>,
-    grace: Span,
+    grace: Micros,
     multiple: f64,
-    window: Span,
+    window: Micros,
     open: HashMap<u64, Open>,
     /// Final answers given to tries that are not open any more: a second one is one too many.
-    closed: HashMap<u64, Moment>,
+    closed: HashMap<u64, Timestamp>,
     /// Tries whose clients have left.
-    left: HashMap<u64, Moment>,
+    left: HashMap<u64, Timestamp>,
     /// Effects had by commands that may have one only, and by which try.
     ran: HashMap<u64, Vec<u64>>,
     /// Since when a node knows that a backend takes nothing new.
-    unready: BTreeMap<(usize, usize), Moment>,
+    unready: BTreeMap<(usize, usize), Timestamp>,
     cold: BTreeMap<usize, Cold>,
     /// Nodes that were killed or stopped: whatever their clients still send there is taken by nobody.
     dead: BTreeSet<usize>,
@@ -96,7 +96,7 @@
 }
 
 impl Rules {
-    pub fn new(scenario: &Scenario, origin: Moment) -> Rules {
+    pub fn new(scenario: &Scenario, origin: Timestamp) -> Rules {
         Rules {
             origin,
             effects: scenario.profiles.iter().map(|p| (p.effect, p.scope)).collect(),
@@ -114,9 +114,9 @@
         }
     }
 
-    fn case(&mut self, at: Moment, text: String) {
+    fn case(&mut self, at: Timestamp, text: String) {
         if self.broken.cases.len() < CASES {
-            self.broken.cases.push(format!("{:.3} s: {text}", at.since(self.origin).micros() / 1e6));
+            self.broken.cases.push(format!("{:.3} s: {text}", at.since(self.origin).as_f64() / 1e6));
         }
     }
 
@@ -168,7 +168,7 @@
                 self.launched(attempt, told_left, at);
                 let told = self.unready.get(&(node, backend)).copied();
                 if let Some(told) = told.filter(|told| at > *told + self.grace) {
-                    let late = at.since(told).micros() / 1e3;
+                    let late = at.since(told).as_f64() / 1e3;
                     self.broken.drains += 1;
                     self.case(
                         at,
@@ -206,16 +206,16 @@
         }
     }
 
-    fn launched(&mut self, attempt: u64, told_left: Option<Span>, at: Moment) {
+    fn launched(&mut self, attempt: u64, told_left: Option<Micros>, at: Timestamp) {
         if let Some(left) = self.left.get(&attempt).filter(|left| at > **left + LEFT_SLACK + TRIPS) {
-            let late = at.since(*left).micros() / 1e3;
+            let late = at.since(*left).as_f64() / 1e3;
             self.broken.answers += 1;
             self.case(at, format!("try {attempt}: launched {late:.0} ms after its client had left"));
         }
         let Some(open) = self.open.get(&attempt) else { return };
         let (Some(told), left) = (told_left, open.until.since(at)) else { return };
-        if told > Span(left.0 + TOLD_SLACK.0 + TRIPS.0) {
-            let (told, left) = (told.micros() / 1e3, left.micros() / 1e3);
+        if told > Micros(left.0 + TOLD_SLACK.0 + TRIPS.0) {
+            let (told, left) = (told.as_f64() / 1e3, left.as_f64() / 1e3);
             self.broken.answers += 1;
             self.case(
                 at,
@@ -224,7 +224,7 @@
         }
     }
 
-    fn answered(&mut self, attempt: u64, what: Final, made_for: Option<u64>, at: Moment) {
+    fn answered(&mut self, attempt: u64, what: Final, made_for: Option<u64>, at: Timestamp) {
         let Some(open) = self.open.remove(&attempt) else {
             if self.closed.contains_key(&attempt) {
                 self.broken.answers += 1;
@@ -236,7 +236,7 @@
         let command = open.command;
         if at > open.until + SLACK {
             self.broken.answers += 1;
-            let late = at.since(open.until).micros() / 1e3;
+            let late = at.since(open.until).as_f64() / 1e3;
             self.case(at, format!("command {command}: answered {late:.0} ms after its time"));
         }
         if what == Final::Finished && made_for != Some(attempt) {
@@ -257,10 +257,10 @@
     }
 
     /// The work that reaches a cold backend within any window, against what it can do at that time.
-    fn reached(&mut self, backend: usize, work: f64, at: Moment) {
+    fn reached(&mut self, backend: usize, work: f64, at: Timestamp) {
         let (multiple, window) = (self.multiple, self.window);
         let Some(cold) = self.cold.get_mut(&backend) else { return };
-        let age = at.since(cold.started).micros();
+        let age = at.since(cold.started).as_f64();
         if age >= cold.warm {
             self.cold.remove(&backend);
             return;
@@ -271,7 +271,7 @@
             cold.sum -= cold.came.pop_front().map_or(0.0, |(_, work)| work);
         }
         let now = cold.capacity * (cold.share + (1.0 - cold.share) * age / cold.warm);
-        let budget = multiple * now * window.micros();
+        let budget = multiple * now * window.as_f64();
         // Chance is allowed for: the largest few of what came, and a tenth.
         let largest = cold.came.iter().map(|(_, w)| *w).fold(0.0, f64::max);
         let (sum, bound) = (cold.sum, 1.1 * budget + 3.0 * largest);
@@ -288,7 +288,7 @@
     }
 
     /// What is still open when all is over has never been answered.
-    pub fn end(&mut self, at: Moment) {
+    pub fn end(&mut self, at: Timestamp) {
         let mut left: Vec<u64> =
             self.open.values().filter(|o| at > o.until + SLACK).map(|o| o.command).collect();
         left.sort_unstable();
--- a/crates/rehearsal/src/judge/seen.rs
+++ b/crates/rehearsal/src/judge/seen.rs
@@ -1,7 +1,7 @@
 //! What clients and backends saw: the words in which both clocks tell the judges.
 
 use crate::model::clients::TryEnd;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Final {
@@ -27,7 +27,7 @@
     Due {
         command: u64,
         profile: u16,
-        at: Moment,
+        at: Timestamp,
     },
     /// A node has a try of it whole, and `until` when the client waits.
     Taken {
@@ -35,31 +35,31 @@
         command: u64,
         profile: u16,
         node: usize,
-        at: Moment,
-        until: Moment,
+        at: Timestamp,
+        until: Timestamp,
     },
     /// The client has gone before its answer.
     Left {
         attempt: u64,
-        at: Moment,
+        at: Timestamp,
     },
     /// A whole final answer; `made_for` is the try that the backend's body names.
     Answered {
         attempt: u64,
         what: Final,
         made_for: Option<u64>,
-        at: Moment,
+        at: Timestamp,
     },
     /// Its client's connection ended without a whole answer.
     Broken {
         attempt: u64,
-        at: Moment,
+        at: Timestamp,
     },
     /// No try of the command goes on, and none will start.
     Settled {
         command: u64,
         profile: u16,
-        at: Moment,
+        at: Timestamp,
         ending: Ending,
     },
     /// A node's first byte of a launch.
@@ -67,15 +67,15 @@
         node: usize,
         backend: usize,
         attempt: u64,
-        at: Moment,
+        at: Timestamp,
         /// The time that its client is said to have left, where that was told.
-        told_left: Option<Span>,
+        told_left: Option<Micros>,
     },
     /// A launch has come whole to a backend's process.
     Reached {
         backend: usize,
         work: f64,
-        at: Moment,
+        at: Timestamp,
     },
     /// Its work has begun there and may have its effect.
     Began {
@@ -84,33 +84,33 @@
         command: u64,
         profile: u16,
         work: f64,
-        at: Moment,
+        at: Timestamp,
     },
     /// The list has written a line to a node.
     Told {
         node: usize,
         backend: usize,
         ready: bool,
-        at: Moment,
+        at: Timestamp,
     },
     /// A backend's process has started, cold: the share it can do now, the time to the whole, and the work it
     /// does in a microsecond then.
     Started {
         backend: usize,
-        at: Moment,
+        at: Timestamp,
         share: f64,
         warm: f64,
         capacity: f64,
     },
     Fell {
         backend: usize,
-        at: Moment,
+        at: Timestamp,
     },
     Probed,
     /// A node's process has been killed or restarted: what it had taken is excused.
     Killed {
         node: usize,
-        at: Moment,
+        at: Timestamp,
     },
     /// A node's process that was stopped goes on, and its clients with it.
     WentOn {
@@ -123,7 +123,7 @@
     /// A node's process has ended though nobody asked it to, or did not end when asked.
     Crashed {
         node: usize,
-        at: Moment,
+        at: Timestamp,
     },
 }
 
--- a/crates/rehearsal/src/judge/service.rs
+++ b/crates/rehearsal/src/judge/service.rs
@@ -4,7 +4,7 @@
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 /// A second of the scenario.
 #[derive(Clone, Debug, Default)]
@@ -32,7 +32,7 @@
 }
 
 struct Open {
-    due: Moment,
+    due: Timestamp,
     counted: bool,
     work: f64,
     /// The node that took it last.
@@ -40,8 +40,8 @@
 }
 
 pub struct Service {
-    origin: Moment,
-    settle: Moment,
+    origin: Timestamp,
+    settle: Timestamp,
     length: usize,
     open: HashMap<u64, Open>,
     pub profiles: Vec<Profile>,
@@ -64,7 +64,7 @@
 }
 
 impl Service {
-    pub fn new(scenario: &Scenario, origin: Moment, backends: usize) -> Service {
+    pub fn new(scenario: &Scenario, origin: Timestamp, backends: usize) -> Service {
         let profile = |p: &crate::scenario::Profile| Profile {
             goal: p.goal.micros(),
             payoff: p.payoff,
@@ -97,7 +97,7 @@
         }
     }
 
-    fn second(&self, at: Moment) -> usize {
+    fn second(&self, at: Timestamp) -> usize {
         ((at.since(self.origin).0 / 1_000_000) as usize).min(self.length - 1)
     }
 
@@ -145,7 +145,7 @@
                 let took = at.since(open.due);
                 if ending == Ending::Finished {
                     self.work_used += open.work;
-                    if took.micros() <= p.goal {
+                    if took.as_f64() <= p.goal {
                         self.seconds[second].served += p.payoff;
                     }
                 }
@@ -157,12 +157,12 @@
                     let site = &mut self.sites[place];
                     site.0 += p.payoff;
                     site.1 +=
-                        if ending == Ending::Finished && took.micros() <= p.goal { p.payoff } else { 0.0 };
+                        if ending == Ending::Finished && took.as_f64() <= p.goal { p.payoff } else { 0.0 };
                 }
                 match ending {
                     Ending::Finished => {
                         p.finished += 1;
-                        p.in_time += u64::from(took.micros() <= p.goal);
+                        p.in_time += u64::from(took.as_f64() <= p.goal);
                         p.took.saturating_record(took.0.max(1));
                     }
                     Ending::TurnedBack => p.turned_back += 1,
--- a/crates/rehearsal/src/judge/views.rs
+++ b/crates/rehearsal/src/judge/views.rs
@@ -4,10 +4,10 @@
 use crate::scenario::Scenario;
 use links::schedule::Fault;
 use std::collections::{BTreeMap, BTreeSet};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// Who is called dead has to have been out of reach within so long: a suspicion takes that, and news its way.
-const LATELY: Span = Span::millis(6000);
+const LATELY: Micros = Micros::from_millis(6000);
 /// Of a hundred datagrams, more than this lost is no way to judge by.
 const LOSSY: u8 = 20;
 /// Portions are told in whole parts, each rounded its way.
@@ -52,21 +52,21 @@
     pub deaths: u64,
     pub portions: u64,
     pub views: u64,
-    pub cases: Vec<(Moment, String)>,
+    pub cases: Vec<(Timestamp, String)>,
 }
 
 pub struct Views {
-    origin: Moment,
-    agree: Option<Span>,
+    origin: Timestamp,
+    agree: Option<Micros>,
     nodes: usize,
     up: BTreeSet<usize>,
     stopped: BTreeSet<usize>,
     /// Ways between nodes on which nothing, or too little, passes.
     closed: BTreeSet<(usize, usize)>,
     /// Since when each two nodes are of one part of the fleet, without a break.
-    together: BTreeMap<(usize, usize), Moment>,
-    last_fault: Moment,
-    agreed: Option<Moment>,
+    together: BTreeMap<(usize, usize), Timestamp>,
+    last_fault: Timestamp,
+    agreed: Option<Timestamp>,
     last: BTreeMap<usize, Told>,
     blamed: BTreeSet<(usize, String, u64)>,
     pub found: Found,
@@ -81,7 +81,7 @@
 }
 
 impl Views {
-    pub fn new(scenario: &Scenario, origin: Moment) -> Views {
+    pub fn new(scenario: &Scenario, origin: Timestamp) -> Views {
         let nodes = scenario.nodes as usize;
         let mut views = Views {
             origin,
@@ -98,7 +98,7 @@
             found: Found::default(),
         };
         // From long before the play: all are up and have found each other.
-        views.parts(Moment(0));
+        views.parts(Timestamp(0));
         views
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// What is done to nodes and to the ways between them.
-    pub fn fault(&mut self, at: Moment, fault: &Fault) {
+    pub fn fault(&mut self, at: Timestamp, fault: &Fault) {
         match fault {
             Fault::Apart(some) => {
                 let some: BTreeSet<usize> = some.iter().filter_map(|name| node(name)).collect();
@@ -141,7 +141,7 @@
     }
 
     /// Two are together where a chain of nodes reaches from one to the other, both ways at each step.
-    fn parts(&mut self, at: Moment) {
+    fn parts(&mut self, at: Timestamp) {
         let well: Vec<usize> = self.up.difference(&self.stopped).copied().collect();
         let open = |a: usize, b: usize| !self.closed.contains(&(a, b)) && !self.closed.contains(&(b, a));
         let mut part: BTreeMap<usize, usize> = well.iter().map(|node| (*node, *node)).collect();
@@ -166,12 +166,12 @@
         }
     }
 
-    fn case(&mut self, at: Moment, text: String) {
+    fn case(&mut self, at: Timestamp, text: String) {
         self.found.cases.push((at, text));
     }
 
     /// What all nodes told at about the same time; nothing of those that did not answer.
-    pub fn looked(&mut self, at: Moment, told: &BTreeMap<usize, Told>) {
+    pub fn looked(&mut self, at: Timestamp, told: &BTreeMap<usize, Told>) {
         for (by, view) in told {
             self.dead(at, *by, view);
             self.forward(at, *by, view);
@@ -190,7 +190,7 @@
         self.last.extend(told.iter().map(|(by, view)| (*by, view.clone())));
     }
 
-    fn dead(&mut self, at: Moment, by: usize, view: &Told) {
+    fn dead(&mut self, at: Timestamp, by: usize, view: &Told) {
         for (whom, life) in &view.dead {
             let Some(other) = node(whom).filter(|other| *other < self.nodes) else { continue };
             if !self.blamed.insert((by, whom.clone(), *life)) {
@@ -204,7 +204,7 @@
         }
     }
 
-    fn forward(&mut self, at: Moment, by: usize, view: &Told) {
+    fn forward(&mut self, at: Timestamp, by: usize, view: &Told) {
         let Some(before) = self.last.get(&by).filter(|before| before.life == view.life) else { return };
         let back = |(whom, now): (&String, &(u64, u64))| {
             before.lives.get(whom).filter(|then| *then > now).map(|then| (whom.clone(), *then, *now))
@@ -216,7 +216,7 @@
     }
 
     /// All is over: whether all came to agree in time.
-    pub fn end(&mut self, at: Moment) {
+    pub fn end(&mut self, at: Timestamp) {
         let Some(most) = self.agree else { return };
         let due = self.last_fault + most;
         let late = match self.agreed {
@@ -225,7 +225,7 @@
         };
         if late {
             self.found.views += 1;
-            let seconds = self.agreed.unwrap_or(at).since(self.last_fault).micros() / 1e6;
+            let seconds = self.agreed.unwrap_or(at).since(self.last_fault).as_f64() / 1e6;
             let held: Vec<String> =
                 self.last.iter().map(|(by, view)| format!("n{by}: {:?}", view.here)).collect();
             self.case(at, format!("no agreement {seconds:.1} s after the last fault: {}", held.join("; ")));
@@ -234,6 +234,6 @@
 
     /// When all agreed after the last fault, in seconds.
     pub fn settled(&self) -> Option<f64> {
-        self.agreed.map(|at| at.since(self.last_fault.max(self.origin)).micros() / 1e6)
+        self.agreed.map(|at| at.since(self.last_fault.max(self.origin)).as_f64() / 1e6)
     }
 }
--- a/crates/rehearsal/src/model/arrivals.rs
+++ b/crates/rehearsal/src/model/arrivals.rs
@@ -2,14 +2,14 @@
 
 use crate::draw::{Draw, Stream};
 use crate::scenario::{Scenario, Shape, What};
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 /// A command as its client wants it. Its client's repeats belong to it.
 #[derive(Clone, Debug)]
 pub struct Wanted {
     /// Counted from 0 on in the order in which they are due.
     pub number: u64,
-    pub due: Moment,
+    pub due: Timestamp,
     pub profile: u16,
     pub customer: u32,
     /// The same at every launch, in microseconds on a core of speed one.
@@ -159,7 +159,7 @@
         self.number += 1;
         Some(Wanted {
             number: self.number - 1,
-            due: Moment(self.at as u64),
+            due: Timestamp(self.at as u64),
             profile: profile as u16,
             customer: customer as u32,
             work,
--- a/crates/rehearsal/src/model/backend.rs
+++ b/crates/rehearsal/src/model/backend.rs
@@ -8,7 +8,7 @@
 use crate::draw::{Draw, Stream};
 use crate::scenario::{Kind, Spells, Stops};
 use std::collections::{HashMap, VecDeque};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// Whatever a driver calls a launch.
 pub type Key = u64;
@@ -18,16 +18,16 @@
 pub struct Tag {
     pub scope: u32,
     pub tag: u64,
-    pub span: Span,
+    pub span: Micros,
 }
 
 /// Which tags have run, by the scope that remembers them.
 #[derive(Default)]
-pub struct Memory(HashMap<(u32, u64), Moment>);
+pub struct Memory(HashMap<(u32, u64), Timestamp>);
 
 impl Memory {
     /// Whether this is a repeat of what ran within the span. Otherwise it counts as run from now on.
-    fn repeat(&mut self, now: Moment, tag: &Tag) -> bool {
+    fn repeat(&mut self, now: Timestamp, tag: &Tag) -> bool {
         let seen = self.0.get(&(tag.scope, tag.tag)).copied();
         let repeat = seen.is_some_and(|at| now < at + tag.span);
         if !repeat {
@@ -53,8 +53,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Happened {
     /// Its work has begun: from now on it may have had its effect. Not told for a tag's repeat.
-    Began(Key, Moment),
-    Ended(Key, Moment),
+    Began(Key, Timestamp),
+    Ended(Key, Timestamp),
 }
 
 struct Waiting {
@@ -72,19 +72,19 @@
 struct Turns {
     spells: Spells,
     on: bool,
-    edge: Moment,
+    edge: Timestamp,
 }
 
 impl Turns {
-    fn new(spells: Spells, now: Moment, draw: &mut Draw) -> Turns {
-        Turns { spells, on: false, edge: now + Span(draw.exponential(spells.every.micros()) as u64 + 1) }
+    fn new(spells: Spells, now: Timestamp, draw: &mut Draw) -> Turns {
+        Turns { spells, on: false, edge: now + Micros(draw.exponential(spells.every.micros()) as u64 + 1) }
     }
 
-    fn pass(&mut self, now: Moment, draw: &mut Draw) {
+    fn pass(&mut self, now: Timestamp, draw: &mut Draw) {
         while self.edge <= now {
             self.on = !self.on;
             let mean = if self.on { self.spells.length } else { self.spells.every };
-            self.edge = self.edge + Span(draw.exponential(mean.micros()) as u64 + 1);
+            self.edge = self.edge + Micros(draw.exponential(mean.micros()) as u64 + 1);
         }
     }
 
@@ -116,11 +116,11 @@
     /// What a trouble leaves of its speed.
     pub part: f64,
     pub errors: f64,
-    pub started: Moment,
+    pub started: Timestamp,
     /// Whether it has been warm for ever: the first ones of a scenario.
     seasoned: bool,
     done: f64,
-    at: Moment,
+    at: Timestamp,
     rate: f64,
     debt: f64,
     running: Vec<Running>,
@@ -129,9 +129,9 @@
     stalls: Option<Turns>,
     neighbours: Option<Turns>,
     /// Stalls that a trouble brings: until when it stands.
-    pub stands_until: Moment,
-    poured: VecDeque<(Moment, f64)>,
-    budget: (f64, Span),
+    pub stands_until: Timestamp,
+    poured: VecDeque<(Timestamp, f64)>,
+    budget: (f64, Micros),
     draw: Draw,
     pub took: u64,
 }
@@ -141,9 +141,9 @@
     pub fn new(
         kind: Kind,
         (zone, group): (u16, u16),
-        started: Option<Moment>,
-        now: Moment,
-        budget: (f64, Span),
+        started: Option<Timestamp>,
+        now: Timestamp,
+        budget: (f64, Micros),
         (seed, number): (u64, u64),
     ) -> Backend {
         let mut draw = Draw::numbered(seed, Stream::Backends, number);
@@ -173,7 +173,7 @@
             collapsed: false,
             stalls,
             neighbours,
-            stands_until: Moment(0),
+            stands_until: Timestamp(0),
             poured: VecDeque::new(),
             budget,
             draw,
@@ -196,7 +196,7 @@
     }
 
     /// The share of its capacity that its start leaves it.
-    pub fn warmth(&self, now: Moment) -> f64 {
+    pub fn warmth(&self, now: Timestamp) -> f64 {
         if self.seasoned || self.kind.warm.0 == 0 {
             return 1.0;
         }
@@ -206,7 +206,7 @@
     }
 
     /// Work that it could do in a microsecond, by its start alone.
-    pub fn capacity(&self, now: Moment) -> f64 {
+    pub fn capacity(&self, now: Timestamp) -> f64 {
         self.cores() * self.speed * self.warmth(now)
     }
 
@@ -222,17 +222,17 @@
     }
 
     /// Whether a cold one would fall over with so much more work.
-    pub fn would_fall(&self, now: Moment, work: f64) -> bool {
+    pub fn would_fall(&self, now: Timestamp, work: f64) -> bool {
         if self.warmth(now) >= 1.0 || self.kind.falls.0 == 0 {
             return false;
         }
         let (multiple, span) = self.budget;
         let recent: f64 = self.poured.iter().filter(|(at, _)| now.since(*at) < span).map(|(_, w)| w).sum();
         // Chance is allowed for: three commands as large as this one, and a tenth.
-        recent + work > 1.1 * multiple * self.capacity(now) * span.micros() + 3.0 * work
+        recent + work > 1.1 * multiple * self.capacity(now) * span.as_f64() + 3.0 * work
     }
 
-    fn turn(&mut self, now: Moment) {
+    fn turn(&mut self, now: Timestamp) {
         for turns in [&mut self.stalls, &mut self.neighbours].into_iter().flatten() {
             turns.pass(now, &mut self.draw);
         }
@@ -251,7 +251,7 @@
     }
 
     /// The next moment at which something about it changes by itself. Never for one that does nothing.
-    pub fn next(&self) -> Option<Moment> {
+    pub fn next(&self) -> Option<Timestamp> {
         if self.running.is_empty() || !self.up {
             return None;
         }
@@ -272,11 +272,11 @@
             let passed = self.at.since(self.started).0 / step + 1;
             edge = edge.min(self.started.0 + passed * step);
         }
-        (edge < u64::MAX).then_some(Moment(edge))
+        (edge < u64::MAX).then_some(Timestamp(edge))
     }
 
     /// Lets time pass, and tells what happened meanwhile in its order.
-    pub fn advance(&mut self, now: Moment, memory: &mut Memory, told: &mut Vec<Happened>) {
+    pub fn advance(&mut self, now: Timestamp, memory: &mut Memory, told: &mut Vec<Happened>) {
         while let Some(edge) = self.next().filter(|edge| *edge <= now) {
             self.pass(edge);
             self.end(edge, memory, told);
@@ -286,8 +286,8 @@
         self.turn(now);
     }
 
-    fn pass(&mut self, now: Moment) {
-        let mut step = self.rate * now.since(self.at).micros();
+    fn pass(&mut self, now: Timestamp) {
+        let mut step = self.rate * now.since(self.at).as_f64();
         self.at = now;
         if self.running.is_empty() {
             self.debt = (self.debt - step).max(0.0);
@@ -299,7 +299,7 @@
         self.done += step;
     }
 
-    fn end(&mut self, now: Moment, memory: &mut Memory, told: &mut Vec<Happened>) {
+    fn end(&mut self, now: Timestamp, memory: &mut Memory, told: &mut Vec<Happened>) {
         // A thousandth of a microsecond is what rounding leaves.
         while let Some(i) = self.running.iter().position(|r| r.until <= self.done + 1e-3) {
             told.push(Happened::Ended(self.running.remove(i).key, now));
@@ -307,7 +307,7 @@
         self.begin(now, memory, told);
     }
 
-    fn begin(&mut self, now: Moment, memory: &mut Memory, told: &mut Vec<Happened>) {
+    fn begin(&mut self, now: Timestamp, memory: &mut Memory, told: &mut Vec<Happened>) {
         while self.running.len() < usize::from(self.kind.cores) {
             let Some(next) = self.waiting.pop_front() else { break };
             let repeat = next.tag.is_some_and(|tag| memory.repeat(now, &tag));
@@ -322,7 +322,7 @@
     /// A command has come whole. Call `advance` first.
     pub fn arrive(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         (key, work, tag): (Key, f64, Option<Tag>),
         memory: &mut Memory,
         told: &mut Vec<Happened>,
@@ -358,7 +358,7 @@
     }
 
     /// Its node has given a command up. Call `advance` first.
-    pub fn stop(&mut self, now: Moment, key: Key, memory: &mut Memory, told: &mut Vec<Happened>) {
+    pub fn stop(&mut self, now: Timestamp, key: Key, memory: &mut Memory, told: &mut Vec<Happened>) {
         if self.kind.stops != Stops::None {
             self.waiting.retain(|w| w.key != key);
         }
@@ -375,7 +375,7 @@
     }
 
     /// The process dies: whatever it held is lost.
-    pub fn die(&mut self, now: Moment) {
+    pub fn die(&mut self, now: Timestamp) {
         self.up = false;
         self.running.clear();
         self.waiting.clear();
@@ -386,7 +386,7 @@
     }
 
     /// A new process under the old name: cold.
-    pub fn rise(&mut self, now: Moment) {
+    pub fn rise(&mut self, now: Timestamp) {
         self.up = true;
         self.draining = false;
         self.hung = false;
@@ -398,7 +398,7 @@
     }
 
     /// Reckons its rate anew after one of the public marks was changed. Call `advance` before the change.
-    pub fn changed(&mut self, now: Moment) {
+    pub fn changed(&mut self, now: Timestamp) {
         self.turn(now);
     }
 }
--- a/crates/rehearsal/src/model/clients.rs
+++ b/crates/rehearsal/src/model/clients.rs
@@ -2,13 +2,13 @@
 
 use crate::draw::Draw;
 use crate::scenario::{Again, EffectOf, Scenario};
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TryEnd {
     Finished,
     /// With the come-back time, if one was told.
-    TurnedBack(Option<Span>),
+    TurnedBack(Option<Micros>),
     Errored,
     /// No whole answer: its connection broke, or nobody took it.
     Lost,
@@ -19,7 +19,7 @@
 }
 
 /// After how long the next try starts, if there is one.
-pub fn again(scenario: &Scenario, profile: u16, tries: u32, end: TryEnd, draw: &mut Draw) -> Option<Span> {
+pub fn again(scenario: &Scenario, profile: u16, tries: u32, end: TryEnd, draw: &mut Draw) -> Option<Micros> {
     let clients = &scenario.clients;
     let effect = scenario.profiles[usize::from(profile)].effect;
     let harmless = match end {
@@ -33,7 +33,7 @@
     }
     let wait = clients.wait.span().scaled(0.5 + draw.unit());
     Some(match (clients.again, end) {
-        (Again::AtOnce, _) => Span(0),
+        (Again::AtOnce, _) => Micros(0),
         (Again::Advised, TryEnd::TurnedBack(Some(told))) => told,
         _ => wait,
     })
--- a/crates/rehearsal/src/model/fleet.rs
+++ b/crates/rehearsal/src/model/fleet.rs
@@ -4,9 +4,9 @@
 use crate::model::backend::{Backend, Memory};
 use crate::model::troubles::Step;
 use crate::scenario::{Scenario, Scope};
-use yarrowfront::decide::{Listed, State};
-use yarrowfront::ids::{BackendId, GroupId, KindId, ZoneId};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::decide::{BackendState, ListEntry};
+use yarrowfront::ids::{BackendId, BackendTypeId, GroupId, ZoneId};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// What a step asks of whoever drives the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -14,8 +14,8 @@
     /// What was on its connections is lost, and new ones are refused.
     Reset(usize),
     /// The list is to look at it then.
-    Publish(Moment, usize),
-    Later(Moment, Step),
+    Publish(Timestamp, usize),
+    Later(Timestamp, Step),
     /// It has started, cold.
     Started(usize),
     /// It may go on at another rate.
@@ -38,7 +38,7 @@
     retired: Vec<bool>,
     pub memory: Memory,
     /// What the list says: of whom nothing, those are not in it.
-    pub said: Vec<Listed>,
+    pub said: Vec<ListEntry>,
     /// The list's version, and which line each version changed.
     pub changes: Vec<usize>,
     pub list_up: bool,
@@ -47,11 +47,11 @@
     pub delay: i64,
     seed: u64,
     list: crate::scenario::List,
-    budget: (f64, Span),
+    budget: (f64, Micros),
 }
 
 impl Fleet {
-    pub fn new(scenario: &Scenario, seed: u64, now: Moment) -> Fleet {
+    pub fn new(scenario: &Scenario, seed: u64, now: Timestamp) -> Fleet {
         let mut fleet = Fleet {
             backends: Vec::new(),
             kinds: Vec::new(),
@@ -85,22 +85,22 @@
         kind: usize,
         k: crate::scenario::Kind,
         place: (u16, u16),
-        started: Option<Moment>,
-        now: Moment,
+        started: Option<Timestamp>,
+        now: Timestamp,
     ) {
         let number = self.backends.len() as u64;
         self.backends.push(Backend::new(k, place, started, now, self.budget, (self.seed, number)));
         self.kinds.push(kind as u8);
         self.retired.push(false);
-        self.said.push(Listed {
-            mark: number,
-            size: 1.0,
+        self.said.push(ListEntry {
+            name_hash: number,
+            weight: 1.0,
             backend: BackendId(number as u32),
             zone: ZoneId(place.0),
-            kind: KindId(kind as u8),
+            backend_type: BackendTypeId(kind as u8),
             group: GroupId(place.1),
-            state: State::Gone,
-            started: started.unwrap_or_default(),
+            state: BackendState::Gone,
+            started_at: started.unwrap_or_default(),
         });
     }
 
@@ -122,23 +122,23 @@
     pub fn publish(&mut self, i: usize) -> bool {
         let b = &self.backends[i];
         let state = match (b.up && !b.cut, b.draining) {
-            (false, _) => State::Gone,
-            (true, true) => State::Draining,
-            (true, false) => State::Ready,
+            (false, _) => BackendState::Gone,
+            (true, true) => BackendState::Draining,
+            (true, false) => BackendState::Ready,
         };
         let said = &mut self.said[i];
         let new = (state, b.started);
-        if (said.state, said.started) == new {
+        if (said.state, said.started_at) == new {
             return false;
         }
-        (said.state, said.started) = new;
+        (said.state, said.started_at) = new;
         self.changes.push(i);
         true
     }
 
     /// The lines of all backends that are in the list.
-    pub fn whole(&self) -> impl Iterator<Item = Listed> + '_ {
-        self.said.iter().filter(|l| l.state != State::Gone).copied()
+    pub fn whole(&self) -> impl Iterator<Item = ListEntry> + '_ {
+        self.said.iter().filter(|l| l.state != BackendState::Gone).copied()
     }
 
     /// What becomes of an answer on its way.
@@ -151,7 +151,7 @@
     }
 
     /// What a step does to the backends. The node's and the list's own steps are the driver's.
-    pub fn step(&mut self, now: Moment, step: Step, asked: &mut Vec<Asked>) {
+    pub fn step(&mut self, now: Timestamp, step: Step, asked: &mut Vec<Asked>) {
         let noticed = now + self.list.notice.span();
         let added = now + self.list.add.span();
         match step {
@@ -205,13 +205,13 @@
         }
     }
 
-    fn down(&mut self, now: Moment, i: usize, told: Moment, asked: &mut Vec<Asked>) {
+    fn down(&mut self, now: Timestamp, i: usize, told: Timestamp, asked: &mut Vec<Asked>) {
         self.backends[i].die(now);
         asked.extend([Asked::Reset(i), Asked::Publish(told, i)]);
     }
 
     /// It was pushed over while cold.
-    pub fn fall(&mut self, now: Moment, i: usize, asked: &mut Vec<Asked>) {
+    pub fn fall(&mut self, now: Timestamp, i: usize, asked: &mut Vec<Asked>) {
         let back = now + self.backends[i].kind.falls.span();
         self.step(now, Step::Die(i), asked);
         asked.push(Asked::Later(back, Step::Rise(i)));
--- a/crates/rehearsal/src/model/troubles.rs
+++ b/crates/rehearsal/src/model/troubles.rs
@@ -4,7 +4,7 @@
 use crate::draw::{Draw, Stream};
 use crate::scenario::{Scenario, What};
 use crate::span::Time;
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
@@ -17,7 +17,7 @@
     Rise(usize),
     Cut(usize),
     Mend(usize),
-    Stand(usize, Span),
+    Stand(usize, Micros),
     Hang(usize, bool),
     /// What is left of its speed, as a factor that comes and goes.
     Slow(usize, f64),
@@ -92,7 +92,7 @@
                     let mut next = at.0 + draw.exponential(trouble.every.micros()) as u64;
                     while next < end.0 {
                         let length = draw.exponential(trouble.down.micros()) as u64 + 1;
-                        add(Time(next), Step::Stand(b, Span(length)));
+                        add(Time(next), Step::Stand(b, Micros(length)));
                         next += length + draw.exponential(trouble.every.micros()) as u64;
                     }
                 }
--- a/crates/rehearsal/src/paper.rs
+++ b/crates/rehearsal/src/paper.rs
@@ -13,9 +13,9 @@
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
 use yarrowfront::command::Outcome;
-use yarrowfront::decide::{Errand, ListKind, Listed, Say};
-use yarrowfront::ids::{BackendId, Hand};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::decide::{Action, Decision, ListEntry, ListUpdateKind};
+use yarrowfront::ids::{BackendId, CommandHandle};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// The mean work: the unit of all figures here.
 const UNIT: Time = Time::millis(10);
@@ -46,9 +46,9 @@
 }
 
 impl Policy for Plain {
-    fn place(&mut self, _: Moment, _: Hand, task: &mut Task, _: &Fleet) -> Say {
+    fn place(&mut self, _: Timestamp, _: CommandHandle, task: &mut Task, _: &Fleet) -> Decision {
         if task.out() > 0 {
-            return Say::NotYet;
+            return Decision::Wait;
         }
         let (node, first_come) = (self.node, self.first_come);
         let token = {
@@ -61,10 +61,18 @@
             token
         };
         let server = token.unwrap_or_else(|| self.draw.below(self.servers));
-        Say::Launch(BackendId(server as u32))
+        Decision::Launch(BackendId(server as u32))
     }
 
-    fn after(&mut self, _: Moment, _: Hand, task: &mut Task, n: u8, _: Outcome, fleet: &Fleet) -> Say {
+    fn after(
+        &mut self,
+        _: Timestamp,
+        _: CommandHandle,
+        task: &mut Task,
+        n: u8,
+        _: Outcome,
+        fleet: &Fleet,
+    ) -> Decision {
         let server = task.sent[usize::from(n)].backend;
         let d = self.d;
         let mut board = self.board();
@@ -75,22 +83,22 @@
             board.tokens[fewest].push_back(server);
             board.placed[server] = true;
         }
-        Say::NotYet
+        Decision::Wait
     }
 
-    fn wait(&self, _: Moment, _: Option<&Task>) -> Option<Span> {
+    fn wait(&self, _: Timestamp, _: Option<&Task>) -> Option<Micros> {
         None
     }
 
     fn dropped(&mut self, task: &mut Task) {
-        task.command.closed = true;
+        task.command.is_closed = true;
     }
 
-    fn list(&mut self, _: Moment, _: ListKind, _: &[Listed]) {}
+    fn list(&mut self, _: Timestamp, _: ListUpdateKind, _: &[ListEntry]) {}
 
-    fn report(&mut self, _: Moment, _: BackendId, _: bool, _: Span, _: &[f32]) {}
+    fn report(&mut self, _: Timestamp, _: BackendId, _: bool, _: Micros, _: &[f32]) {}
 
-    fn errand(&mut self, _: Moment) -> Option<Errand> {
+    fn errand(&mut self, _: Timestamp) -> Option<Action> {
         None
     }
 }
--- a/crates/rehearsal/src/policy.rs
+++ b/crates/rehearsal/src/policy.rs
@@ -4,17 +4,17 @@
 use crate::model::fleet::Fleet;
 use crate::model::settings::settings;
 use crate::scenario::{EffectOf, Scenario};
-use yarrowfront::command::{Command, Fate, Outcome};
-use yarrowfront::decide::{Balancer, Errand, ListKind, Listed, Say, State};
-use yarrowfront::ids::{BackendId, Hand};
-use yarrowfront::settings::Terms;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::command::{Command, LaunchState, Outcome};
+use yarrowfront::decide::{Action, BackendState, Balancer, Decision, ListEntry, ListUpdateKind};
+use yarrowfront::ids::{BackendId, CommandHandle};
+use yarrowfront::settings::Settings;
+use yarrowfront::times::{Micros, Timestamp};
 
 /// A launch as its node's driver keeps it.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
     pub backend: usize,
-    pub fate: Fate,
+    pub fate: LaunchState,
 }
 
 /// A command in a node's hand.
@@ -25,29 +25,29 @@
 
 impl Task {
     pub fn out(&self) -> usize {
-        self.sent.iter().filter(|s| s.fate == Fate::Out).count()
+        self.sent.iter().filter(|s| s.fate == LaunchState::InFlight).count()
     }
 }
 
 /// The module's three questions and what it is told. `fleet` is the true state: only a policy that is allowed
 /// sight of it looks there.
 pub trait Policy {
-    fn place(&mut self, now: Moment, hand: Hand, task: &mut Task, fleet: &Fleet) -> Say;
+    fn place(&mut self, now: Timestamp, hand: CommandHandle, task: &mut Task, fleet: &Fleet) -> Decision;
     /// `task.sent` has the launch's fate already.
     fn after(
         &mut self,
-        now: Moment,
-        hand: Hand,
+        now: Timestamp,
+        hand: CommandHandle,
         task: &mut Task,
         launch: u8,
         outcome: Outcome,
         fleet: &Fleet,
-    ) -> Say;
-    fn wait(&self, now: Moment, task: Option<&Task>) -> Option<Span>;
+    ) -> Decision;
+    fn wait(&self, now: Timestamp, task: Option<&Task>) -> Option<Micros>;
     fn dropped(&mut self, task: &mut Task);
-    fn list(&mut self, now: Moment, kind: ListKind, lines: &[Listed]);
-    fn report(&mut self, now: Moment, at: BackendId, found: bool, trip: Span, values: &[f32]);
-    fn errand(&mut self, now: Moment) -> Option<Errand>;
+    fn list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]);
+    fn report(&mut self, now: Timestamp, at: BackendId, found: bool, trip: Micros, values: &[f32]);
+    fn errand(&mut self, now: Timestamp) -> Option<Action>;
 }
 
 /// A node's start.
@@ -55,7 +55,7 @@
     pub scenario: &'a Scenario,
     pub node: usize,
     pub seed: u64,
-    pub now: Moment,
+    pub now: Timestamp,
 }
 
 pub type Make<'a> = dyn Fn(&Birth) -> Result<Box<dyn Policy>, String> + Sync + 'a;
@@ -80,38 +80,46 @@
 
 impl Yarrowfront {
     pub fn new(birth: &Birth) -> Result<Yarrowfront, String> {
-        let terms = Terms::from_json(settings(birth.scenario, birth.node).to_string().as_bytes())?;
+        let terms = Settings::from_json(settings(birth.scenario, birth.node).to_string().as_bytes())?;
         Ok(Yarrowfront(Balancer::new(terms, birth.seed, birth.now)))
     }
 }
 
 impl Policy for Yarrowfront {
-    fn place(&mut self, now: Moment, hand: Hand, task: &mut Task, _: &Fleet) -> Say {
-        self.0.place(now, hand, &mut task.command)
+    fn place(&mut self, now: Timestamp, hand: CommandHandle, task: &mut Task, _: &Fleet) -> Decision {
+        self.0.decide(now, hand, &mut task.command)
     }
 
-    fn after(&mut self, now: Moment, hand: Hand, task: &mut Task, n: u8, outcome: Outcome, _: &Fleet) -> Say {
-        self.0.after(now, hand, &mut task.command, n, outcome)
+    fn after(
+        &mut self,
+        now: Timestamp,
+        hand: CommandHandle,
+        task: &mut Task,
+        n: u8,
+        outcome: Outcome,
+        _: &Fleet,
+    ) -> Decision {
+        self.0.on_launch_outcome(now, hand, &mut task.command, n, outcome)
     }
 
-    fn wait(&self, now: Moment, task: Option<&Task>) -> Option<Span> {
-        self.0.wait(now, task.map(|t| &t.command))
+    fn wait(&self, now: Timestamp, task: Option<&Task>) -> Option<Micros> {
+        self.0.wakeup_delay(now, task.map(|t| &t.command))
     }
 
     fn dropped(&mut self, task: &mut Task) {
-        self.0.dropped(&mut task.command);
+        self.0.on_client_gone(&mut task.command);
     }
 
-    fn list(&mut self, now: Moment, kind: ListKind, lines: &[Listed]) {
-        self.0.list(now, kind, lines.iter().copied());
+    fn list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]) {
+        self.0.apply_list(now, kind, lines.iter().copied());
     }
 
-    fn report(&mut self, now: Moment, at: BackendId, found: bool, trip: Span, values: &[f32]) {
-        self.0.report(now, at, found, Some(trip), values);
+    fn report(&mut self, now: Timestamp, at: BackendId, found: bool, trip: Micros, values: &[f32]) {
+        self.0.on_load_report(now, at, found, Some(trip), values);
     }
 
-    fn errand(&mut self, now: Moment) -> Option<Errand> {
-        self.0.errand(now)
+    fn errand(&mut self, now: Timestamp) -> Option<Action> {
+        self.0.next_action(now)
     }
 }
 
@@ -137,20 +145,20 @@
     pick: Pick,
     draw: Draw,
     turn: usize,
-    listed: Vec<Listed>,
+    listed: Vec<ListEntry>,
     ready: Vec<usize>,
     out: Vec<u32>,
     effects: Vec<EffectOf>,
-    goals: Vec<Span>,
+    goals: Vec<Micros>,
     works: Vec<f64>,
     /// Payoff for each microsecond of work, and what a command must bring to be let in at present.
     density: Vec<f64>,
     price: f64,
     most: usize,
-    come_back: Span,
+    come_back: Micros,
     follow: bool,
-    follow_at: Moment,
-    ask_within: Span,
+    follow_at: Timestamp,
+    ask_within: Micros,
 }
 
 impl Simple {
@@ -170,14 +178,14 @@
             density: scenario.profiles.iter().map(|p| p.payoff / p.work.micros()).collect(),
             price: 0.0,
             most: scenario.allow.launches as usize,
-            come_back: scenario.allow.come_back.map_or(Span(0), |t| t.span().scaled(0.2)),
+            come_back: scenario.allow.come_back.map_or(Micros(0), |t| t.span().scaled(0.2)),
             follow: true,
             follow_at: birth.now,
             ask_within: scenario.list.ask_within.span(),
         }
     }
 
-    fn choose(&mut self, now: Moment, task: &Task, fleet: &Fleet) -> Option<usize> {
+    fn choose(&mut self, now: Timestamp, task: &Task, fleet: &Fleet) -> Option<usize> {
         let fresh = |b: &usize| !task.sent.iter().any(|s| s.backend == *b);
         let open: Vec<usize> = self.ready.iter().copied().filter(fresh).collect();
         if open.is_empty() {
@@ -218,7 +226,7 @@
                         best = (took, Some(i));
                     }
                 }
-                let left = (task.command.arrived + goal).since(now).micros();
+                let left = (task.command.arrived_at + goal).since(now).as_f64();
                 let fits = best.0 <= left;
                 if !careful {
                     return best.1.filter(|_| fits);
@@ -240,30 +248,31 @@
         self.density.iter().copied().fold(0.0, f64::max)
     }
 
-    fn end(&mut self, task: &mut Task) -> Say {
+    fn end(&mut self, task: &mut Task) -> Decision {
         if task.out() > 0 {
-            return Say::NotYet;
+            return Decision::Wait;
         }
-        task.command.closed = true;
+        task.command.is_closed = true;
         let effect = self.effects[usize::from(task.command.profile.0)];
-        let harmless = effect == EffectOf::Repeatable || task.sent.iter().all(|s| s.fate == Fate::NotRun);
+        let harmless =
+            effect == EffectOf::Repeatable || task.sent.iter().all(|s| s.fate == LaunchState::NotRun);
         if harmless {
-            Say::TurnBack(self.come_back)
+            Decision::Reject(self.come_back)
         } else {
-            Say::Errored
+            Decision::Fail
         }
     }
 }
 
 impl Policy for Simple {
-    fn place(&mut self, now: Moment, _: Hand, task: &mut Task, fleet: &Fleet) -> Say {
-        if task.command.closed || task.out() > 0 {
-            return Say::NotYet;
+    fn place(&mut self, now: Timestamp, _: CommandHandle, task: &mut Task, fleet: &Fleet) -> Decision {
+        if task.command.is_closed || task.out() > 0 {
+            return Decision::Wait;
         }
         match self.choose(now, task, fleet) {
             Some(i) => {
                 self.out[i] += 1;
-                Say::Launch(BackendId(i as u32))
+                Decision::Launch(BackendId(i as u32))
             }
             None => self.end(task),
         }
@@ -271,44 +280,44 @@
 
     fn after(
         &mut self,
-        now: Moment,
-        hand: Hand,
+        now: Timestamp,
+        hand: CommandHandle,
         task: &mut Task,
         n: u8,
         outcome: Outcome,
         fleet: &Fleet,
-    ) -> Say {
+    ) -> Decision {
         self.out[task.sent[usize::from(n)].backend] -= 1;
-        if task.command.closed || outcome == Outcome::Finished {
-            return Say::NotYet;
+        if task.command.is_closed || outcome == Outcome::Finished {
+            return Decision::Wait;
         }
         let effect = self.effects[usize::from(task.command.profile.0)];
         let harmless = effect == EffectOf::Repeatable || outcome.proves_not_run(false);
-        if harmless && task.sent.len() < self.most && now < task.command.ends {
+        if harmless && task.sent.len() < self.most && now < task.command.deadline {
             return self.place(now, hand, task, fleet);
         }
         self.end(task)
     }
 
-    fn wait(&self, now: Moment, task: Option<&Task>) -> Option<Span> {
+    fn wait(&self, now: Timestamp, task: Option<&Task>) -> Option<Micros> {
         (task.is_none() && self.follow).then(|| self.follow_at.since(now))
     }
 
     fn dropped(&mut self, task: &mut Task) {
-        task.command.closed = true;
+        task.command.is_closed = true;
     }
 
-    fn list(&mut self, now: Moment, kind: ListKind, lines: &[Listed]) {
+    fn list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]) {
         match kind {
-            ListKind::Failed | ListKind::Silent => {
+            ListUpdateKind::Failed | ListUpdateKind::Silent => {
                 self.follow = true;
-                self.follow_at = now + Span(self.ask_within.0.min(1_000_000) / 4);
+                self.follow_at = now + Micros(self.ask_within.0.min(1_000_000) / 4);
                 return;
             }
-            ListKind::Whole | ListKind::Changes => self.follow = false,
-            ListKind::Cached => {}
+            ListUpdateKind::Snapshot | ListUpdateKind::Delta => self.follow = false,
+            ListUpdateKind::Cached => {}
         }
-        if kind != ListKind::Changes {
+        if kind != ListUpdateKind::Delta {
             self.listed.clear();
         }
         for line in lines {
@@ -318,16 +327,16 @@
             }
             self.out.resize(self.out.len().max(line.backend.0 as usize + 1), 0);
         }
-        let ready = self.listed.iter().filter(|l| l.state == State::Ready);
+        let ready = self.listed.iter().filter(|l| l.state == BackendState::Ready);
         self.ready = ready.map(|l| l.backend.0 as usize).collect();
     }
 
-    fn report(&mut self, _: Moment, _: BackendId, _: bool, _: Span, _: &[f32]) {}
+    fn report(&mut self, _: Timestamp, _: BackendId, _: bool, _: Micros, _: &[f32]) {}
 
-    fn errand(&mut self, now: Moment) -> Option<Errand> {
+    fn errand(&mut self, now: Timestamp) -> Option<Action> {
         if self.follow && now >= self.follow_at {
             self.follow_at = now + self.ask_within.scaled(0.5);
-            return Some(Errand::Follow);
+            return Some(Action::RequestList);
         }
         None
     }
--- a/crates/rehearsal/src/real/backends.rs
+++ b/crates/rehearsal/src/real/backends.rs
@@ -16,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 type Answer = Result<Response<Full<Bytes>>, &'static str>;
 
@@ -146,7 +146,7 @@
         return Ok(plain(StatusCode::BAD_REQUEST, "no client has sent this"));
     };
     let told_left = request.headers().get("x-time-left-ms").and_then(|v| v.to_str().ok());
-    let told_left = told_left.and_then(|millis| millis.parse().ok()).map(Span::millis);
+    let told_left = told_left.and_then(|millis| millis.parse().ok()).map(Micros::from_millis);
     stage.see(Seen::Launched { node: sent.node, backend: i, attempt, at: stage.now(), told_left });
     let method = request.method().clone();
     if request.into_body().collect().await.is_err() {
--- a/crates/rehearsal/src/real/clients.rs
+++ b/crates/rehearsal/src/real/clients.rs
@@ -22,7 +22,7 @@
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, timeout, timeout_at, Instant};
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 /// A client waits so much longer than it said: an answer on its way still counts.
 const PATIENCE: Duration = Duration::from_millis(60);
@@ -146,7 +146,7 @@
         attempt: u64,
         wanted: &Wanted,
         repeat: bool,
-    ) -> Result<(StatusCode, Option<Span>, Bytes), TryEnd> {
+    ) -> Result<(StatusCode, Option<Micros>, Bytes), TryEnd> {
         let (mut taken, mut node) = (false, first);
         // A connection that the node closed as the command went out is tried once more on a new one.
         for fresh in [false, true] {
@@ -251,11 +251,11 @@
     }
 }
 
-async fn read(response: Response<Incoming>) -> Option<(StatusCode, Option<Span>, Bytes)> {
+async fn read(response: Response<Incoming>) -> Option<(StatusCode, Option<Micros>, Bytes)> {
     let (head, body) = response.into_parts();
     let told =
         head.headers.get("retry-after").and_then(|v| v.to_str().ok()).and_then(|v| v.parse::<f64>().ok());
-    let come_back = told.filter(|s| (0.0..3600.0).contains(s)).map(|s| Span((s * 1e6) as u64));
+    let come_back = told.filter(|s| (0.0..3600.0).contains(s)).map(|s| Micros((s * 1e6) as u64));
     let body = body.collect().await.ok()?.to_bytes();
     Some((head.status, come_back, body))
 }
--- a/crates/rehearsal/src/real/stage.rs
+++ b/crates/rehearsal/src/real/stage.rs
@@ -19,8 +19,8 @@
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
-use yarrowfront::decide::{Listed, State};
-use yarrowfront::times::Moment;
+use yarrowfront::decide::{BackendState, ListEntry};
+use yarrowfront::times::Timestamp;
 
 /// How a command's stay at a backend ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -86,7 +86,7 @@
     pub scenario: Rc<Scenario>,
     /// The instant, and what the machine's clock said then in microseconds since 1970.
     zero: (Instant, u64),
-    origin: Cell<Moment>,
+    origin: Cell<Timestamp>,
     inner: RefCell<Inner>,
     pub ways: Ways,
     /// Until when discovery works through the calls that it has.
@@ -99,7 +99,7 @@
     /// The stage, and where it tells of machines that have come in place of others.
     pub fn new(scenario: &Scenario, seed: u64) -> (Rc<Stage>, mpsc::UnboundedReceiver<usize>) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-        let now = Moment(unix);
+        let now = Timestamp(unix);
         let fleet = Fleet::new(scenario, seed, now);
         let count = fleet.backends.len();
         let judges = Some(Judges::new(scenario, now, count));
@@ -135,15 +135,15 @@
         self.inner.borrow_mut().judges = Some(Judges::new(&self.scenario, now, count));
     }
 
-    pub fn now(&self) -> Moment {
-        Moment(self.zero.1 + self.zero.0.elapsed().as_micros() as u64)
+    pub fn now(&self) -> Timestamp {
+        Timestamp(self.zero.1 + self.zero.0.elapsed().as_micros() as u64)
     }
 
-    pub fn instant(&self, at: Moment) -> Instant {
-        self.zero.0 + Duration::from_micros(at.since(Moment(self.zero.1)).0)
+    pub fn instant(&self, at: Timestamp) -> Instant {
+        self.zero.0 + Duration::from_micros(at.since(Timestamp(self.zero.1)).0)
     }
 
-    pub fn moment(&self, at: Time) -> Moment {
+    pub fn moment(&self, at: Time) -> Timestamp {
         self.origin.get() + at.span()
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// What is done to nodes or told by them goes to the judge of their views.
-    pub fn view(&self, tell: impl FnOnce(&mut Views, Moment)) {
+    pub fn view(&self, tell: impl FnOnce(&mut Views, Timestamp)) {
         let now = self.now();
         if let Some(judges) = &mut self.inner.borrow_mut().judges {
             tell(&mut judges.views, now);
@@ -320,7 +320,7 @@
         }
     }
 
-    pub fn next(&self, i: usize) -> Option<Moment> {
+    pub fn next(&self, i: usize) -> Option<Timestamp> {
         self.inner.borrow().fleet.backends[i].next()
     }
 
@@ -428,19 +428,19 @@
     }
 
     /// A line of the list as that node is told it: each reaches a backend by its own way.
-    fn entry(&self, inner: &Inner, node: usize, line: &Listed) -> Value {
+    fn entry(&self, inner: &Inner, node: usize, line: &ListEntry) -> Value {
         let (i, scenario) = (line.backend.0 as usize, &self.scenario);
         let own = inner.gates[i].port.get();
         let port = self.ways.tcp(&format!("n{node}"), &format!("b{i}"), own).unwrap_or(own);
         let status = match line.state {
-            State::Ready => "ready",
-            State::Draining => "draining",
-            State::Gone => "gone",
+            BackendState::Ready => "ready",
+            BackendState::Draining => "draining",
+            BackendState::Gone => "gone",
         };
         json!({
             "name": inner.fleet.name(i), "address": format!("127.0.0.1:{port}"),
-            "zone": zone_name(line.zone.0), "type": scenario.backends[usize::from(line.kind.0)].kind,
-            "group": line.group.0, "status": status, "weight": 1.0, "since_ms": line.started.0 / 1000,
+            "zone": zone_name(line.zone.0), "type": scenario.backends[usize::from(line.backend_type.0)].kind,
+            "group": line.group.0, "status": status, "weight": 1.0, "since_ms": line.started_at.0 / 1000,
         })
     }
 
@@ -480,7 +480,7 @@
         let all = 0..inner.fleet.said.len();
         let some = backend.map_or(all, |b| b..b + 1);
         for i in some {
-            let ready = inner.fleet.said[i].state == State::Ready;
+            let ready = inner.fleet.said[i].state == BackendState::Ready;
             if let Some(judges) = &mut inner.judges {
                 judges.see(Seen::Told { node, backend: i, ready, at: now });
             }
@@ -518,7 +518,7 @@
             if !inner.fleet.publish(i) || !inner.fleet.list_up {
                 return;
             }
-            ends && inner.fleet.said[i].state == State::Draining
+            ends && inner.fleet.said[i].state == BackendState::Draining
         };
         if hidden {
             return self.end_watches(i);
--- a/crates/rehearsal/src/span.rs
+++ b/crates/rehearsal/src/span.rs
@@ -2,7 +2,7 @@
 
 use serde::{de, Deserialize, Deserializer, Serialize, Serializer};
 use std::time::Duration;
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 /// A span of whole microseconds that is written with its unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -17,8 +17,8 @@
         Time(n * 1_000_000)
     }
 
-    pub fn span(self) -> Span {
-        Span(self.0)
+    pub fn span(self) -> Micros {
+        Micros(self.0)
     }
 
     pub fn micros(self) -> f64 {
--- a/crates/rehearsal/src/virtual_clock.rs
+++ b/crates/rehearsal/src/virtual_clock.rs
@@ -13,21 +13,21 @@
 use crate::policy::{Birth, Make, Policy, Sent, Task};
 use crate::scenario::{EffectOf, Follow, Scenario};
 use slab::Slab;
-use yarrowfront::command::{Command, Fate, Outcome};
-use yarrowfront::decide::{Errand, ListKind, Listed, Say, State};
-use yarrowfront::ids::{BackendId, CommandId, Hand, ProfileId};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::command::{Command, LaunchState, Outcome};
+use yarrowfront::decide::{Action, BackendState, Decision, ListEntry, ListUpdateKind};
+use yarrowfront::ids::{BackendId, CommandHandle, CommandId, ProfileId};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// Where a scenario's time starts on the clock: moment 0 means "long ago" to the module.
-pub const ORIGIN: Moment = Moment(1_000_000_000);
+pub const ORIGIN: Timestamp = Timestamp(1_000_000_000);
 /// A client waits so much longer than it said: an answer on its way still counts.
-const PATIENCE: Span = Span::millis(60);
+const PATIENCE: Micros = Micros::from_millis(60);
 /// After the last arrival so much may pass until all has ended.
-const AFTERMATH: Span = Span::millis(40_000);
+const AFTERMATH: Micros = Micros::from_millis(40_000);
 /// A node waits so long for a probe.
-const PROBE_WAIT: Span = Span::millis(50);
+const PROBE_WAIT: Micros = Micros::from_millis(50);
 /// How soon a client sees that its node's process has died.
-const RESET: Span = Span::millis(1);
+const RESET: Micros = Micros::from_millis(1);
 
 /// A place in a slab, and whose it was: a later owner of the place is not met by old events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -142,8 +142,8 @@
     Outcome::Finished,
     Outcome::Errored,
     Outcome::Full,
-    Outcome::Unreachable,
-    Outcome::Broken,
+    Outcome::ConnectFailed,
+    Outcome::ConnectionLost,
     Outcome::TimedOut,
 ];
 
@@ -161,7 +161,7 @@
     node: usize,
     life: u32,
     number: u64,
-    until: Moment,
+    until: Timestamp,
     /// Its place in the node's hand while it is there.
     hand: Option<Ref>,
     /// Whether its client still waits.
@@ -174,13 +174,13 @@
     command: u64,
     profile: u16,
     work: f64,
-    tag: Option<(u64, Span)>,
+    tag: Option<(u64, Micros)>,
     node: usize,
     life: u32,
     hand: Ref,
     number: u8,
     backend: usize,
-    sent: Moment,
+    sent: Timestamp,
     /// On a new connection.
     new: bool,
     answer: OnTheWay,
@@ -194,7 +194,7 @@
     /// Kept here too: its client may have gone and want nothing any more.
     command: u64,
     work: f64,
-    armed: Option<Moment>,
+    armed: Option<Timestamp>,
 }
 
 struct Node {
@@ -203,11 +203,11 @@
     up: bool,
     life: u32,
     hands: Arena<Held>,
-    armed: Option<Moment>,
+    armed: Option<Timestamp>,
     /// Idle connections by backend.
     idle: Vec<u16>,
     follows: bool,
-    told_until: Moment,
+    told_until: Timestamp,
     lives: u32,
 }
 
@@ -215,13 +215,13 @@
     scenario: &'a Scenario,
     make: &'a Make<'a>,
     seed: u64,
-    now: Moment,
+    now: Timestamp,
     agenda: Agenda<Event>,
     arrivals: Arrivals<'a>,
     next: Option<Wanted>,
     fleet: Fleet,
-    turns: Vec<(u32, Option<Moment>)>,
-    reports: Vec<(Moment, u32, u32)>,
+    turns: Vec<(u32, Option<Timestamp>)>,
+    reports: Vec<(Timestamp, u32, u32)>,
     steps: Vec<Step>,
     nodes: Vec<Node>,
     /// Those that the front sends to.
@@ -270,7 +270,7 @@
             next,
             fleet,
             turns: vec![(0, None); count],
-            reports: vec![(Moment(0), 0, 0); count],
+            reports: vec![(Timestamp(0), 0, 0); count],
             steps: Vec::new(),
             nodes: Vec::new(),
             front: (0..scenario.nodes as usize).collect(),
@@ -304,7 +304,7 @@
             world.later_step(ORIGIN + at.span(), step);
         }
         if let Some(due) = world.next.as_ref().map(|n| n.due) {
-            world.at(ORIGIN + Span(due.0), Event::Due);
+            world.at(ORIGIN + Micros(due.0), Event::Due);
         }
         Ok(world)
     }
@@ -314,15 +314,15 @@
         (self.make)(&Birth { scenario: self.scenario, node, seed, now: self.now })
     }
 
-    fn at(&mut self, at: Moment, event: Event) {
+    fn at(&mut self, at: Timestamp, event: Event) {
         self.agenda.put(at, event);
     }
 
-    fn after(&mut self, span: Span, event: Event) {
+    fn after(&mut self, span: Micros, event: Event) {
         self.at(self.now + span, event);
     }
 
-    fn later_step(&mut self, at: Moment, step: Step) {
+    fn later_step(&mut self, at: Timestamp, step: Step) {
         self.steps.push(step);
         self.at(at, Event::Step(self.steps.len() as u32 - 1));
     }
@@ -353,7 +353,7 @@
             Event::Start(want) => self.start(want),
             Event::AtNode(attempt) => self.at_node(attempt),
             Event::Answer { attempt, number, what, come_back } => {
-                self.answered(attempt, number, FINALS[usize::from(what)], come_back.map(Span));
+                self.answered(attempt, number, FINALS[usize::from(what)], come_back.map(Micros));
             }
             Event::Leave(attempt) => {
                 if let Some(t) = self.tries.get(attempt).filter(|t| t.open) {
@@ -393,7 +393,7 @@
             Event::ProbeBack { node, life, backend, sent, report } => {
                 let n = &mut self.nodes[node as usize];
                 if n.life == life && n.up {
-                    let trip = self.now.since(Moment(sent));
+                    let trip = self.now.since(Timestamp(sent));
                     let values = report.map(|(held, queued)| [held as f32, queued as f32, 0.0]);
                     let values = values.as_ref().map_or(&[][..], |v| &v[..]);
                     n.policy.report(self.now, BackendId(backend), report.is_some(), trip, values);
@@ -410,16 +410,16 @@
             }
             Event::Whole { node, life } => {
                 if !self.fleet.list_up {
-                    self.after(Span(0), Event::ListFailed { node, life });
+                    self.after(Micros(0), Event::ListFailed { node, life });
                     return Ok(());
                 }
                 if self.alive(node, life) {
-                    let lines: Vec<Listed> = self.fleet.whole().collect();
+                    let lines: Vec<ListEntry> = self.fleet.whole().collect();
                     self.nodes[node as usize].follows = true;
                     for i in 0..self.fleet.said.len() {
                         self.tell(node as usize, i);
                     }
-                    self.nodes[node as usize].policy.list(self.now, ListKind::Whole, &lines);
+                    self.nodes[node as usize].policy.list(self.now, ListUpdateKind::Snapshot, &lines);
                     self.upkeep(node as usize);
                 }
             }
@@ -427,13 +427,13 @@
                 if self.alive(node, life) && self.nodes[node as usize].follows {
                     let line = self.fleet.said[backend as usize];
                     self.tell(node as usize, backend as usize);
-                    self.nodes[node as usize].policy.list(self.now, ListKind::Changes, &[line]);
+                    self.nodes[node as usize].policy.list(self.now, ListUpdateKind::Delta, &[line]);
                     self.upkeep(node as usize);
                 }
             }
             Event::ListFailed { node, life } => {
                 if self.alive(node, life) {
-                    self.nodes[node as usize].policy.list(self.now, ListKind::Failed, &[]);
+                    self.nodes[node as usize].policy.list(self.now, ListUpdateKind::Failed, &[]);
                     self.upkeep(node as usize);
                 }
             }
@@ -460,7 +460,7 @@
         let Some(wanted) = self.next.take() else { return };
         self.next = self.arrivals.next();
         if let Some(due) = self.next.as_ref().map(|n| n.due) {
-            self.at(ORIGIN + Span(due.0), Event::Due);
+            self.at(ORIGIN + Micros(due.0), Event::Due);
         }
         let (command, profile) = (wanted.number, wanted.profile);
         self.judges.see(Seen::Due { command, profile, at: self.now });
@@ -494,12 +494,12 @@
         }
     }
 
-    fn client_trip(&mut self) -> Span {
+    fn client_trip(&mut self) -> Micros {
         let jitter = self.network.exponential(self.scenario.net.jitter.micros());
-        Span(self.scenario.net.client.0 + jitter as u64)
+        Micros(self.scenario.net.client.0 + jitter as u64)
     }
 
-    fn answered(&mut self, attempt: Ref, number: u64, what: Final, come_back: Option<Span>) {
+    fn answered(&mut self, attempt: Ref, number: u64, what: Final, come_back: Option<Micros>) {
         // Also one too many, after all was over.
         let open = self.tries.get(attempt).is_some_and(|t| t.open);
         let made_for = (what == Final::Finished).then_some(number);
@@ -559,8 +559,8 @@
         let id = CommandId(number as u32);
         let left = until.since(self.now);
         let mut own = Command::new(id, ProfileId(profile), self.now, left);
-        own.hint = wanted.hint.map(|h| Span(h as u64));
-        own.repeat = repeat && self.scenario.clients.mark_repeats;
+        own.work_hint = wanted.hint.map(|h| Micros(h as u64));
+        own.is_client_retry = repeat && self.scenario.clients.mark_repeats;
         self.judges.see(Seen::Taken { attempt: number, command, profile, node, at: self.now, until });
         let held =
             Held { task: Task { command: own, sent: Vec::new() }, attempt, command, work, armed: None };
@@ -575,27 +575,27 @@
     fn again(&mut self, node: usize, hand: Ref) {
         let n = &mut self.nodes[node];
         let Some(held) = n.hands.get(hand) else { return };
-        let say = n.policy.place(self.now, Hand(hand.key), &mut held.task, &self.fleet);
+        let say = n.policy.place(self.now, CommandHandle(hand.key), &mut held.task, &self.fleet);
         self.say(node, hand, say);
     }
 
-    fn say(&mut self, node: usize, hand: Ref, say: Say) {
+    fn say(&mut self, node: usize, hand: Ref, say: Decision) {
         match say {
-            Say::Launch(backend) => self.launch(node, hand, backend.0 as usize),
-            Say::NotYet => {}
-            Say::TurnBack(span) => {
+            Decision::Launch(backend) => self.launch(node, hand, backend.0 as usize),
+            Decision::Wait => {}
+            Decision::Reject(span) => {
                 let told = self.scenario.allow.come_back.is_some() && span.0 > 0;
                 self.answer(node, hand, Final::TurnedBack, told.then_some(span.0));
             }
-            Say::Errored => self.answer(node, hand, Final::Errored, None),
-            Say::CallOff(launch) => self.outcome(node, hand, launch, Outcome::Cancelled),
+            Decision::Fail => self.answer(node, hand, Final::Errored, None),
+            Decision::CancelLaunch(launch) => self.outcome(node, hand, launch, Outcome::Cancelled),
         }
         self.settle(node, hand);
     }
 
     fn answer(&mut self, node: usize, hand: Ref, what: Final, come_back: Option<u64>) {
         let Some(held) = self.nodes[node].hands.get(hand) else { return };
-        held.task.command.closed = true;
+        held.task.command.is_closed = true;
         let (attempt, number) = (held.attempt, u64::from(held.task.command.id.0));
         let trip = self.client_trip();
         self.after(trip, Event::Answer { attempt, number, what: code(&FINALS, what), come_back });
@@ -605,7 +605,7 @@
     fn settle(&mut self, node: usize, hand: Ref) {
         let n = &mut self.nodes[node];
         let Some(held) = n.hands.get(hand) else { return };
-        if held.task.command.closed && held.task.out() == 0 {
+        if held.task.command.is_closed && held.task.out() == 0 {
             let attempt = held.attempt;
             n.hands.remove(hand);
             if let Some(t) = self.tries.get(attempt) {
@@ -618,7 +618,7 @@
         }
         if let Some(span) = n.policy.wait(self.now, Some(&held.task)) {
             // A node keeps time by the microsecond at best.
-            let at = self.now + span.max(Span(1));
+            let at = self.now + span.max(Micros(1));
             if held.armed != Some(at) {
                 held.armed = Some(at);
                 let life = n.life;
@@ -651,18 +651,18 @@
         while let Some(errand) = self.nodes[node].policy.errand(self.now) {
             let life = self.nodes[node].life;
             match errand {
-                Errand::Probe(backend) => {
+                Action::Probe(backend) => {
                     self.judges.see(Seen::Probed);
                     let trip = self.way(node, backend.0 as usize);
                     let (node, backend, sent) = (node as u32, backend.0, self.now.0);
                     self.after(trip, Event::ProbeAt { node, life, backend, sent });
                 }
-                Errand::Close(backend) => self.nodes[node].idle[backend.0 as usize] = 0,
-                Errand::Follow => {
+                Action::CloseIdleConnections(backend) => self.nodes[node].idle[backend.0 as usize] = 0,
+                Action::RequestList => {
                     let trip = self.trip();
                     self.after(trip, Event::Ask { node: node as u32, life });
                 }
-                Errand::Again(hand) => {
+                Action::Reevaluate(hand) => {
                     let key = hand.0 as usize;
                     let id = self.nodes[node].hands.slab.get(key).map(|(id, _)| *id);
                     if let Some(id) = id {
@@ -673,7 +673,7 @@
         }
         let n = &mut self.nodes[node];
         if let Some(span) = n.policy.wait(self.now, None) {
-            let at = self.now + span.max(Span(1));
+            let at = self.now + span.max(Micros(1));
             if n.armed.is_none_or(|armed| at < armed) {
                 n.armed = Some(at);
                 let life = n.life;
@@ -687,9 +687,9 @@
         let (node, hand, life) = (t.node, t.hand, t.life);
         let Some(hand) = hand.filter(|_| self.alive(node as u32, life)) else { return };
         let n = &mut self.nodes[node];
-        if let Some(held) = n.hands.get(hand).filter(|h| !h.task.command.closed) {
+        if let Some(held) = n.hands.get(hand).filter(|h| !h.task.command.is_closed) {
             n.policy.dropped(&mut held.task);
-            held.task.command.closed = true;
+            held.task.command.is_closed = true;
             self.settle(node, hand);
             self.upkeep(node);
         }
@@ -698,18 +698,18 @@
     // Launches.
 
     /// One way between a node and a backend.
-    fn way(&mut self, node: usize, backend: usize) -> Span {
+    fn way(&mut self, node: usize, backend: usize) -> Micros {
         let net = &self.scenario.net;
         let same = self.nodes[node].zone == self.fleet.backends[backend].zone;
         let base = if same { net.same.0 } else { net.cross.0 };
         let jitter = self.network.exponential(net.jitter.micros()) as u64;
-        Span((base + jitter).saturating_add_signed(self.fleet.delay))
+        Micros((base + jitter).saturating_add_signed(self.fleet.delay))
     }
 
     fn launch(&mut self, node: usize, hand: Ref, backend: usize) {
         let Some(held) = self.nodes[node].hands.get(hand) else { return };
-        held.task.sent.push(Sent { backend, fate: Fate::Out });
-        let (number, until) = (held.task.sent.len() as u8 - 1, held.task.command.ends);
+        held.task.sent.push(Sent { backend, fate: LaunchState::InFlight });
+        let (number, until) = (held.task.sent.len() as u8 - 1, held.task.command.deadline);
         let (command, profile, work) = (held.command, held.task.command.profile.0, held.work);
         let try_number = u64::from(held.task.command.id.0);
         let p = &self.scenario.profiles[usize::from(profile)];
@@ -739,7 +739,7 @@
         });
         let mut way = self.way(node, backend);
         if new {
-            way = Span(way.0 + 2 * self.way(node, backend).0);
+            way = Micros(way.0 + 2 * self.way(node, backend).0);
         }
         self.after(way, Event::AtBackend(flight));
         self.at(until, Event::FlightOver(flight));
@@ -759,7 +759,7 @@
             f.backend_done = true;
             if new {
                 let at = (sent + self.scenario.net.dial.span()).max(self.now);
-                self.at(at, Event::Back { flight, outcome: code(&OUTCOMES, Outcome::Unreachable) });
+                self.at(at, Event::Back { flight, outcome: code(&OUTCOMES, Outcome::ConnectFailed) });
             }
             return;
         }
@@ -787,15 +787,15 @@
             }
             Reply::Full => Outcome::Full,
             Reply::Error => Outcome::Errored,
-            Reply::Down if new => Outcome::Unreachable,
-            Reply::Down => Outcome::Broken,
+            Reply::Down if new => Outcome::ConnectFailed,
+            Reply::Down => Outcome::ConnectionLost,
             Reply::Fell => {
                 self.judges.see(Seen::Fell { backend: i, at: self.now });
                 let mut asked = std::mem::take(&mut self.asked);
                 self.fleet.fall(self.now, i, &mut asked);
                 self.asked = asked;
                 self.do_asked();
-                Outcome::Broken
+                Outcome::ConnectionLost
             }
         };
         if let Some(f) = self.flights.get(flight) {
@@ -845,7 +845,7 @@
             }
             match f.answer {
                 OnTheWay::Comes => self.come_back(flight, Outcome::Finished),
-                OnTheWay::Breaks => self.come_back(flight, Outcome::Broken),
+                OnTheWay::Breaks => self.come_back(flight, Outcome::ConnectionLost),
                 OnTheWay::Lost if f.node_done => drop(self.flights.remove(flight)),
                 OnTheWay::Lost => {}
             }
@@ -854,7 +854,7 @@
     }
 
     fn arm(&mut self, i: usize) {
-        let next = self.fleet.backends[i].next().map(|at| at.max(self.now + Span(1)));
+        let next = self.fleet.backends[i].next().map(|at| at.max(self.now + Micros(1)));
         let (turn, armed) = &mut self.turns[i];
         if *armed != next {
             *turn += 1;
@@ -886,14 +886,16 @@
     fn outcome(&mut self, node: usize, hand: Ref, number: u8, outcome: Outcome) {
         let n = &mut self.nodes[node];
         let Some(held) = n.hands.get(hand) else { return };
-        if held.task.sent[usize::from(number)].fate != Fate::Out {
+        if held.task.sent[usize::from(number)].fate != LaunchState::InFlight {
             return; // it was called off: nobody waits for its answer any more
         }
         let proven = outcome.proves_not_run(false);
-        held.task.sent[usize::from(number)].fate = if proven { Fate::NotRun } else { Fate::MayHaveRun };
-        let finishes = outcome == Outcome::Finished && !held.task.command.closed;
-        held.task.command.closed |= outcome == Outcome::Finished;
-        let say = n.policy.after(self.now, Hand(hand.key), &mut held.task, number, outcome, &self.fleet);
+        held.task.sent[usize::from(number)].fate =
+            if proven { LaunchState::NotRun } else { LaunchState::MayHaveRun };
+        let finishes = outcome == Outcome::Finished && !held.task.command.is_closed;
+        held.task.command.is_closed |= outcome == Outcome::Finished;
+        let say =
+            n.policy.after(self.now, CommandHandle(hand.key), &mut held.task, number, outcome, &self.fleet);
         if finishes {
             self.answer(node, hand, Final::Finished, None);
         }
@@ -942,7 +944,7 @@
         let silent = b.cut || b.hung || self.now < b.stands_until;
         let (mut report, mut way) = (None, self.way(node as usize, i));
         if silent {
-            way = (Moment(sent) + PROBE_WAIT).since(self.now);
+            way = (Timestamp(sent) + PROBE_WAIT).since(self.now);
         } else if self.fleet.backends[i].up {
             self.pass(i);
             let b = &mut self.fleet.backends[i];
@@ -959,13 +961,13 @@
 
     // The list.
 
-    fn trip(&mut self) -> Span {
+    fn trip(&mut self) -> Micros {
         self.scenario.list.trip.span().scaled(self.network.unit())
     }
 
     fn cached(&mut self, node: usize) {
-        let lines: Vec<Listed> = self.fleet.whole().collect();
-        self.nodes[node].policy.list(self.now, ListKind::Cached, &lines);
+        let lines: Vec<ListEntry> = self.fleet.whole().collect();
+        self.nodes[node].policy.list(self.now, ListUpdateKind::Cached, &lines);
         if self.scenario.list.mode == Follow::Watch {
             let (trip, life) = (self.trip(), self.nodes[node].life);
             self.after(trip, Event::Ask { node: node as u32, life });
@@ -974,7 +976,7 @@
     }
 
     fn tell(&mut self, node: usize, backend: usize) {
-        let ready = self.fleet.said[backend].state == State::Ready;
+        let ready = self.fleet.said[backend].state == BackendState::Ready;
         self.judges.see(Seen::Told { node, backend, ready, at: self.now });
     }
 
@@ -1043,7 +1045,7 @@
                 Asked::Started(i) => {
                     let count = self.fleet.backends.len();
                     self.turns.resize(count, (0, None));
-                    self.reports.resize(count, (Moment(0), 0, 0));
+                    self.reports.resize(count, (Timestamp(0), 0, 0));
                     let b = &self.fleet.backends[i];
                     let (share, warm) = (b.kind.cold, b.kind.warm.micros());
                     let capacity = b.cores() * b.speed;
@@ -1072,7 +1074,7 @@
             };
             // What is still on its way finds out by itself.
             f.backend_done |= !held;
-            self.come_back(flight, Outcome::Broken);
+            self.come_back(flight, Outcome::ConnectionLost);
         }
         self.arm(i);
     }
--- a/crates/rehearsal/tests/judges.rs
+++ b/crates/rehearsal/tests/judges.rs
@@ -7,9 +7,9 @@
 use rehearsal::scenario::Scenario;
 use rehearsal::virtual_clock;
 use yarrowfront::command::Outcome;
-use yarrowfront::decide::{Errand, ListKind, Listed, Say, State};
-use yarrowfront::ids::{BackendId, Hand};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::decide::{Action, BackendState, Decision, ListEntry, ListUpdateKind};
+use yarrowfront::ids::{BackendId, CommandHandle};
+use yarrowfront::times::{Micros, Timestamp};
 
 const PLAIN: &str = r#"
 name = "judged"
@@ -46,60 +46,61 @@
 struct Faulty {
     fault: Fault,
     turn: u32,
-    known: Vec<Listed>,
+    known: Vec<ListEntry>,
 }
 
 impl Policy for Faulty {
-    fn place(&mut self, _: Moment, _: Hand, task: &mut Task, _: &Fleet) -> Say {
-        if task.out() > 0 || task.command.closed || self.known.is_empty() {
-            return Say::NotYet;
+    fn place(&mut self, _: Timestamp, _: CommandHandle, task: &mut Task, _: &Fleet) -> Decision {
+        if task.out() > 0 || task.command.is_closed || self.known.is_empty() {
+            return Decision::Wait;
         }
         self.turn += 1;
         if self.fault == Fault::Silent && self.turn.is_multiple_of(10) {
-            return Say::NotYet;
+            return Decision::Wait;
         }
         if self.fault == Fault::Pushes {
-            let newest = self.known.iter().filter(|l| l.state == State::Ready).max_by_key(|l| l.started);
-            return newest.map_or(Say::NotYet, |l| Say::Launch(l.backend));
+            let newest =
+                self.known.iter().filter(|l| l.state == BackendState::Ready).max_by_key(|l| l.started_at);
+            return newest.map_or(Decision::Wait, |l| Decision::Launch(l.backend));
         }
-        Say::Launch(self.known[self.turn as usize % self.known.len()].backend)
+        Decision::Launch(self.known[self.turn as usize % self.known.len()].backend)
     }
 
     fn after(
         &mut self,
-        now: Moment,
-        hand: Hand,
+        now: Timestamp,
+        hand: CommandHandle,
         task: &mut Task,
         _: u8,
         outcome: Outcome,
         fleet: &Fleet,
-    ) -> Say {
+    ) -> Decision {
         match self.fault {
-            Fault::Twice if outcome == Outcome::Finished => return Say::Errored,
+            Fault::Twice if outcome == Outcome::Finished => return Decision::Fail,
             Fault::Again if outcome == Outcome::Finished && task.sent.len() < 2 => {
                 // As if the first answer had been lost.
-                task.command.closed = false;
+                task.command.is_closed = false;
                 return self.place(now, hand, task, fleet);
             }
-            Fault::Promise if outcome != Outcome::Finished => return Say::TurnBack(Span(1000)),
+            Fault::Promise if outcome != Outcome::Finished => return Decision::Reject(Micros(1000)),
             _ => {}
         }
         match outcome {
-            Outcome::Finished => Say::NotYet,
-            _ if task.command.closed || task.out() > 0 => Say::NotYet,
-            _ => Say::Errored,
+            Outcome::Finished => Decision::Wait,
+            _ if task.command.is_closed || task.out() > 0 => Decision::Wait,
+            _ => Decision::Fail,
         }
     }
 
-    fn wait(&self, _: Moment, _: Option<&Task>) -> Option<Span> {
+    fn wait(&self, _: Timestamp, _: Option<&Task>) -> Option<Micros> {
         None
     }
 
     fn dropped(&mut self, task: &mut Task) {
-        task.command.closed = true;
+        task.command.is_closed = true;
     }
 
-    fn list(&mut self, _: Moment, _: ListKind, lines: &[Listed]) {
+    fn list(&mut self, _: Timestamp, _: ListUpdateKind, lines: &[ListEntry]) {
         for line in lines {
             match self.known.iter_mut().find(|l| l.backend == line.backend) {
                 None => self.known.push(*line),
@@ -109,13 +110,13 @@
         }
     }
 
-    fn report(&mut self, _: Moment, _: BackendId, _: bool, _: Span, _: &[f32]) {}
+    fn report(&mut self, _: Timestamp, _: BackendId, _: bool, _: Micros, _: &[f32]) {}
 
-    fn errand(&mut self, now: Moment) -> Option<Errand> {
+    fn errand(&mut self, now: Timestamp) -> Option<Action> {
         // It follows the list once, from the start on.
         (self.turn == 0 && now == virtual_clock::ORIGIN && !self.known.is_empty()).then(|| {
             self.turn = 1;
-            Errand::Follow
+            Action::RequestList
         })
     }
 }
@@ -187,13 +188,13 @@
 
 fn rules() -> Rules {
     let scenario = Scenario::parse(&format!("{PLAIN}{}", profile("tagged"))).expect("good");
-    Rules::new(&scenario, Moment(0))
+    Rules::new(&scenario, Timestamp(0))
 }
 
 /// Sightings by hand, for what no policy on the virtual clock can do wrong.
 #[test]
 fn sightings_by_hand() {
-    let at = |ms: u64| Moment(ms * 1000);
+    let at = |ms: u64| Timestamp(ms * 1000);
     let taken = |attempt, node| Seen::Taken {
         attempt,
         command: attempt,
@@ -240,7 +241,7 @@
 /// The work that a cold backend bears within the window grows with its warmth; what came before it counts no more.
 #[test]
 fn a_cold_backends_budget() {
-    let start = Seen::Started { backend: 1, at: Moment(0), share: 0.5, warm: 10e6, capacity: 1.0 };
+    let start = Seen::Started { backend: 1, at: Timestamp(0), share: 0.5, warm: 10e6, capacity: 1.0 };
     // At the start four times half a core for two seconds are borne, some 4 s of work, and a little for chance.
     let cases = [
         ("little by little", 40, 90_000, 50_000.0, 0),
@@ -251,7 +252,7 @@
         let mut rules = rules();
         rules.see(&start);
         for n in 0..count {
-            rules.see(&Seen::Reached { backend: 1, work, at: Moment(n * apart) });
+            rules.see(&Seen::Reached { backend: 1, work, at: Timestamp(n * apart) });
         }
         assert_eq!(rules.broken.pushes, wanted, "{what}");
     }
--- a/crates/rehearsal/tests/model.rs
+++ b/crates/rehearsal/tests/model.rs
@@ -8,7 +8,7 @@
 use rehearsal::policy::{self, Birth};
 use rehearsal::scenario::{Again, Scenario};
 use rehearsal::virtual_clock;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// One server, one node, no network and nobody in a hurry.
 fn queue(law: &str, load: f64) -> Scenario {
@@ -56,10 +56,10 @@
 impl Bench {
     fn new(more: &str, cold: bool) -> Bench {
         let scenario = kind(more);
-        let budget = (4.0, Span::millis(2000));
-        let started = cold.then_some(Moment(0));
+        let budget = (4.0, Micros::from_millis(2000));
+        let started = cold.then_some(Timestamp(0));
         let own = scenario.backends[0].clone();
-        let backend = Backend::new(own, (0, 0), started, Moment(0), budget, (1, 1));
+        let backend = Backend::new(own, (0, 0), started, Timestamp(0), budget, (1, 1));
         Bench { backend, memory: Memory::default(), told: Vec::new() }
     }
 
@@ -68,13 +68,13 @@
     }
 
     fn tagged(&mut self, ms: u64, key: u64, work_ms: f64, tag: Option<Tag>) -> Reply {
-        let now = Moment(ms * 1000);
+        let now = Timestamp(ms * 1000);
         self.backend.advance(now, &mut self.memory, &mut self.told);
         self.backend.arrive(now, (key, work_ms * 1000.0, tag), &mut self.memory, &mut self.told)
     }
 
     fn until(&mut self, ms: u64) {
-        self.backend.advance(Moment(ms * 1000), &mut self.memory, &mut self.told);
+        self.backend.advance(Timestamp(ms * 1000), &mut self.memory, &mut self.told);
     }
 
     /// Keys and milliseconds of all ends so far.
@@ -130,27 +130,27 @@
     let mut bench = Bench::new("cores = 1", false);
     bench.send(0, 1, 100.0);
     bench.until(50);
-    bench.backend.stands_until = Moment(250_000);
-    bench.backend.changed(Moment(50_000));
+    bench.backend.stands_until = Timestamp(250_000);
+    bench.backend.changed(Timestamp(50_000));
     bench.until(400);
     assert_eq!(bench.ends(), [(1, 300)], "stood for 200 ms");
     bench.backend.hung = true;
-    bench.backend.changed(Moment(400_000));
+    bench.backend.changed(Timestamp(400_000));
     bench.send(400, 2, 10.0);
     bench.until(2000);
     assert_eq!(bench.ends().len(), 1, "hung");
     bench.backend.hung = false;
     bench.backend.part = 0.1;
-    bench.backend.changed(Moment(2_000_000));
+    bench.backend.changed(Timestamp(2_000_000));
     bench.until(2101);
     assert_eq!(bench.ends()[1], (2, 2100), "at a tenth of its speed");
     bench.send(3000, 3, 10.0);
-    bench.backend.die(Moment(3_001_000));
+    bench.backend.die(Timestamp(3_001_000));
     assert_eq!(bench.send(3002, 4, 10.0), Reply::Down);
-    bench.backend.rise(Moment(4_000_000));
+    bench.backend.rise(Timestamp(4_000_000));
     bench.until(6000);
     assert_eq!(bench.ends().len(), 2, "what it held died with it");
-    assert!(bench.backend.warmth(Moment(4_000_000)) < 0.5, "cold after its start");
+    assert!(bench.backend.warmth(Timestamp(4_000_000)) < 0.5, "cold after its start");
     bench.backend.draining = true;
     assert_eq!(bench.send(6000, 5, 10.0), Reply::Full, "draining");
 }
@@ -185,7 +185,7 @@
         bench.until(10);
         // The first runs, the second waits.
         for key in [1, 0] {
-            bench.backend.stop(Moment(10_000), key, &mut bench.memory, &mut bench.told);
+            bench.backend.stop(Timestamp(10_000), key, &mut bench.memory, &mut bench.told);
         }
         bench.until(1000);
         assert_eq!((bench.begun().len(), bench.ends().len()), (begun, ends), "{stops}");
@@ -195,7 +195,7 @@
 /// A tag's repeat has no effect within its span and scope.
 #[test]
 fn repeats_of_a_tag() {
-    let tag = |scope, tag| Some(Tag { scope, tag, span: Span::millis(500) });
+    let tag = |scope, tag| Some(Tag { scope, tag, span: Micros::from_millis(500) });
     let cases = [
         ("the same", (0, 7), 100, false),
         ("another tag", (0, 8), 100, true),
@@ -250,7 +250,7 @@
 fn what_clients_try_again() {
     let mut scenario = kind("cores = 1");
     let mut draw = Draw::new(1, Stream::Clients);
-    let told = Some(Span::millis(700));
+    let told = Some(Micros::from_millis(700));
     // For a tagged command: the end of a try, the clients' way, and whether the next try comes at once, as told,
     // after a wait, or not at all.
     let cases = [
--- a/crates/rollout-run/src/run.rs
+++ b/crates/rollout-run/src/run.rs
@@ -17,7 +17,7 @@
 use std::sync::mpsc;
 use std::thread::{scope, sleep, spawn};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 /// Between two looks at all nodes: a stage is judged by whole seconds.
 const TICK: Duration = Duration::from_millis(400);
@@ -40,8 +40,8 @@
     TakenBack,
 }
 
-pub fn now() -> Moment {
-    Moment(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64)
+pub fn now() -> Timestamp {
+    Timestamp(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64)
 }
 
 pub fn journal_of(folder: &Path) -> PathBuf {
--- a/crates/rollout/src/lead.rs
+++ b/crates/rollout/src/lead.rs
@@ -10,14 +10,14 @@
 use crate::seen::{Here, Second, Told};
 use crate::verdict::{Answer, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// A second is judged once every node had the time to tell of it.
 const TELL: u64 = 3;
 /// What is on trial is kept so many times in the time that it may be without a word.
 const KEEPS: u64 = 4;
 /// Unchanged nodes have to do as they used to for so long before a hold for their sake is over.
-const CALM: Span = Span(10_000_000);
+const CALM: Micros = Micros(10_000_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
@@ -82,17 +82,17 @@
     /// Something was done to it after it told that: what it has now nobody knows until it tells again.
     stale: bool,
     /// Since when it has not answered.
-    silent: Option<Moment>,
+    silent: Option<Timestamp>,
     /// What is being done to it, since when.
-    doing: Option<(Deed, Moment)>,
+    doing: Option<(Deed, Timestamp)>,
     /// Since when it has the new, as which life, and what it took of its machine when that had settled.
-    changed: Option<(Moment, u64)>,
+    changed: Option<(Timestamp, u64)>,
     settled: Option<(u64, u64)>,
-    kept: Option<Moment>,
+    kept: Option<Timestamp>,
     /// Its seconds count as those of an unchanged node until then: from its first change on they do not.
-    touched: Option<Moment>,
+    touched: Option<Timestamp>,
     /// What it would not have, and when.
-    failed: Option<(String, Moment)>,
+    failed: Option<(String, Timestamp)>,
     /// It has started again by itself since it was changed.
     restarted: bool,
 }
@@ -109,10 +109,10 @@
     hold: Option<Hold>,
     paused: bool,
     /// Since when all of the stage's nodes have the new and are settled; and when its verdict is asked for at last.
-    watched: Option<Moment>,
-    patience: Option<Moment>,
-    calm: Option<Moment>,
-    back_since: Option<Moment>,
+    watched: Option<Timestamp>,
+    patience: Option<Timestamp>,
+    calm: Option<Timestamp>,
+    back_since: Option<Timestamp>,
     accepted: bool,
     /// A stage of it was compared, or accepted.
     compared: bool,
@@ -218,7 +218,7 @@
     }
 
     /// Takes in what came of asking every node, in the plan's order: asked after what was told by `came` had come.
-    pub fn look(&mut self, now: Moment, told: Vec<Told>) {
+    pub fn look(&mut self, now: Timestamp, told: Vec<Told>) {
         for (id, told) in self.plan.ids().collect::<Vec<_>>().into_iter().zip(told) {
             self.look_at(now, id, told);
         }
@@ -232,7 +232,7 @@
         }
     }
 
-    fn look_at(&mut self, now: Moment, id: NodeId, told: Told) {
+    fn look_at(&mut self, now: Timestamp, id: NodeId, told: Told) {
         let settle = self.plan.times.settle;
         let has = told.here().map_or(Has::Unknown, |here| self.has_of(here));
         let state = &mut self.nodes[id.0];
@@ -266,7 +266,7 @@
         let (touched, changed) = (state.touched, state.changed);
         for second in seconds {
             // A second that began before its node was touched, or after it had settled: anything between is neither.
-            let (began, ended) = (Moment(second.at * 1_000_000), Moment((second.at + 1) * 1_000_000));
+            let (began, ended) = (Timestamp(second.at * 1_000_000), Timestamp((second.at + 1) * 1_000_000));
             let side = match (touched, changed) {
                 (None, _) => Some(false),
                 (Some(at), _) if ended <= at => Some(false),
@@ -281,7 +281,7 @@
     }
 
     /// What came of a deed.
-    pub fn came(&mut self, now: Moment, id: NodeId, deed: Deed, came: Came) {
+    pub fn came(&mut self, now: Timestamp, id: NodeId, deed: Deed, came: Came) {
         let state = &mut self.nodes[id.0];
         if state.doing.is_some_and(|(doing, _)| doing == deed) {
             state.doing = None;
@@ -308,7 +308,7 @@
     }
 
     /// An operator's word; what it does not fit is left out, and that is said.
-    pub fn order(&mut self, now: Moment, order: Order) -> Result<(), String> {
+    pub fn order(&mut self, now: Timestamp, order: Order) -> Result<(), String> {
         let forward = self.phase == Phase::Forward;
         match order {
             Order::Pause if forward => self.paused = true,
@@ -329,7 +329,7 @@
         Ok(())
     }
 
-    fn go_back(&mut self, now: Moment, why: String) {
+    fn go_back(&mut self, now: Timestamp, why: String) {
         (self.phase, self.hold, self.paused) = (Phase::Back, None, false);
         self.back_since = Some(now);
         self.nodes.iter_mut().for_each(|state| (state.failed, state.restarted) = (None, false));
@@ -373,7 +373,7 @@
     }
 
     /// What is to be written down, in this order and before any of the deeds among it is done.
-    pub fn next(&mut self, now: Moment) -> Vec<Record> {
+    pub fn next(&mut self, now: Timestamp) -> Vec<Record> {
         match self.phase {
             Phase::Forward => self.forward(now),
             Phase::Confirming => self.confirm(now),
@@ -386,7 +386,7 @@
         std::mem::take(&mut self.records)
     }
 
-    fn deed(&mut self, now: Moment, id: NodeId, deed: Deed) {
+    fn deed(&mut self, now: Timestamp, id: NodeId, deed: Deed) {
         let state = &mut self.nodes[id.0];
         state.doing = Some((deed, now));
         state.failed = None;
@@ -397,8 +397,8 @@
         self.records.push(Record::Deed { node, deed });
     }
 
-    fn keep(&mut self, now: Moment) {
-        let every = Span(self.plan.times.word.0 / KEEPS);
+    fn keep(&mut self, now: Timestamp) {
+        let every = Micros(self.plan.times.word.0 / KEEPS);
         for id in self.plan.ids().collect::<Vec<_>>() {
             let state = &self.nodes[id.0];
             let last = state.kept.or(state.changed.map(|(at, _)| at));
@@ -411,7 +411,7 @@
     }
 
     /// What stops a rolling change at once, whatever the figures say.
-    fn at_once(&self, now: Moment) -> Option<String> {
+    fn at_once(&self, now: Timestamp) -> Option<String> {
         let gone = |id: &NodeId| self.nodes[id.0].told == Told::Gone;
         let changed = |id: &NodeId| self.nodes[id.0].changed.is_some();
         let others = self.plan.ids().filter(|id| gone(id) && !changed(id)).count();
@@ -432,7 +432,7 @@
             if let Some((why, _)) = &state.failed {
                 return Some(format!("{name} does not take it: {why}"));
             }
-            let late = |since: Moment| now > since + self.plan.times.command + self.plan.times.silent;
+            let late = |since: Timestamp| now > since + self.plan.times.command + self.plan.times.silent;
             if state.doing.is_some_and(|(deed, since)| deed == Deed::Change && late(since)) {
                 return Some(format!("{name} does not come up"));
             }
@@ -453,7 +453,7 @@
             .then(|| format!("its descriptors have grown by {descriptors:.0}"))
     }
 
-    fn forward(&mut self, now: Moment) {
+    fn forward(&mut self, now: Timestamp) {
         if !std::mem::replace(&mut self.stage_told, true) {
             let nodes = self.stages[self.stage].iter().map(|id| self.name(*id)).collect();
             self.records.push(Record::Stage { stage: self.stage, nodes });
@@ -519,7 +519,7 @@
     }
 
     /// All of the stage have the new.
-    fn watch(&mut self, now: Moment, answer: Answer) {
+    fn watch(&mut self, now: Timestamp, answer: Answer) {
         let times = self.plan.times;
         let last = self.nodes.iter().filter_map(|state| state.changed.map(|(at, _)| at)).max().unwrap_or(now);
         if now < last + times.settle {
@@ -531,7 +531,7 @@
             return self.pass(now, "an operator's word");
         }
         // The verdict lags behind by the seconds that are not told yet.
-        if now < watched + times.watch + Span(TELL * 1_000_000) {
+        if now < watched + times.watch + Micros(TELL * 1_000_000) {
             return;
         }
         let sites: BTreeSet<&str> =
@@ -550,7 +550,7 @@
         }
     }
 
-    fn pass(&mut self, now: Moment, by: &str) {
+    fn pass(&mut self, now: Timestamp, by: &str) {
         self.hold(None);
         self.records.push(Record::Passed { stage: self.stage, by: by.to_owned() });
         (self.compared, self.watched, self.patience) = (true, None, None);
@@ -566,7 +566,7 @@
     }
 
     /// Whoever stands in the way for too long has somebody asked; what can be done goes on all the same.
-    fn stuck(&mut self, now: Moment, left: &[NodeId]) {
+    fn stuck(&mut self, now: Timestamp, left: &[NodeId]) {
         let since = *self.back_since.get_or_insert(now);
         let failed = left.iter().find_map(|id| {
             self.nodes[id.0].failed.as_ref().map(|(why, _)| format!("{}: {why}", self.name(*id)))
@@ -580,7 +580,7 @@
         }
     }
 
-    fn confirm(&mut self, now: Moment) {
+    fn confirm(&mut self, now: Timestamp) {
         let left: Vec<NodeId> = self.plan.ids().filter(|id| self.has(*id) != Has::New).collect();
         if left.is_empty() {
             (self.phase, self.hold) = (Phase::Done, None);
@@ -599,7 +599,7 @@
     }
 
     /// Nothing is being done to it, or what was has come to nothing; after a failure it is left alone for a while.
-    fn free(&self, now: Moment, id: NodeId) -> bool {
+    fn free(&self, now: Timestamp, id: NodeId) -> bool {
         let state = &self.nodes[id.0];
         match (state.doing, &state.failed) {
             (Some((_, since)), _) => now > since + self.plan.times.command + self.plan.times.silent,
@@ -608,7 +608,7 @@
         }
     }
 
-    fn back(&mut self, now: Moment) {
+    fn back(&mut self, now: Timestamp) {
         let left: Vec<NodeId> = self.plan.ids().filter(|id| self.has(*id) != Has::Former).collect();
         let busy = !self.busy().is_empty();
         if left.is_empty() && !busy {
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 /// A node of the plan, by its place there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -78,16 +78,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
     /// After a node's change its seconds count for nothing for so long: it is cold, and its clients come anew.
-    pub settle: Span,
+    pub settle: Micros,
     /// The least that a stage is watched, and the longest without a verdict until somebody is asked.
-    pub watch: Span,
-    pub longest: Span,
+    pub watch: Micros,
+    pub longest: Micros,
     /// Settings on trial go on for so long without the controller's word.
-    pub word: Span,
+    pub word: Micros,
     /// A node that tells nothing for so long is missing; before, it is waited for.
-    pub silent: Span,
+    pub silent: Micros,
     /// How long a command of the plan, a start or an end may take.
-    pub command: Span,
+    pub command: Micros,
 }
 
 /// How much worse, changed against unchanged, is no harm yet. Shares of one unless said otherwise.
@@ -270,7 +270,7 @@
                 return Err(format!("{key} has to be from {least} to {most}, and is {value}"));
             }
         }
-        let span = |seconds: f64| Span((seconds * 1e6) as u64);
+        let span = |seconds: f64| Micros((seconds * 1e6) as u64);
         let (settle, watch, longest) = (span(s.settle), span(s.watch), span(s.longest));
         let (word, silent, command) = (span(s.word), span(s.silent), span(s.command));
         Ok(Plan {
--- a/crates/rollout/src/play.rs
+++ b/crates/rollout/src/play.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Binomial, Distribution, Normal, Poisson};
 use std::collections::BTreeMap;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 pub const FORMER: &str = "former";
 pub const NEW: &str = "new";
@@ -56,11 +56,11 @@
 struct Process {
     new: bool,
     /// On trial until then; for good where there is none.
-    trial: Option<Moment>,
-    changed: Option<Moment>,
+    trial: Option<Timestamp>,
+    changed: Option<Timestamp>,
     life: u64,
     up: bool,
-    silent: Option<Moment>,
+    silent: Option<Timestamp>,
     own: f64,
     seconds: Vec<Second>,
 }
@@ -79,13 +79,13 @@
 }
 
 pub struct Play {
-    pub now: Moment,
+    pub now: Timestamp,
     pub lead: Lead,
     pub law: Law,
     pub harm: Harm,
     nodes: Vec<Process>,
     /// How long a trial goes on without a word.
-    word: Span,
+    word: Micros,
     /// Where the fleet stands by the hour, in points.
     hour: f64,
     chance: ChaCha8Rng,
@@ -116,7 +116,7 @@
         let nodes = (0..plan.nodes.len()).map(process).collect();
         let word = plan.times.word;
         let lead = Lead::new(plan, FORMER, NEW);
-        let (now, journal, why) = (Moment(1_000_000_000), Vec::new(), String::new());
+        let (now, journal, why) = (Timestamp(1_000_000_000), Vec::new(), String::new());
         let (hour, commands, lost, lapsed) = (0.0, 0.0, 0.0, 0);
         Play { now, lead, law, harm, nodes, word, hour, chance, commands, lost, journal, why, lapsed }
     }
@@ -144,7 +144,7 @@
                 continue;
             }
             let since = node.changed.filter(|_| node.new);
-            let harmed = since.is_some_and(|at| self.now.since(at).micros() / 1e6 >= self.harm.after);
+            let harmed = since.is_some_and(|at| self.now.since(at).as_f64() / 1e6 >= self.harm.after);
             let (own, new) = (node.own, node.new);
             let served = self.law.served + self.hour + all + each + own - outage;
             let mut second = Second { at, ..Second::default() };
@@ -185,7 +185,7 @@
         let told = |node: &mut Process| {
             if node.trial.is_some_and(|until| until <= now) {
                 // Out of reach for so long that it was right to.
-                let cut = node.silent.is_some_and(|until| now.since(until) < Span(10_000_000));
+                let cut = node.silent.is_some_and(|until| now.since(until) < Micros(10_000_000));
                 lapsed += usize::from(node.up && !cut);
                 (node.new, node.trial, node.changed) = (false, None, None);
             }
@@ -234,7 +234,7 @@
     /// The same; where it is said so, with a controller that takes whoever does not answer to have the new.
     pub fn step_with(&mut self, blind: bool) {
         self.serve();
-        self.now = self.now + Span(1_000_000);
+        self.now = self.now + Micros(1_000_000);
         let mut told = self.told();
         let has = || Here { state: "serving".to_owned(), settings: NEW.to_owned(), ..Here::default() };
         for told in told.iter_mut().filter(|told| blind && told.here().is_none()) {
@@ -259,7 +259,7 @@
     pub fn run(mut self, most: u64) -> End {
         let start = self.now;
         let mut stage = 0;
-        while !self.lead.over() && self.now.since(start) < Span(most * 1_000_000) {
+        while !self.lead.over() && self.now.since(start) < Micros(most * 1_000_000) {
             if self.lead.phase == Phase::Forward {
                 stage = self.lead.stage;
             }
@@ -269,7 +269,7 @@
                 break;
             }
         }
-        let seconds = self.now.since(start).micros() / 1e6;
+        let seconds = self.now.since(start).as_f64() / 1e6;
         End {
             phase: self.lead.phase,
             stage,
@@ -295,7 +295,7 @@
 
     /// Nothing gets to it or from it for so long, in seconds; it serves nobody meanwhile.
     pub fn silence(&mut self, node: usize, seconds: u64) {
-        self.nodes[node].silent = Some(self.now + Span(seconds * 1_000_000));
+        self.nodes[node].silent = Some(self.now + Micros(seconds * 1_000_000));
     }
 
     /// The controller is killed, and another goes on from its journal.
@@ -368,7 +368,7 @@
     let mut seen: BTreeMap<usize, Vec<(f64, f64)>> = BTreeMap::new();
     let second = |play: &mut Play, seen: &mut BTreeMap<usize, Vec<(f64, f64)>>| {
         play.serve();
-        play.now = play.now + Span(1_000_000);
+        play.now = play.now + Micros(1_000_000);
         for (place, told) in play.told().iter().enumerate() {
             for second in told.here().iter().flat_map(|here| &here.seconds) {
                 let served =
@@ -398,12 +398,12 @@
             after.extend_from_slice(&served[served.len() - 30..]);
         }
         if share(&before) - share(&after) > 0.01 {
-            let seconds = play.now.since(start).micros() / 1e6;
+            let seconds = play.now.since(start).as_f64() / 1e6;
             let (commands, lost, why) = (play.commands, play.lost, "worse than before".to_owned());
             return End { phase: Phase::TakenBack, stage, seconds, commands, lost, why };
         }
     }
-    let seconds = play.now.since(start).micros() / 1e6;
+    let seconds = play.now.since(start).as_f64() / 1e6;
     let (commands, lost, stage) = (play.commands, play.lost, stages.len());
     End { phase: Phase::Done, stage, seconds, commands, lost, why: String::new() }
 }
--- a/crates/rollout/tests/plays.rs
+++ b/crates/rollout/tests/plays.rs
@@ -5,7 +5,7 @@
 use rollout::plan::NodeId;
 use rollout::play::{plan, Harm, Law, Play};
 use rollout::seen::{Here, OnTrial, Told};
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 const SOON: &str = "[seconds]\nsettle = 2.0\nwatch = 10.0\nlongest = 400.0\nword = 12.0\nsilent = 4.0\n";
 
@@ -117,7 +117,7 @@
         |record: &Record| matches!(record, Record::Deed { node, deed: Deed::Change } if node == "n0");
     for came in [Came::Done, Came::Unknown("no answer".to_owned())] {
         let mut lead = Lead::new(plan(2, SOON), "a", "b");
-        let (at, first) = (|s: u64| Moment((1_000 + s) * 1_000_000), NodeId(0));
+        let (at, first) = (|s: u64| Timestamp((1_000 + s) * 1_000_000), NodeId(0));
         lead.look(at(0), vec![tells("a", false), tells("a", false)]);
         assert!(lead.next(at(0)).iter().any(change));
         lead.came(at(1), first, Deed::Change, came);
