--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -6,10 +6,10 @@
 use std::collections::HashMap;
 use std::hash::BuildHasherDefault;
 use yarrowfront::command::{Command, Outcome};
-use yarrowfront::decide::{Balancer, Errand, ListKind, Listed, Say, State};
-use yarrowfront::ids::{BackendId, CommandId, GroupId, Hand, KindId, ProfileId, ZoneId};
-use yarrowfront::settings::Terms;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::decide::{Action, BackendState, Balancer, Decision, ListEntry, ListUpdateKind};
+use yarrowfront::ids::{BackendId, BackendTypeId, CommandHandle, CommandId, GroupId, ProfileId, ZoneId};
+use yarrowfront::settings::Settings;
+use yarrowfront::times::{Micros, Timestamp};
 
 type Map<K, V> = HashMap<K, V, BuildHasherDefault<DefaultHasher>>;
 
@@ -19,7 +19,7 @@
 struct InHand {
     command: Command,
     /// The moment of its last timer.
-    armed: Option<Moment>,
+    armed: Option<Timestamp>,
 }
 
 struct Instance {
@@ -28,7 +28,7 @@
     profiles: usize,
     hands: Slab<InHand>,
     by_id: Map<u32, usize>,
-    armed: Option<Moment>,
+    armed: Option<Timestamp>,
 }
 
 #[derive(Default)]
@@ -36,8 +36,8 @@
     instances: Map<u32, Instance>,
 }
 
-fn micros(nanos: u64) -> Span {
-    Span(nanos / 1000)
+fn micros(nanos: u64) -> Micros {
+    Micros(nanos / 1000)
 }
 
 fn outcome(code: u16) -> Result<Outcome, String> {
@@ -46,35 +46,35 @@
         301 => Outcome::Errored,
         302 => Outcome::Full,
         303 => Outcome::TimedOut,
-        304 => Outcome::Unreachable,
-        305 => Outcome::Broken,
+        304 => Outcome::ConnectFailed,
+        305 => Outcome::ConnectionLost,
         306 => Outcome::Cancelled,
-        307 => Outcome::Unsent,
+        307 => Outcome::NotSent,
         _ => return Err(format!("code: unknown outcome {code}")),
     })
 }
 
-fn listed(entry: &[u8]) -> Result<Listed, String> {
-    Ok(Listed {
-        mark: u64::from(u32_at(entry, 0)),
-        size: f64::from(f32::from_bits(u32_at(entry, 10))),
+fn listed(entry: &[u8]) -> Result<ListEntry, String> {
+    Ok(ListEntry {
+        name_hash: u64::from(u32_at(entry, 0)),
+        weight: f64::from(f32::from_bits(u32_at(entry, 10))),
         backend: BackendId(u32_at(entry, 0)),
         zone: ZoneId(u16_at(entry, 4)),
-        kind: KindId(entry[6]),
+        backend_type: BackendTypeId(entry[6]),
         group: GroupId(u16_at(entry, 7)),
         state: match entry[9] {
-            0 => State::Gone,
-            1 => State::Ready,
-            2 => State::Draining,
+            0 => BackendState::Gone,
+            1 => BackendState::Ready,
+            2 => BackendState::Draining,
             other => return Err(format!("members.status: unknown state {other}")),
         },
-        started: Moment(u64_at(entry, 14) / 1000),
+        started_at: Timestamp(u64_at(entry, 14) / 1000),
     })
 }
 
 impl Host {
     pub fn batch(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), String> {
-        let now = Moment(batch.nanos() / 1000);
+        let now = Timestamp(batch.nanos() / 1000);
         let mut last = None;
         for event in batch.events() {
             let number = u32_at(event, 1);
@@ -96,7 +96,7 @@
         Ok(())
     }
 
-    fn upkeep(&mut self, number: Option<u32>, now: Moment, reply: &mut Reply) {
+    fn upkeep(&mut self, number: Option<u32>, now: Timestamp, reply: &mut Reply) {
         if let Some(instance) = number.and_then(|n| self.instances.get_mut(&n)) {
             instance.upkeep(now, reply);
         }
@@ -105,12 +105,12 @@
     fn start(
         &mut self,
         number: u32,
-        now: Moment,
+        now: Timestamp,
         event: &[u8],
         batch: &Batch,
         reply: &mut Reply,
     ) -> Result<(), String> {
-        match Terms::from_json(batch.bytes(event, 13, "params")?) {
+        match Settings::from_json(batch.bytes(event, 13, "params")?) {
             Ok(terms) => {
                 let profiles = terms.profiles.len();
                 let node = Balancer::new(terms, u64_at(event, 5), now);
@@ -124,21 +124,27 @@
 }
 
 impl Instance {
-    fn event(&mut self, now: Moment, event: &[u8], batch: &Batch, reply: &mut Reply) -> Result<(), String> {
+    fn event(
+        &mut self,
+        now: Timestamp,
+        event: &[u8],
+        batch: &Batch,
+        reply: &mut Reply,
+    ) -> Result<(), String> {
         match event[0] {
             20 => {
                 let kind = match event[5] {
-                    0 => ListKind::Changes,
-                    1 => ListKind::Whole,
-                    2 => ListKind::Cached,
-                    3 => ListKind::Failed,
+                    0 => ListUpdateKind::Delta,
+                    1 => ListUpdateKind::Snapshot,
+                    2 => ListUpdateKind::Cached,
+                    3 => ListUpdateKind::Failed,
                     other => return Err(format!("how: unknown kind of list {other}")),
                 };
                 let entries = batch.entries(event, 10, "members")?;
                 for entry in entry_chunks(entries) {
                     listed(entry)?;
                 }
-                self.node.list(now, kind, entry_chunks(entries).filter_map(|e| listed(e).ok()));
+                self.node.apply_list(now, kind, entry_chunks(entries).filter_map(|e| listed(e).ok()));
             }
             30 => self.command(now, event, reply)?,
             // No profile here streams its answer: its start changes nothing.
@@ -149,15 +155,21 @@
                 let outcome = outcome(u16_at(event, 14))?;
                 if let Some(&key) = self.by_id.get(&u32_at(event, 5)) {
                     let command = &mut self.hands[key].command;
-                    command.closed |= event[24] != 0;
-                    let say = self.node.after(now, Hand(key as u32), command, event[9], outcome);
+                    command.is_closed |= event[24] != 0;
+                    let say = self.node.on_launch_outcome(
+                        now,
+                        CommandHandle(key as u32),
+                        command,
+                        event[9],
+                        outcome,
+                    );
                     self.say(now, key, say, reply);
                 }
-                self.node.report(now, backend, true, None, &values[..count]);
+                self.node.on_load_report(now, backend, true, None, &values[..count]);
             }
             60 => {
                 if let Some(&key) = self.by_id.get(&u32_at(event, 5)) {
-                    self.node.dropped(&mut self.hands[key].command);
+                    self.node.on_client_gone(&mut self.hands[key].command);
                     self.settle(now, key, reply);
                 }
             }
@@ -175,7 +187,7 @@
                 let found = u16_at(event, 5) == 100;
                 let trip = micros(u64_at(event, 11));
                 let backend = BackendId(u32_at(event, 7));
-                self.node.report(now, backend, found, Some(trip), &values[..count]);
+                self.node.on_load_report(now, backend, found, Some(trip), &values[..count]);
             }
             90 => {}
             other => return Err(format!("code: unknown event {other}")),
@@ -183,7 +195,7 @@
         Ok(())
     }
 
-    fn command(&mut self, now: Moment, event: &[u8], reply: &mut Reply) -> Result<(), String> {
+    fn command(&mut self, now: Timestamp, event: &[u8], reply: &mut Reply) -> Result<(), String> {
         let profile = u16_at(event, 9);
         if usize::from(profile) >= self.profiles {
             return Err(format!("band: there is no profile {profile}"));
@@ -191,41 +203,41 @@
         let id = CommandId(u32_at(event, 5));
         let mut command = Command::new(id, ProfileId(profile), now, micros(u64_at(event, 23)));
         let attrs = u16_at(event, 39);
-        command.hint = (attrs & 1 != 0).then(|| micros(u64_at(event, 31)));
-        command.repeat = attrs & 2 != 0;
-        command.key = u64_at(event, 15);
+        command.work_hint = (attrs & 1 != 0).then(|| micros(u64_at(event, 31)));
+        command.is_client_retry = attrs & 2 != 0;
+        command.affinity_key = u64_at(event, 15);
         let key = self.hands.insert(InHand { command, armed: None });
         self.by_id.insert(id.0, key);
         self.again(now, key, reply);
         Ok(())
     }
 
-    fn again(&mut self, now: Moment, key: usize, reply: &mut Reply) {
-        let say = self.node.place(now, Hand(key as u32), &mut self.hands[key].command);
+    fn again(&mut self, now: Timestamp, key: usize, reply: &mut Reply) {
+        let say = self.node.decide(now, CommandHandle(key as u32), &mut self.hands[key].command);
         self.say(now, key, say, reply);
     }
 
-    fn say(&mut self, now: Moment, key: usize, say: Say, reply: &mut Reply) {
+    fn say(&mut self, now: Timestamp, key: usize, say: Decision, reply: &mut Reply) {
         let id = self.hands[key].command.id.0.to_be_bytes();
         match say {
-            Say::Launch(backend) => reply.action(10, self.number, &[&id, &backend.0.to_be_bytes()]),
-            Say::NotYet => {}
-            Say::TurnBack(span) => reply.action(20, self.number, &[&id, &(span.0 * 1000).to_be_bytes()]),
-            Say::Errored => reply.action(30, self.number, &[&id]),
-            Say::CallOff(launch) => reply.action(40, self.number, &[&id, &[launch]]),
+            Decision::Launch(backend) => reply.action(10, self.number, &[&id, &backend.0.to_be_bytes()]),
+            Decision::Wait => {}
+            Decision::Reject(span) => reply.action(20, self.number, &[&id, &(span.0 * 1000).to_be_bytes()]),
+            Decision::Fail => reply.action(30, self.number, &[&id]),
+            Decision::CancelLaunch(launch) => reply.action(40, self.number, &[&id, &[launch]]),
         }
         self.settle(now, key, reply);
     }
 
     /// Lets go of a command that is over, or sets its next timer.
-    fn settle(&mut self, now: Moment, key: usize, reply: &mut Reply) {
+    fn settle(&mut self, now: Timestamp, key: usize, reply: &mut Reply) {
         let hand = &mut self.hands[key];
-        if hand.command.closed && hand.command.out() == 0 {
+        if hand.command.is_closed && hand.command.in_flight_count() == 0 {
             self.by_id.remove(&hand.command.id.0);
             self.hands.remove(key);
             return;
         }
-        if let Some(span) = self.node.wait(now, Some(&hand.command)) {
+        if let Some(span) = self.node.wakeup_delay(now, Some(&hand.command)) {
             if hand.armed != Some(now + span) {
                 hand.armed = Some(now + span);
                 let token = (key as u64) << 32 | u64::from(hand.command.id.0);
@@ -234,20 +246,22 @@
         }
     }
 
-    fn upkeep(&mut self, now: Moment, reply: &mut Reply) {
-        while let Some(errand) = self.node.errand(now) {
+    fn upkeep(&mut self, now: Timestamp, reply: &mut Reply) {
+        while let Some(errand) = self.node.next_action(now) {
             match errand {
-                Errand::Probe(backend) => reply.action(60, self.number, &[&backend.0.to_be_bytes()]),
-                Errand::Close(backend) => reply.action(70, self.number, &[&backend.0.to_be_bytes()]),
-                Errand::Follow => reply.action(110, self.number, &[&[1]]),
-                Errand::Again(hand) => {
+                Action::Probe(backend) => reply.action(60, self.number, &[&backend.0.to_be_bytes()]),
+                Action::CloseIdleConnections(backend) => {
+                    reply.action(70, self.number, &[&backend.0.to_be_bytes()])
+                }
+                Action::RequestList => reply.action(110, self.number, &[&[1]]),
+                Action::Reevaluate(hand) => {
                     if self.hands.contains(hand.0 as usize) {
                         self.again(now, hand.0 as usize, reply);
                     }
                 }
             }
         }
-        if let Some(span) = self.node.wait(now, None) {
+        if let Some(span) = self.node.wakeup_delay(now, None) {
             if self.armed.is_none_or(|at| now + span < at) {
                 self.armed = Some(now + span);
                 timer(self.number, span, UPKEEP, reply);
@@ -256,7 +270,7 @@
     }
 }
 
-fn timer(instance: u32, span: Span, token: u64, reply: &mut Reply) {
+fn timer(instance: u32, span: Micros, token: u64, reply: &mut Reply) {
     let nanos = (span.0 * 1000).max(1);
     reply.action(50, instance, &[&nanos.to_be_bytes(), &token.to_be_bytes()]);
 }
--- a/crates/sites/src/detection.rs
+++ b/crates/sites/src/detection.rs
@@ -4,11 +4,11 @@
 //! empties itself, this node's own isolation, a deploy, an overload) is none; a state changes only when its evidence has
 //! held for its time, and from every state there is a way to `Whole`; memory is the same whatever comes.
 
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
-    Whole,
+pub enum SiteState {
+    Healthy,
     /// It serves, and less than it should.
     Impaired,
     /// Nothing of it is there for anybody.
@@ -19,20 +19,20 @@
     Returning,
 }
 
-impl State {
-    pub fn word(self) -> &'static str {
+impl SiteState {
+    pub fn text(self) -> &'static str {
         match self {
-            State::Whole => "whole",
-            State::Impaired => "impaired",
-            State::Lost => "lost",
-            State::Unreachable => "out of reach from here",
-            State::Returning => "returning",
+            SiteState::Healthy => "whole",
+            SiteState::Impaired => "impaired",
+            SiteState::Lost => "lost",
+            SiteState::Unreachable => "out of reach from here",
+            SiteState::Returning => "returning",
         }
     }
 
     /// Whether anything new may go there.
-    pub fn takes(self) -> bool {
-        !matches!(self, State::Lost | State::Unreachable)
+    pub fn accepts_new_commands(self) -> bool {
+        !matches!(self, SiteState::Lost | SiteState::Unreachable)
     }
 }
 
@@ -40,208 +40,226 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Evidence {
     /// Of the site's nodes that were ever there: how many the view takes to be here. None without a view.
-    pub nodes: Option<(u32, u32)>,
+    pub live_nodes: Option<(u32, u32)>,
     /// This node sees no majority of the fleet, or nobody: what it thinks of others says nothing.
-    pub isolated: bool,
+    pub node_is_isolated: bool,
     /// Of the site's backends that were listed before: how many are listed ready now, and how old the list is.
-    pub listed: Option<(u32, u32)>,
-    pub list_age: Span,
+    pub ready_backends: Option<(u32, u32)>,
+    pub list_age: Micros,
     /// All sites' backends are gone from the list at once.
-    pub emptied: bool,
+    pub list_is_empty: bool,
     /// This node's own launches and dials there: answered in any way, and without any answer (refused, reset, silent).
     pub answered: u32,
-    pub dead: u32,
+    pub unanswered: u32,
     /// The same to all other sites together.
-    pub elsewhere: (u32, u32),
+    pub other_sites: (u32, u32),
     /// Of what was answered: late, or full.
-    pub slow: u32,
+    pub slow_answers: u32,
 }
 
 /// Why a state is taken, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum StateReason {
     Answers,
     /// Nodes, list and own launches: two of the three say so, and none the contrary.
     NodesAndLaunches,
     NodesAndList,
     ListAndLaunches,
     /// Its nodes are not seen and nothing is answered, but discovery still lists it: the way is cut.
-    OnlyFromHere,
+    PathCut,
     /// This node is the one that is cut off.
     Isolated,
     /// Part of it is gone, or answers late.
-    Part,
-    Declared,
+    Partial,
+    Operator,
     /// Nothing says anything of it.
-    Nothing,
+    NoEvidence,
 }
 
-impl Why {
-    pub fn word(self) -> &'static str {
+impl StateReason {
+    pub fn text(self) -> &'static str {
         match self {
-            Why::Answers => "it answers",
-            Why::NodesAndLaunches => "its nodes are not seen, and nothing is answered",
-            Why::NodesAndList => "its nodes are not seen, and discovery lists none of its backends",
-            Why::ListAndLaunches => "discovery lists none of its backends, and nothing is answered",
-            Why::OnlyFromHere => "nothing of it is reached, but discovery lists it: the way is cut",
-            Why::Isolated => "this node reaches nobody: it is the one that is cut off",
-            Why::Part => "a part of it is gone, or answers late",
-            Why::Declared => "an operator has said so",
-            Why::Nothing => "nothing says anything of it",
+            StateReason::Answers => "it answers",
+            StateReason::NodesAndLaunches => "its nodes are not seen, and nothing is answered",
+            StateReason::NodesAndList => "its nodes are not seen, and discovery lists none of its backends",
+            StateReason::ListAndLaunches => "discovery lists none of its backends, and nothing is answered",
+            StateReason::PathCut => "nothing of it is reached, but discovery lists it: the way is cut",
+            StateReason::Isolated => "this node reaches nobody: it is the one that is cut off",
+            StateReason::Partial => "a part of it is gone, or answers late",
+            StateReason::Operator => "an operator has said so",
+            StateReason::NoEvidence => "nothing says anything of it",
         }
     }
 }
 
 /// How long evidence has to hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Times {
-    pub lost: Span,
-    pub impaired: Span,
+pub struct DetectionTimes {
+    pub lost: Micros,
+    pub impaired: Micros,
     /// Until a lost one that answers again is returning, and a returning one whole.
-    pub back: Span,
-    pub whole: Span,
+    pub returning: Micros,
+    pub healthy: Micros,
     /// A list older than this says nothing.
-    pub list: Span,
+    pub max_list_age: Micros,
     /// What an operator has declared is older news after this.
-    pub declared: Span,
+    pub override_lifetime: Micros,
 }
 
-impl Default for Times {
+impl Default for DetectionTimes {
     /// A loss is known two seconds after its evidence: shorter than clients take to move, longer than a node's stall. Back
     /// and whole by a site that flaps every eight seconds: it stays lost.
-    fn default() -> Times {
-        Times {
-            lost: Span::millis(2000),
-            impaired: Span::millis(3000),
-            back: Span::millis(5000),
-            whole: Span::millis(20_000),
-            list: Span::millis(10_000),
-            declared: Span::millis(3_600_000),
+    fn default() -> DetectionTimes {
+        DetectionTimes {
+            lost: Micros::from_millis(2000),
+            impaired: Micros::from_millis(3000),
+            returning: Micros::from_millis(5000),
+            healthy: Micros::from_millis(20_000),
+            max_list_age: Micros::from_millis(10_000),
+            override_lifetime: Micros::from_millis(3_600_000),
         }
     }
 }
 
 /// What an operator may say of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum OperatorOverride {
     Lost,
     /// It is not to come back yet.
-    Held,
+    HoldLost,
     /// It may, whatever was said before.
-    Free,
+    Clear,
 }
 
 #[derive(Clone, Debug)]
-pub struct Knowing {
-    times: Times,
-    pub state: State,
-    pub why: Why,
-    pub since: Moment,
+pub struct SiteDetector {
+    times: DetectionTimes,
+    pub state: SiteState,
+    pub reason: StateReason,
+    pub since: Timestamp,
     /// What the evidence has said, without a break since.
-    says: (State, Moment),
-    declared: Option<(Word, Moment)>,
+    says: (SiteState, Timestamp),
+    declared: Option<(OperatorOverride, Timestamp)>,
     /// Returned in full: told by whoever paces it.
     warm: bool,
 }
 
-impl Knowing {
-    pub fn new(now: Moment, times: Times) -> Knowing {
-        let (state, why) = (State::Whole, Why::Nothing);
-        Knowing { times, state, why, since: now, says: (state, now), declared: None, warm: false }
+impl SiteDetector {
+    pub fn new(now: Timestamp, times: DetectionTimes) -> SiteDetector {
+        let (state, why) = (SiteState::Healthy, StateReason::NoEvidence);
+        SiteDetector {
+            times,
+            state,
+            reason: why,
+            since: now,
+            says: (state, now),
+            declared: None,
+            warm: false,
+        }
     }
 
-    pub fn declare(&mut self, now: Moment, word: Word) {
-        self.declared = (word != Word::Free).then_some((word, now));
+    pub fn set_override(&mut self, now: Timestamp, word: OperatorOverride) {
+        self.declared = (word != OperatorOverride::Clear).then_some((word, now));
     }
 
     /// The return is through: all of its share is open.
-    pub fn returned(&mut self) {
+    pub fn on_return_complete(&mut self) {
         self.warm = true;
     }
 
     /// What the evidence alone says.
-    pub fn weigh(&self, found: &Evidence) -> (State, Why) {
-        let all_dead = found.dead >= 3 && found.answered == 0;
-        let answers = found.answered > 0 && found.answered >= found.dead;
-        let no_nodes = found.nodes.is_some_and(|(here, known)| known > 0 && here == 0);
-        let nodes = found.nodes.is_some_and(|(here, _)| here > 0);
-        let fresh = found.list_age < self.times.list && !found.emptied;
-        let unlisted = fresh && found.listed.is_some_and(|(ready, known)| known > 0 && ready == 0);
-        let listed = fresh && found.listed.is_some_and(|(ready, _)| ready > 0);
-        let others_dead = found.elsewhere.1 >= 3 && found.elsewhere.0 == 0;
+    pub fn assess(&self, found: &Evidence) -> (SiteState, StateReason) {
+        let all_dead = found.unanswered >= 3 && found.answered == 0;
+        let answers = found.answered > 0 && found.answered >= found.unanswered;
+        let no_nodes = found.live_nodes.is_some_and(|(here, known)| known > 0 && here == 0);
+        let nodes = found.live_nodes.is_some_and(|(here, _)| here > 0);
+        let fresh = found.list_age < self.times.max_list_age && !found.list_is_empty;
+        let unlisted = fresh && found.ready_backends.is_some_and(|(ready, known)| known > 0 && ready == 0);
+        let listed = fresh && found.ready_backends.is_some_and(|(ready, _)| ready > 0);
+        let others_dead = found.other_sites.1 >= 3 && found.other_sites.0 == 0;
         if answers {
             // Whatever else is said: it serves.
             let less = |part: (u32, u32)| part.0 * 3 < part.1 * 2;
-            let part = found.nodes.is_some_and(less)
-                || fresh && found.listed.is_some_and(less)
-                || found.dead * 3 > found.answered
-                || found.slow * 2 > found.answered;
-            return if part { (State::Impaired, Why::Part) } else { (State::Whole, Why::Answers) };
+            let part = found.live_nodes.is_some_and(less)
+                || fresh && found.ready_backends.is_some_and(less)
+                || found.unanswered * 3 > found.answered
+                || found.slow_answers * 2 > found.answered;
+            return if part {
+                (SiteState::Impaired, StateReason::Partial)
+            } else {
+                (SiteState::Healthy, StateReason::Answers)
+            };
         }
         match () {
             // Its own troubles are no others'.
-            () if found.isolated && (all_dead || no_nodes) => (State::Unreachable, Why::Isolated),
-            () if others_dead && all_dead => (State::Unreachable, Why::Isolated),
-            () if no_nodes && all_dead && listed => (State::Unreachable, Why::OnlyFromHere),
-            () if no_nodes && all_dead => (State::Lost, Why::NodesAndLaunches),
-            () if no_nodes && unlisted => (State::Lost, Why::NodesAndList),
-            () if unlisted && all_dead => (State::Lost, Why::ListAndLaunches),
+            () if found.node_is_isolated && (all_dead || no_nodes) => {
+                (SiteState::Unreachable, StateReason::Isolated)
+            }
+            () if others_dead && all_dead => (SiteState::Unreachable, StateReason::Isolated),
+            () if no_nodes && all_dead && listed => (SiteState::Unreachable, StateReason::PathCut),
+            () if no_nodes && all_dead => (SiteState::Lost, StateReason::NodesAndLaunches),
+            () if no_nodes && unlisted => (SiteState::Lost, StateReason::NodesAndList),
+            () if unlisted && all_dead => (SiteState::Lost, StateReason::ListAndLaunches),
             // Its nodes live and its backends are gone, or the other way round.
-            () if all_dead && nodes => (State::Impaired, Why::Part),
-            () if no_nodes && listed => (State::Impaired, Why::Part),
-            () if self.state.takes() => (self.state, Why::Nothing),
+            () if all_dead && nodes => (SiteState::Impaired, StateReason::Partial),
+            () if no_nodes && listed => (SiteState::Impaired, StateReason::Partial),
+            () if self.state.accepts_new_commands() => (self.state, StateReason::NoEvidence),
             // Nothing is sent to a lost one: what stands against it has to be gone before it is tried.
-            () if no_nodes || unlisted || all_dead => (self.state, self.why),
-            () if nodes || listed => (State::Whole, Why::Answers),
-            () => (self.state, Why::Nothing),
+            () if no_nodes || unlisted || all_dead => (self.state, self.reason),
+            () if nodes || listed => (SiteState::Healthy, StateReason::Answers),
+            () => (self.state, StateReason::NoEvidence),
         }
     }
 
     /// Takes in what a look finds; whether the state is another one now.
-    pub fn look(&mut self, now: Moment, found: &Evidence) -> bool {
-        if self.declared.is_some_and(|(_, at)| now.since(at) >= self.times.declared) {
+    pub fn observe(&mut self, now: Timestamp, found: &Evidence) -> bool {
+        if self.declared.is_some_and(|(_, at)| now.since(at) >= self.times.override_lifetime) {
             self.declared = None;
         }
-        let (says, why) = self.weigh(found);
+        let (says, why) = self.assess(found);
         if self.says.0 != says {
             self.says = (says, now);
         }
         let held = now.since(self.says.1);
         let new = match (self.state, says, self.declared.map(|(word, _)| word)) {
-            (_, _, Some(Word::Lost)) => (State::Lost, Why::Declared),
-            (state @ (State::Lost | State::Unreachable), _, Some(Word::Held)) => (state, Why::Declared),
-            (State::Returning, _, Some(Word::Held)) => (State::Lost, Why::Declared),
-            (State::Lost | State::Unreachable, State::Whole | State::Impaired, _)
-                if held >= self.times.back =>
+            (_, _, Some(OperatorOverride::Lost)) => (SiteState::Lost, StateReason::Operator),
+            (state @ (SiteState::Lost | SiteState::Unreachable), _, Some(OperatorOverride::HoldLost)) => {
+                (state, StateReason::Operator)
+            }
+            (SiteState::Returning, _, Some(OperatorOverride::HoldLost)) => {
+                (SiteState::Lost, StateReason::Operator)
+            }
+            (SiteState::Lost | SiteState::Unreachable, SiteState::Healthy | SiteState::Impaired, _)
+                if held >= self.times.returning =>
             {
-                (State::Returning, why)
+                (SiteState::Returning, why)
             }
-            (State::Lost, State::Unreachable, _) | (State::Unreachable, State::Lost, _)
+            (SiteState::Lost, SiteState::Unreachable, _) | (SiteState::Unreachable, SiteState::Lost, _)
                 if held >= self.times.lost =>
             {
                 (says, why)
             }
-            (State::Lost | State::Unreachable, _, _) => (self.state, self.why),
-            (_, State::Lost | State::Unreachable, _) if held >= self.times.lost => (says, why),
-            (State::Returning, State::Whole | State::Impaired, _) => {
-                match self.warm && now.since(self.since) >= self.times.whole {
+            (SiteState::Lost | SiteState::Unreachable, _, _) => (self.state, self.reason),
+            (_, SiteState::Lost | SiteState::Unreachable, _) if held >= self.times.lost => (says, why),
+            (SiteState::Returning, SiteState::Healthy | SiteState::Impaired, _) => {
+                match self.warm && now.since(self.since) >= self.times.healthy {
                     true => (says, why),
-                    false => (State::Returning, self.why),
+                    false => (SiteState::Returning, self.reason),
                 }
             }
-            (State::Whole, State::Impaired, _) | (State::Impaired, State::Whole, _)
+            (SiteState::Healthy, SiteState::Impaired, _) | (SiteState::Impaired, SiteState::Healthy, _)
                 if held >= self.times.impaired =>
             {
                 (says, why)
             }
-            _ => (self.state, self.why),
+            _ => (self.state, self.reason),
         };
         let changed = new.0 != self.state;
         if changed {
             self.since = now;
             self.warm = false;
         }
-        (self.state, self.why) = new;
+        (self.state, self.reason) = new;
         changed
     }
 }
--- a/crates/sites/src/failover.rs
+++ b/crates/sites/src/failover.rs
@@ -5,7 +5,7 @@
 //! are nearly equally let in; a site's own clients keep the stated share; what goes to a site comes from its own clients or
 //! from those of a lost one, never from whoever was passed on to.
 
-use crate::plan::{Hour, Plan, ProfileId, SiteId};
+use crate::plan::{LoadLevel, Plan, ProfileId, SiteId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How steeply less dear profiles are let in less: at half of the payoff for its work a sixty-fourth. Steeper comes
@@ -14,7 +14,7 @@
 const ENOUGH: f64 = 1e-9;
 
 /// What is let in of each profile, as a share, where so much work may be done: `asked` in commands a second.
-pub fn let_in(plan: &Plan, asked: &BTreeMap<ProfileId, f64>, room: f64) -> BTreeMap<ProfileId, f64> {
+pub fn admitted_shares(plan: &Plan, asked: &BTreeMap<ProfileId, f64>, room: f64) -> BTreeMap<ProfileId, f64> {
     let work = |share: &dyn Fn(ProfileId) -> f64| -> f64 {
         asked.iter().map(|(id, asked)| asked * plan.profile(*id).work * share(*id)).sum()
     };
@@ -46,27 +46,27 @@
 
 /// What becomes of a loss.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Going {
+pub struct FailoverPlan {
     /// Commands a second from whose clients to which site.
-    pub goes: BTreeMap<(SiteId, SiteId, ProfileId), f64>,
-    pub refused: BTreeMap<(SiteId, ProfileId), f64>,
+    pub routed: BTreeMap<(SiteId, SiteId, ProfileId), f64>,
+    pub rejected: BTreeMap<(SiteId, ProfileId), f64>,
     /// Payoff a second that is served and that is asked for.
-    pub served: f64,
-    pub asked: f64,
+    pub served_payoff: f64,
+    pub requested_payoff: f64,
 }
 
-impl Going {
+impl FailoverPlan {
     /// Work that a site is given.
-    pub fn given(&self, plan: &Plan, site: SiteId) -> f64 {
-        let to = self.goes.iter().filter(|((_, to, _), _)| *to == site);
+    pub fn assigned_work(&self, plan: &Plan, site: SiteId) -> f64 {
+        let to = self.routed.iter().filter(|((_, to, _), _)| *to == site);
         to.map(|((_, _, profile), rate)| rate * plan.profile(*profile).work).sum()
     }
 
     /// Of all that is asked of a profile, the share that is refused.
-    pub fn refused_share(&self, profile: ProfileId) -> f64 {
+    pub fn rejected_share(&self, profile: ProfileId) -> f64 {
         let refused: f64 =
-            self.refused.iter().filter(|((_, p), _)| *p == profile).map(|(_, rate)| rate).sum();
-        let goes: f64 = self.goes.iter().filter(|((_, _, p), _)| *p == profile).map(|(_, rate)| rate).sum();
+            self.rejected.iter().filter(|((_, p), _)| *p == profile).map(|(_, rate)| rate).sum();
+        let goes: f64 = self.routed.iter().filter(|((_, _, p), _)| *p == profile).map(|(_, rate)| rate).sum();
         if refused + goes > ENOUGH {
             refused / (refused + goes)
         } else {
@@ -76,21 +76,22 @@
 }
 
 /// A loss as it is planned for.
-pub fn going(plan: &Plan, lost: &BTreeSet<SiteId>, hour: Hour) -> Going {
+pub fn plan_failover(plan: &Plan, lost: &BTreeSet<SiteId>, hour: LoadLevel) -> FailoverPlan {
     let alive: Vec<SiteId> = plan.site_ids().filter(|site| !lost.contains(site)).collect();
-    let mut left: BTreeMap<SiteId, f64> = alive.iter().map(|site| (*site, plan.room(*site))).collect();
-    let mut found = Going::default();
+    let mut left: BTreeMap<SiteId, f64> =
+        alive.iter().map(|site| (*site, plan.usable_capacity(*site))).collect();
+    let mut found = FailoverPlan::default();
     let work = |profile: ProfileId| plan.profile(profile).work;
     for site in plan.site_ids() {
         for profile in plan.profile_ids() {
-            found.asked += plan.asked(site, profile, hour) * plan.profile(profile).payoff;
+            found.requested_payoff += plan.demand(site, profile, hour) * plan.profile(profile).payoff;
         }
     }
     // Each site's own clients first, up to the share that is theirs; what stands over competes with the lost site's.
     let mut over: BTreeMap<(SiteId, ProfileId), f64> = BTreeMap::new();
     for site in &alive {
         let asked = by_profile(plan, *site, hour);
-        let shares = let_in(plan, &asked, plan.room(*site) * plan.own);
+        let shares = admitted_shares(plan, &asked, plan.usable_capacity(*site) * plan.own_share);
         for (profile, asked) in asked {
             let kept = asked * shares[&profile];
             give(&mut found, &mut left, (*site, *site, profile), kept, work(profile));
@@ -105,11 +106,11 @@
     let room: f64 = left.values().sum();
     let mut all: BTreeMap<ProfileId, f64> = BTreeMap::new();
     over.iter().for_each(|((_, profile), rate)| *all.entry(*profile).or_default() += rate);
-    let shares = let_in(plan, &all, room);
+    let shares = admitted_shares(plan, &all, room);
     // The dearest first, and of those the ones with the fewest places to go.
     let mut order: Vec<(SiteId, ProfileId)> = over.keys().copied().collect();
     let places = |from: SiteId, profile: ProfileId| {
-        alive.iter().filter(|to| plan.reaches(from, **to, profile)).count()
+        alive.iter().filter(|to| plan.can_serve(from, **to, profile)).count()
     };
     order.sort_by(|a, b| {
         let density = |place: &(SiteId, ProfileId)| plan.profile(place.1).density();
@@ -127,25 +128,25 @@
             *open.entry((*from, *profile)).or_default() -= placed;
         }
     }
-    found.refused = open.into_iter().filter(|(_, rate)| *rate > ENOUGH).collect();
-    found.served =
-        found.goes.iter().map(|((_, _, profile), rate)| rate * plan.profile(*profile).payoff).sum();
+    found.rejected = open.into_iter().filter(|(_, rate)| *rate > ENOUGH).collect();
+    found.served_payoff =
+        found.routed.iter().map(|((_, _, profile), rate)| rate * plan.profile(*profile).payoff).sum();
     found
 }
 
-fn by_profile(plan: &Plan, site: SiteId, hour: Hour) -> BTreeMap<ProfileId, f64> {
-    plan.profile_ids().map(|profile| (profile, plan.asked(site, profile, hour))).collect()
+fn by_profile(plan: &Plan, site: SiteId, hour: LoadLevel) -> BTreeMap<ProfileId, f64> {
+    plan.profile_ids().map(|profile| (profile, plan.demand(site, profile, hour))).collect()
 }
 
 fn give(
-    found: &mut Going,
+    found: &mut FailoverPlan,
     left: &mut BTreeMap<SiteId, f64>,
     (from, to, profile): (SiteId, SiteId, ProfileId),
     rate: f64,
     work: f64,
 ) {
     if rate > 0.0 {
-        *found.goes.entry((from, to, profile)).or_default() += rate;
+        *found.routed.entry((from, to, profile)).or_default() += rate;
         *left.entry(to).or_default() -= rate * work;
     }
 }
@@ -153,7 +154,7 @@
 /// To the sites that it can reach, by what room they have left and not in equal parts; how much found a place.
 fn spread(
     plan: &Plan,
-    found: &mut Going,
+    found: &mut FailoverPlan,
     left: &mut BTreeMap<SiteId, f64>,
     alive: &[SiteId],
     (from, profile): (SiteId, ProfileId),
@@ -164,7 +165,7 @@
     // At home where it has one; only a lost site's go elsewhere, or nothing stops two from passing to each other.
     let places: Vec<SiteId> = match alive.contains(&from) {
         true => vec![from],
-        false => alive.iter().copied().filter(|to| plan.reaches(from, *to, profile)).collect(),
+        false => alive.iter().copied().filter(|to| plan.can_serve(from, *to, profile)).collect(),
     };
     let all: f64 = places.iter().map(|to| room(left, to)).sum();
     let placed = wanted.min(all).max(0.0);
@@ -180,12 +181,12 @@
 
 /// The most payoff a second that any way of dealing it out could serve, whatever is kept for whom: a linear program, which
 /// the dearest first solve where each unit of work is one of a site's.
-pub fn best(plan: &Plan, lost: &BTreeSet<SiteId>, hour: Hour) -> f64 {
+pub fn max_payoff(plan: &Plan, lost: &BTreeSet<SiteId>, hour: LoadLevel) -> f64 {
     let alive: Vec<SiteId> = plan.site_ids().filter(|site| !lost.contains(site)).collect();
     let mut demands: Vec<(SiteId, ProfileId)> =
         plan.site_ids().flat_map(|site| plan.profile_ids().map(move |profile| (site, profile))).collect();
     demands.sort_by(|a, b| plan.profile(b.1).density().total_cmp(&plan.profile(a.1).density()));
-    let mut left: Vec<f64> = alive.iter().map(|site| plan.room(*site)).collect();
+    let mut left: Vec<f64> = alive.iter().map(|site| plan.usable_capacity(*site)).collect();
     let mut flow = vec![vec![0.0; alive.len()]; demands.len()];
     let reach: Vec<Vec<bool>> = demands
         .iter()
@@ -194,13 +195,13 @@
             let home = alive.contains(from);
             alive
                 .iter()
-                .map(|to| if home { to == from } else { plan.reaches(*from, *to, *profile) })
+                .map(|to| if home { to == from } else { plan.can_serve(*from, *to, *profile) })
                 .collect()
         })
         .collect();
     let mut served = 0.0;
     for (place, (from, profile)) in demands.iter().enumerate() {
-        let mut wanted = plan.asked(*from, *profile, hour) * plan.profile(*profile).work;
+        let mut wanted = plan.demand(*from, *profile, hour) * plan.profile(*profile).work;
         while wanted > ENOUGH {
             let Some(got) = augment(place, wanted, &reach, &mut flow, &mut left) else { break };
             wanted -= got;
@@ -263,9 +264,9 @@
 
 /// Whose clients: those that were here before a loss, and those that came with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whose {
-    Own,
-    Guest,
+pub enum ClientOrigin {
+    Local,
+    Displaced,
 }
 
 type Rates = BTreeMap<ProfileId, f64>;
@@ -273,16 +274,16 @@
 /// What is let in at a site while a loss is in force: it begins with the plan and follows what is seen, as a plan may be
 /// off by half in either direction.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct AdmissionGate {
     /// By the plan, and what is taken for it, in standard commands a second.
     planned: f64,
-    pub room: f64,
+    pub capacity: f64,
     /// Work done within its goal time, the most of late: so much it can do, whatever the plan says.
     done: f64,
     /// Seconds by which it has opened, one step after the other.
     opened: f64,
     /// Since it was last judged.
-    lately: Lately,
+    lately: JudgedWindow,
     /// Commands asked for of late, a second; of own clients and of guests.
     asked: [Rates; 2],
     shares: [Rates; 2],
@@ -291,16 +292,16 @@
 /// What a second brought: commands asked for by own clients and by guests, let in, and of those let in before that had
 /// their end in it, all and those done in the goal time.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Second {
-    pub asked: [Rates; 2],
-    pub let_in: Rates,
+pub struct SecondCounts {
+    pub requested: [Rates; 2],
+    pub admitted: Rates,
     pub ended: Rates,
-    pub in_goal: Rates,
+    pub within_goal: Rates,
 }
 
 /// What is judged together: seconds, the work let in in them, and commands that had their end, all and those not in time.
 #[derive(Clone, Copy, Debug, Default)]
-struct Lately {
+struct JudgedWindow {
     seconds: f64,
     taken: f64,
     ended: f64,
@@ -309,13 +310,13 @@
 
 /// What came of what was let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Judged {
+enum Verdict {
     Good,
-    Neither,
+    Acceptable,
     Bad,
 }
 
-impl Lately {
+impl JudgedWindow {
     fn add(&mut self, taken: f64, ended: f64, late: f64) {
         self.seconds += 1.0;
         self.taken += taken;
@@ -325,14 +326,14 @@
 
     /// None while so few have ended that one or two late ones would decide; so many late ones decide before that, as
     /// they are too many whatever becomes of the rest.
-    fn judged(&self) -> Option<Judged> {
+    fn judged(&self) -> Option<Verdict> {
         let all = self.ended.max(ENOUGH_ENDED);
         let bad = self.late > all * (1.0 - BAD);
         let good = self.late < all * (1.0 - GOOD);
         match (bad, self.ended >= ENOUGH_ENDED) {
-            (true, _) => Some(Judged::Bad),
-            (false, true) if good => Some(Judged::Good),
-            (false, true) => Some(Judged::Neither),
+            (true, _) => Some(Verdict::Bad),
+            (false, true) if good => Some(Verdict::Good),
+            (false, true) => Some(Verdict::Acceptable),
             (false, false) => None,
         }
     }
@@ -357,30 +358,30 @@
 /// How far a second moves what is taken to be asked for.
 const FOLLOW: f64 = 0.3;
 
-impl Gate {
+impl AdmissionGate {
     /// Of so much room by the plan: a site's, or a node's part of it.
-    pub fn new(plan: &Plan, room: f64) -> Gate {
+    pub fn new(plan: &Plan, room: f64) -> AdmissionGate {
         let all: Rates = plan.profile_ids().map(|profile| (profile, 1.0)).collect();
-        Gate {
+        AdmissionGate {
             planned: room,
-            room,
+            capacity: room,
             done: 0.0,
             opened: 0.0,
-            lately: Lately::default(),
+            lately: JudgedWindow::default(),
             asked: Default::default(),
             shares: [all.clone(), all],
         }
     }
 
     /// The plan's room is another one now: what was learned of it stays as a part of it.
-    pub fn planned(&mut self, room: f64) {
-        self.room *= room / self.planned.max(ENOUGH);
+    pub fn set_planned_capacity(&mut self, room: f64) {
+        self.capacity *= room / self.planned.max(ENOUGH);
         self.planned = room;
     }
 
     /// Takes in a second. Where nothing is in force it only learns what is asked for.
-    pub fn saw(&mut self, plan: &Plan, second: &Second, in_force: bool) {
-        for (asked, now) in self.asked.iter_mut().zip(&second.asked) {
+    pub fn on_second(&mut self, plan: &Plan, second: &SecondCounts, in_force: bool) {
+        for (asked, now) in self.asked.iter_mut().zip(&second.requested) {
             for profile in plan.profile_ids() {
                 let now = now.get(&profile).copied().unwrap_or(0.0);
                 let asked = asked.entry(profile).or_insert(now);
@@ -388,45 +389,45 @@
             }
         }
         let work = |of: &Rates| -> f64 { of.iter().map(|(id, rate)| rate * plan.profile(*id).work).sum() };
-        let (taken, in_goal) = (work(&second.let_in), work(&second.in_goal));
+        let (taken, in_goal) = (work(&second.admitted), work(&second.within_goal));
         self.done = (self.done * FADE).max(in_goal);
         if !in_force {
-            (self.room, self.lately) = (self.planned.max(self.done), Lately::default());
+            (self.capacity, self.lately) = (self.planned.max(self.done), JudgedWindow::default());
             self.shares.iter_mut().for_each(|shares| shares.values_mut().for_each(|share| *share = 1.0));
             return;
         }
         let count = |of: &Rates| of.values().sum::<f64>();
         let ended = count(&second.ended);
-        self.lately.add(taken, ended, ended - count(&second.in_goal));
+        self.lately.add(taken, ended, ended - count(&second.within_goal));
         if let Some(judged) = self.lately.judged() {
             let lately = std::mem::take(&mut self.lately);
             // Opened only against the bound: what was never asked for says nothing of what could be done.
             let bound = self.shares.iter().flat_map(BTreeMap::values).any(|share| *share < 1.0);
-            let opens = judged == Judged::Good && bound;
+            let opens = judged == Verdict::Good && bound;
             self.opened = if opens { (self.opened + lately.seconds).min(FASTER) } else { 0.0 };
             // Closed down from what was really let in, or a plan that promises too much would take long to be left.
             let room = match judged {
-                Judged::Bad => self.room.min(lately.taken / lately.seconds) * CLOSE,
-                Judged::Good | Judged::Neither => self.room * OPEN.powf(self.opened),
+                Verdict::Bad => self.capacity.min(lately.taken / lately.seconds) * CLOSE,
+                Verdict::Good | Verdict::Acceptable => self.capacity * OPEN.powf(self.opened),
             };
-            self.room = room.clamp(self.planned / WRONG, self.planned * WRONG);
+            self.capacity = room.clamp(self.planned / WRONG, self.planned * WRONG);
         }
         // Own clients first up to the share that is theirs; what stands over competes with the guests'.
-        let kept = let_in(plan, &self.asked[0], self.room * plan.own);
+        let kept = admitted_shares(plan, &self.asked[0], self.capacity * plan.own_share);
         let own = |profile: &ProfileId| self.asked[0].get(profile).copied().unwrap_or(0.0);
         let mut open = self.asked[1].clone();
         for (profile, share) in &kept {
             *open.entry(*profile).or_default() += own(profile) * (1.0 - share);
         }
         let done: f64 = kept.iter().map(|(id, share)| own(id) * share * plan.profile(*id).work).sum();
-        let rest = let_in(plan, &open, (self.room - done).max(0.0));
+        let rest = admitted_shares(plan, &open, (self.capacity - done).max(0.0));
         self.shares[0] = kept.iter().map(|(id, share)| (*id, share + (1.0 - share) * rest[id])).collect();
         self.shares[1] = rest;
     }
 
     /// Of a profile's commands, the share that is let in.
-    pub fn share(&self, whose: Whose, profile: ProfileId) -> f64 {
-        let shares = &self.shares[usize::from(whose == Whose::Guest)];
+    pub fn admitted_share(&self, whose: ClientOrigin, profile: ProfileId) -> f64 {
+        let shares = &self.shares[usize::from(whose == ClientOrigin::Displaced)];
         shares.get(&profile).copied().unwrap_or(1.0)
     }
 }
--- a/crates/sites/src/main.rs
+++ b/crates/sites/src/main.rs
@@ -2,8 +2,8 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use sites::failover::{best, going};
-use sites::plan::{Hour, Plan, SiteId};
+use sites::failover::{max_payoff, plan_failover};
+use sites::plan::{LoadLevel, Plan, SiteId};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -52,21 +52,22 @@
 }
 
 /// All that is asked, as a part of what the sites that are left may be given.
-fn load(plan: &Plan, lost: &BTreeSet<SiteId>, hour: Hour) -> f64 {
+fn load(plan: &Plan, lost: &BTreeSet<SiteId>, hour: LoadLevel) -> f64 {
     let work = |site: SiteId| -> f64 {
-        plan.profile_ids().map(|profile| plan.asked(site, profile, hour) * plan.profile(profile).work).sum()
+        plan.profile_ids().map(|profile| plan.demand(site, profile, hour) * plan.profile(profile).work).sum()
     };
-    let room: f64 = plan.site_ids().filter(|site| !lost.contains(site)).map(|site| plan.room(site)).sum();
+    let room: f64 =
+        plan.site_ids().filter(|site| !lost.contains(site)).map(|site| plan.usable_capacity(site)).sum();
     plan.site_ids().map(work).sum::<f64>() / room
 }
 
 fn check(plan: &Plan) {
-    for hour in [Hour::Usual, Hour::Highest] {
-        let when = if hour == Hour::Usual { "usual" } else { "highest" };
+    for hour in [LoadLevel::Usual, LoadLevel::Peak] {
+        let when = if hour == LoadLevel::Usual { "usual" } else { "highest" };
         for lost in losses(plan, false) {
-            let found = going(plan, &lost, hour);
+            let found = plan_failover(plan, &lost, hour);
             let refused = |profile| {
-                let share = found.refused_share(profile);
+                let share = found.rejected_share(profile);
                 (share > 0.001).then(|| format!("{:.0}% of `{}`", share * 100.0, plan.profile(profile).name))
             };
             let refused: Vec<String> = plan.profile_ids().filter_map(refused).collect();
@@ -75,19 +76,19 @@
                 "{when} hour, loss of {}: {:.0}% of what is left; refuses {refused}; serves {:.1}% of the payoff, {:.1}% of the best",
                 names(plan, &lost),
                 load(plan, &lost, hour) * 100.0,
-                found.served / found.asked.max(1e-9) * 100.0,
-                found.served / best(plan, &lost, hour).max(1e-9) * 100.0,
+                found.served_payoff / found.requested_payoff.max(1e-9) * 100.0,
+                found.served_payoff / max_payoff(plan, &lost, hour).max(1e-9) * 100.0,
             );
         }
     }
 }
 
-fn table(plan: &Plan, pairs: bool, hour: Hour) {
+fn table(plan: &Plan, pairs: bool, hour: LoadLevel) {
     println!("| lost | from | profile | to | commands a second |");
     println!("| --- | --- | --- | --- | --- |");
     for lost in losses(plan, pairs) {
-        let found = going(plan, &lost, hour);
-        for ((from, to, profile), rate) in found.goes.iter().filter(|((from, to, _), _)| from != to) {
+        let found = plan_failover(plan, &lost, hour);
+        for ((from, to, profile), rate) in found.routed.iter().filter(|((from, to, _), _)| from != to) {
             let name = |site: SiteId| &plan.site(site).name;
             let (from, to) = (name(*from), name(*to));
             println!(
@@ -96,7 +97,7 @@
                 plan.profile(*profile).name
             );
         }
-        for ((from, profile), rate) in &found.refused {
+        for ((from, profile), rate) in &found.rejected {
             let (from, profile) = (&plan.site(*from).name, &plan.profile(*profile).name);
             println!("| {} | {from} | {profile} | refused | {rate:.1} |", names(plan, &lost));
         }
@@ -107,7 +108,7 @@
     let done = match Arguments::parse().what {
         Command::Check { plan } => read(&plan).map(|plan| check(&plan)),
         Command::Table { plan, pairs, usual } => {
-            let hour = if usual { Hour::Usual } else { Hour::Highest };
+            let hour = if usual { LoadLevel::Usual } else { LoadLevel::Peak };
             read(&plan).map(|plan| table(&plan, pairs, hour))
         }
     };
--- a/crates/sites/src/plan.rs
+++ b/crates/sites/src/plan.rs
@@ -41,26 +41,26 @@
 
 /// Commands a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Asked {
+pub struct DemandRate {
     pub usual: f64,
     pub highest: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hour {
+pub enum LoadLevel {
     Usual,
-    Highest,
+    Peak,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     pub sites: Vec<Site>,
     pub profiles: Vec<Profile>,
-    asked: BTreeMap<(SiteId, ProfileId), Asked>,
+    asked: BTreeMap<(SiteId, ProfileId), DemandRate>,
     ways: BTreeMap<(SiteId, SiteId), f64>,
     /// Of each site's capacity: kept free, and kept for its own clients where they ask for it.
     pub headroom: f64,
-    pub own: f64,
+    pub own_share: f64,
 }
 
 #[derive(Deserialize)]
@@ -154,7 +154,7 @@
             within(key("highest"), demand.highest, demand.usual, 1e9)?;
             let place = (site(key("site"), &demand.site)?, profile);
             let (usual, highest) = (demand.usual, demand.highest);
-            if asked.insert(place, Asked { usual, highest }).is_some() {
+            if asked.insert(place, DemandRate { usual, highest }).is_some() {
                 return Err(format!(
                     "{}: {} of {} is there twice",
                     key("profile"),
@@ -181,7 +181,7 @@
             ways.entry((to, from)).or_insert(ms);
         }
         let File { sites, profiles, headroom, own, .. } = file;
-        Ok(Plan { sites, profiles, asked, ways, headroom, own })
+        Ok(Plan { sites, profiles, asked, ways, headroom, own_share: own })
     }
 
     pub fn site_ids(&self) -> impl Iterator<Item = SiteId> + use<> {
@@ -201,21 +201,21 @@
     }
 
     /// Commands a second of a site's own clients.
-    pub fn asked(&self, site: SiteId, profile: ProfileId, hour: Hour) -> f64 {
+    pub fn demand(&self, site: SiteId, profile: ProfileId, hour: LoadLevel) -> f64 {
         let asked = self.asked.get(&(site, profile)).copied().unwrap_or_default();
         match hour {
-            Hour::Usual => asked.usual,
-            Hour::Highest => asked.highest,
+            LoadLevel::Usual => asked.usual,
+            LoadLevel::Peak => asked.highest,
         }
     }
 
     /// What a site may be given, in standard commands a second.
-    pub fn room(&self, site: SiteId) -> f64 {
+    pub fn usable_capacity(&self, site: SiteId) -> f64 {
         self.site(site).capacity * (1.0 - self.headroom)
     }
 
     /// Whether a command of that site's clients can make its goal time there. No way that is told is no way at all.
-    pub fn reaches(&self, from: SiteId, to: SiteId, profile: ProfileId) -> bool {
+    pub fn can_serve(&self, from: SiteId, to: SiteId, profile: ProfileId) -> bool {
         let way = if from == to { Some(0.0) } else { self.ways.get(&(from, to)).copied() };
         let profile = self.profile(profile);
         way.is_some_and(|ms| ms + profile.answer_ms <= profile.goal_ms)
--- a/crates/sites/tests/going.rs
+++ b/crates/sites/tests/going.rs
@@ -3,8 +3,10 @@
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sites::failover::{best, going, let_in, Gate, Second, Whose};
-use sites::plan::{Hour, Plan, ProfileId, SiteId};
+use sites::failover::{
+    admitted_shares, max_payoff, plan_failover, AdmissionGate, ClientOrigin, SecondCounts,
+};
+use sites::plan::{LoadLevel, Plan, ProfileId, SiteId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 
@@ -40,18 +42,18 @@
 fn the_example() {
     let plan = example();
     let lost = BTreeSet::from([SiteId(0)]);
-    let found = going(&plan, &lost, Hour::Highest);
+    let found = plan_failover(&plan, &lost, LoadLevel::Peak);
     let goes = |to: usize, profile: usize| {
-        found.goes.get(&(SiteId(0), SiteId(to), ProfileId(profile))).copied().unwrap_or(0.0)
+        found.routed.get(&(SiteId(0), SiteId(to), ProfileId(profile))).copied().unwrap_or(0.0)
     };
     assert!(goes(1, 0) > 0.0 && goes(2, 0) > 0.0 && goes(1, 0) != goes(2, 0), "{found:?}");
     assert_eq!(goes(2, 1), 0.0, "80 ms there and back leave no time for a fetch");
-    let refused = |profile: usize| found.refused_share(ProfileId(profile));
+    let refused = |profile: usize| found.rejected_share(ProfileId(profile));
     assert!(refused(2) > refused(1) && refused(1) > refused(0), "{found:?}");
-    assert!(found.served >= 0.95 * best(&plan, &lost, Hour::Highest), "{found:?}");
+    assert!(found.served_payoff >= 0.95 * max_payoff(&plan, &lost, LoadLevel::Peak), "{found:?}");
     // At the usual hour everything but what is too far has a place.
-    let usual = going(&plan, &lost, Hour::Usual);
-    assert!(usual.refused_share(ProfileId(0)) < 0.01, "{usual:?}");
+    let usual = plan_failover(&plan, &lost, LoadLevel::Usual);
+    assert!(usual.rejected_share(ProfileId(0)) < 0.01, "{usual:?}");
 }
 
 /// A plan of sites and profiles from numbers.
@@ -101,24 +103,24 @@
     ) {
         let plan = drawn(&sites, &profiles, &demand, &ways);
         let lost = BTreeSet::from([SiteId(gone % sites.len())]);
-        let found = going(&plan, &lost, Hour::Highest);
+        let found = plan_failover(&plan, &lost, LoadLevel::Peak);
         for site in plan.site_ids() {
-            let room = if lost.contains(&site) { 0.0 } else { plan.room(site) };
-            prop_assert!(found.given(&plan, site) <= room * (1.0 + 1e-6) + 1e-6);
+            let room = if lost.contains(&site) { 0.0 } else { plan.usable_capacity(site) };
+            prop_assert!(found.assigned_work(&plan, site) <= room * (1.0 + 1e-6) + 1e-6);
         }
-        for ((from, to, profile), rate) in &found.goes {
+        for ((from, to, profile), rate) in &found.routed {
             prop_assert!(*rate >= 0.0 && (from == to || lost.contains(from)));
-            prop_assert!(plan.reaches(*from, *to, *profile));
+            prop_assert!(plan.can_serve(*from, *to, *profile));
         }
         for site in plan.site_ids() {
             for profile in plan.profile_ids() {
-                let goes: f64 = plan.site_ids().filter_map(|to| found.goes.get(&(site, to, profile))).sum();
-                let refused = found.refused.get(&(site, profile)).copied().unwrap_or(0.0);
-                let asked = plan.asked(site, profile, Hour::Highest);
+                let goes: f64 = plan.site_ids().filter_map(|to| found.routed.get(&(site, to, profile))).sum();
+                let refused = found.rejected.get(&(site, profile)).copied().unwrap_or(0.0);
+                let asked = plan.demand(site, profile, LoadLevel::Peak);
                 prop_assert!((goes + refused - asked).abs() < 1e-6 * (1.0 + asked), "{goes} {refused} {asked}");
             }
         }
-        prop_assert!(found.served <= best(&plan, &lost, Hour::Highest) * (1.0 + 1e-6) + 1e-6);
+        prop_assert!(found.served_payoff <= max_payoff(&plan, &lost, LoadLevel::Peak) * (1.0 + 1e-6) + 1e-6);
     }
 
     /// What is let in fits, keeps floors where all floors fit, and never lets the less dear in more than the dearer; of two
@@ -134,7 +136,7 @@
         profiles[1] = (work, payoff * 1.1, profiles[0].2);
         let plan = drawn(&[100.0, 100.0], &profiles, &[1.0], &[1.0]);
         let asked: BTreeMap<ProfileId, f64> = plan.profile_ids().zip(rates).collect();
-        let shares = let_in(&plan, &asked, room);
+        let shares = admitted_shares(&plan, &asked, room);
         let work = |share: &dyn Fn(ProfileId) -> f64| -> f64 {
             asked.iter().map(|(id, rate)| rate * plan.profile(*id).work * share(*id)).sum()
         };
@@ -163,17 +165,17 @@
     ) {
         let plan = drawn(&sites, &profiles, &demand, &ways);
         let lost = BTreeSet::from([SiteId(0)]);
-        let mut left: Vec<f64> = plan.site_ids().map(|site| if site.0 == 0 { 0.0 } else { plan.room(site) }).collect();
+        let mut left: Vec<f64> = plan.site_ids().map(|site| if site.0 == 0 { 0.0 } else { plan.usable_capacity(site) }).collect();
         let mut open: BTreeMap<(SiteId, ProfileId), f64> = plan.site_ids()
             .flat_map(|site| plan.profile_ids().map(move |profile| (site, profile)))
-            .map(|place| (place, plan.asked(place.0, place.1, Hour::Highest)))
+            .map(|place| (place, plan.demand(place.0, place.1, LoadLevel::Peak)))
             .collect();
         let mut served = 0.0;
         for number in order {
             let places: Vec<(SiteId, ProfileId)> = open.keys().copied().collect();
             let (from, profile) = places[number % places.len()];
             let to = SiteId(1 + (number / 7) % (sites.len() - 1));
-            if plan.reaches(from, to, profile) && (from == to || from.0 == 0) {
+            if plan.can_serve(from, to, profile) && (from == to || from.0 == 0) {
                 let work = plan.profile(profile).work;
                 let rate = open[&(from, profile)].min(left[to.0] / work);
                 *open.entry((from, profile)).or_default() -= rate;
@@ -181,7 +183,7 @@
                 served += rate * plan.profile(profile).payoff;
             }
         }
-        prop_assert!(served <= best(&plan, &lost, Hour::Highest) * (1.0 + 1e-6) + 1e-6);
+        prop_assert!(served <= max_payoff(&plan, &lost, LoadLevel::Peak) * (1.0 + 1e-6) + 1e-6);
     }
 }
 
@@ -191,21 +193,23 @@
 fn a_plan_that_is_wrong_by_half() {
     let plan = example();
     for wrong in [0.5, 1.0, 1.5] {
-        let mut gate = Gate::new(&plan, plan.room(SiteId(0)));
-        let truth = plan.room(SiteId(0)) * wrong;
+        let mut gate = AdmissionGate::new(&plan, plan.usable_capacity(SiteId(0)));
+        let truth = plan.usable_capacity(SiteId(0)) * wrong;
         let asked: BTreeMap<ProfileId, f64> =
-            plan.profile_ids().map(|id| (id, plan.asked(SiteId(0), id, Hour::Highest))).collect();
+            plan.profile_ids().map(|id| (id, plan.demand(SiteId(0), id, LoadLevel::Peak))).collect();
         let work = |of: &BTreeMap<ProfileId, f64>| -> f64 {
             of.iter().map(|(id, rate)| rate * plan.profile(*id).work).sum()
         };
         let mut done = 0.0;
         for _ in 0..90 {
-            let share = |whose, id: ProfileId| gate.share(whose, id);
+            let share = |whose, id: ProfileId| gate.admitted_share(whose, id);
             for id in plan.profile_ids() {
-                assert!(share(Whose::Own, id) >= share(Whose::Guest, id) - 1e-9);
+                assert!(share(ClientOrigin::Local, id) >= share(ClientOrigin::Displaced, id) - 1e-9);
             }
-            assert!(share(Whose::Guest, ProfileId(0)) >= share(Whose::Guest, ProfileId(1)));
-            let both = |id: ProfileId| share(Whose::Own, id) + share(Whose::Guest, id);
+            assert!(
+                share(ClientOrigin::Displaced, ProfileId(0)) >= share(ClientOrigin::Displaced, ProfileId(1))
+            );
+            let both = |id: ProfileId| share(ClientOrigin::Local, id) + share(ClientOrigin::Displaced, id);
             let let_in: BTreeMap<ProfileId, f64> =
                 asked.iter().map(|(id, rate)| (*id, rate * both(*id))).collect();
             // Beyond what it can do ever less is in time.
@@ -215,13 +219,22 @@
                 let_in.iter().map(|(id, rate)| (*id, rate * good)).collect();
             done = work(&in_goal);
             let ended = let_in.clone();
-            gate.saw(&plan, &Second { asked: [asked.clone(), asked.clone()], let_in, ended, in_goal }, true);
+            gate.on_second(
+                &plan,
+                &SecondCounts {
+                    requested: [asked.clone(), asked.clone()],
+                    admitted: let_in,
+                    ended,
+                    within_goal: in_goal,
+                },
+                true,
+            );
         }
         assert!(done > 0.85 * truth.min(work(&asked) * 2.0), "{wrong}: {done:.0} of {truth:.0}");
     }
 }
 
-/// A node with twenty commands a second, a few of which are late by chance alone: what can be done is let in. Judged by
+/// A node with twenty commands a second, a few of which are late by chance alone: what can be done is let in. Verdict by
 /// single seconds, one or two late ones kept it closed.
 #[test]
 fn few_commands() {
@@ -231,10 +244,10 @@
         let mut chance = ChaCha8Rng::seed_from_u64(5);
         // What is asked is a fifth more than can be done, and the plan is right.
         let (truth, asked) = (per_s * plan.profile(dear).work, BTreeMap::from([(dear, per_s * 1.2)]));
-        let mut gate = Gate::new(&plan, truth);
+        let mut gate = AdmissionGate::new(&plan, truth);
         let (mut done, mut let_in_all, seconds) = (0.0, 0.0, 200);
         for _ in 0..seconds {
-            let rate = asked[&dear] * gate.share(Whose::Own, dear);
+            let rate = asked[&dear] * gate.admitted_share(ClientOrigin::Local, dear);
             // Drawn singly, as commands come.
             let count = (0..1000).filter(|_| chance.random_bool(rate / 1000.0)).count();
             let late = if rate > per_s { 0.03 + (rate / per_s - 1.0) } else { 0.03 };
@@ -243,7 +256,11 @@
             let one = |count: usize| BTreeMap::from([(dear, count as f64)]);
             let (let_in, ended, in_goal) = (one(count), one(count), one(good));
             let asked = [asked.clone(), BTreeMap::new()];
-            gate.saw(&plan, &Second { asked, let_in, ended, in_goal }, true);
+            gate.on_second(
+                &plan,
+                &SecondCounts { requested: asked, admitted: let_in, ended, within_goal: in_goal },
+                true,
+            );
         }
         let part = done / per_s / f64::from(seconds);
         assert!(part > 0.85, "{per_s} a second: {part:.3} of what can be done, {let_in_all} let in");
@@ -254,27 +271,47 @@
 #[test]
 fn a_false_alarm() {
     let plan = example();
-    let mut gate = Gate::new(&plan, plan.room(SiteId(0)));
+    let mut gate = AdmissionGate::new(&plan, plan.usable_capacity(SiteId(0)));
     let asked: BTreeMap<ProfileId, f64> =
-        plan.profile_ids().map(|id| (id, plan.asked(SiteId(0), id, Hour::Usual))).collect();
-    let all = |gate: &Gate| plan.profile_ids().all(|id| gate.share(Whose::Own, id) == 1.0);
+        plan.profile_ids().map(|id| (id, plan.demand(SiteId(0), id, LoadLevel::Usual))).collect();
+    let all = |gate: &AdmissionGate| {
+        plan.profile_ids().all(|id| gate.admitted_share(ClientOrigin::Local, id) == 1.0)
+    };
     for _ in 0..20 {
         let (let_in, ended, in_goal) = (asked.clone(), asked.clone(), asked.clone());
-        gate.saw(&plan, &Second { asked: [asked.clone(), BTreeMap::new()], let_in, ended, in_goal }, true);
+        gate.on_second(
+            &plan,
+            &SecondCounts {
+                requested: [asked.clone(), BTreeMap::new()],
+                admitted: let_in,
+                ended,
+                within_goal: in_goal,
+            },
+            true,
+        );
         assert!(all(&gate));
     }
     let much: BTreeMap<ProfileId, f64> = asked.iter().map(|(id, rate)| (*id, rate * 5.0)).collect();
     for _ in 0..20 {
-        gate.saw(&plan, &Second { asked: [much.clone(), much.clone()], ..Second::default() }, true);
+        gate.on_second(
+            &plan,
+            &SecondCounts { requested: [much.clone(), much.clone()], ..SecondCounts::default() },
+            true,
+        );
     }
     assert!(!all(&gate));
-    gate.saw(&plan, &Second::default(), false);
-    assert!(all(&gate) && gate.room == plan.room(SiteId(0)));
+    gate.on_second(&plan, &SecondCounts::default(), false);
+    assert!(all(&gate) && gate.capacity == plan.usable_capacity(SiteId(0)));
     // What was done in time before a loss can be done, whatever the plan says.
-    let mut low = Gate::new(&plan, plan.room(SiteId(0)) * 0.3);
+    let mut low = AdmissionGate::new(&plan, plan.usable_capacity(SiteId(0)) * 0.3);
     let (let_in, ended, in_goal) = (asked.clone(), asked.clone(), asked.clone());
-    let second = Second { asked: [asked.clone(), BTreeMap::new()], let_in, ended, in_goal };
-    low.saw(&plan, &second, false);
-    low.saw(&plan, &second, true);
+    let second = SecondCounts {
+        requested: [asked.clone(), BTreeMap::new()],
+        admitted: let_in,
+        ended,
+        within_goal: in_goal,
+    };
+    low.on_second(&plan, &second, false);
+    low.on_second(&plan, &second, true);
     assert!(all(&low));
 }
--- a/crates/view/src/gossip.rs
+++ b/crates/view/src/gossip.rs
@@ -1,7 +1,7 @@
 //! News that are still to be told, each to so many: those told least first. And the bytes that may be spent on them.
 
 use std::collections::{BTreeSet, HashMap};
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 /// Names of members of whom there is news, by how often it was told.
 #[derive(Clone, Debug, Default)]
@@ -55,16 +55,16 @@
     rate: f64,
     most: f64,
     held: f64,
-    at: Moment,
+    at: Timestamp,
 }
 
 impl Purse {
-    pub fn new(now: Moment, rate: f64, most: f64) -> Purse {
+    pub fn new(now: Timestamp, rate: f64, most: f64) -> Purse {
         Purse { rate, most, held: most, at: now }
     }
 
-    pub fn held(&mut self, now: Moment) -> f64 {
-        self.held = (self.held + self.rate * now.since(self.at).micros() / 1e6).min(self.most);
+    pub fn held(&mut self, now: Timestamp) -> f64 {
+        self.held = (self.held + self.rate * now.since(self.at).as_f64() / 1e6).min(self.most);
         self.at = now;
         self.held
     }
--- a/crates/view/src/member.rs
+++ b/crates/view/src/member.rs
@@ -1,7 +1,7 @@
 //! The books on one member, and how long a suspicion of it lasts.
 
 use crate::card::{Card, Edition, Life, Load, Standing};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// So many that suspect it independently make a suspicion as short as it gets (Lifeguard's K).
 pub const CONFIRMERS: usize = 3;
@@ -21,21 +21,21 @@
     /// The edition that the card came with.
     pub carded: Edition,
     /// Since when it stands so, and by whose word.
-    pub since: Moment,
+    pub since: Timestamp,
     pub by: String,
     /// When it was last heard itself, and what it then said of its load.
-    pub heard: Option<Moment>,
+    pub heard: Option<Timestamp>,
     pub load: Option<Load>,
     /// Of asks and answers: how long they take, how many were sent, and how many were lost.
-    pub trip: Option<Span>,
+    pub trip: Option<Micros>,
     pub asked: u64,
     pub lost: u64,
     /// When its suspicion is over, or it is forgotten.
-    pub(crate) timer: Option<Moment>,
+    pub(crate) timer: Option<Timestamp>,
     /// Who suspects it.
     pub(crate) suspecters: Vec<String>,
     /// Told last that it is not taken to be alive.
-    pub(crate) accused: Option<Moment>,
+    pub(crate) accused: Option<Timestamp>,
 }
 
 impl Member {
@@ -46,7 +46,7 @@
 }
 
 /// How long a suspicion lasts from its beginning, with so many members and suspecters.
-pub(crate) fn suspicion(period: Span, members: usize, suspecters: usize) -> Span {
+pub(crate) fn suspicion(period: Micros, members: usize, suspecters: usize) -> Micros {
     let least = (SHORTEST * (members.max(10) as f64).log10()).max(LEAST);
     let most = least * LONGEST;
     let others = CONFIRMERS.min(members.saturating_sub(2));
--- a/crates/view/src/share.rs
+++ b/crates/view/src/share.rs
@@ -13,7 +13,7 @@
 use crate::terms::Times;
 use crate::view::View;
 use std::collections::BTreeMap;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// One part of so many, for nodes that take nothing of what all share.
 pub const NONE: u32 = 1_000_000;
@@ -24,7 +24,7 @@
     pub nodes: u32,
     pub me: u32,
     /// Past this the facts are too old: `Sharer::without` holds.
-    pub until: Moment,
+    pub until: Timestamp,
     pub why: Why,
 }
 
@@ -72,11 +72,11 @@
 
 impl Places {
     /// Of so many places, at that moment.
-    pub fn of(view: &View, places: u32, now: Moment, sure: Span) -> Places {
+    pub fn of(view: &View, places: u32, now: Timestamp, sure: Micros) -> Places {
         let mut held: BTreeMap<u32, (u32, bool, bool)> = BTreeMap::new();
         let mut extra = 0;
         let mine = view.card();
-        let own = [(view.name(), mine, Standing::Alive, Moment(0))];
+        let own = [(view.name(), mine, Standing::Alive, Timestamp(0))];
         let others = view.members().map(|(name, m)| (name, &m.card, m.standing, m.since));
         for (_, card, standing, since) in own.into_iter().chain(others) {
             // Gone, but not for long enough: it may be there.
@@ -112,30 +112,30 @@
 #[derive(Clone, Debug)]
 pub struct Sharer {
     times: Times,
-    began: Moment,
+    began: Timestamp,
     /// Without a break since, and seen last.
-    since: Option<Moment>,
-    seen: Option<Moment>,
+    since: Option<Timestamp>,
+    seen: Option<Timestamp>,
     /// It has not yet been among a majority for `sure` since it was out of one, or began.
     out: bool,
 }
 
 impl Sharer {
-    pub fn new(now: Moment, times: Times) -> Sharer {
+    pub fn new(now: Timestamp, times: Times) -> Sharer {
         Sharer { times, began: now, since: None, seen: None, out: true }
     }
 
     /// What holds while nothing is known: the half portion of a place, or none.
-    pub fn without(places: u32, me: u32, now: Moment) -> Share {
+    pub fn without(places: u32, me: u32, now: Timestamp) -> Share {
         let (places, me) = (places.max(1), me);
         let nodes = if places == 1 { 1 } else { places * 2 };
         Share { nodes, me: (me % places) * (nodes / places), until: now, why: Why::Unsure }
     }
 
     /// Looks at the view, for a node whose settings state so many places and that it has that one.
-    pub fn look(&mut self, now: Moment, view: &View, places: u32, me: u32) -> Share {
+    pub fn look(&mut self, now: Timestamp, view: &View, places: u32, me: u32) -> Share {
         let found = Places::of(view, places.max(1), now, self.times.sure);
-        let lately = |at: Moment| now.since(at) <= self.times.release;
+        let lately = |at: Timestamp| now.since(at) <= self.times.release;
         let heard = view.here() == 1 || view.answered().is_some_and(lately);
         self.awake(view.awake_since());
         self.choose(now, &found, heard, places.max(1), me)
@@ -143,14 +143,14 @@
 
     /// It began, or was kept from its work until then: what it saw of a majority before that counts for nothing, and
     /// whoever took over from it meanwhile has to be seen first.
-    pub fn awake(&mut self, since: Moment) {
+    pub fn awake(&mut self, since: Timestamp) {
         if since > self.began {
             (self.began, self.since, self.out) = (since, None, true);
         }
     }
 
     /// The rule itself.
-    pub fn choose(&mut self, now: Moment, found: &Places, heard: bool, places: u32, me: u32) -> Share {
+    pub fn choose(&mut self, now: Timestamp, found: &Places, heard: bool, places: u32, me: u32) -> Share {
         let release = self.times.release;
         let majority = found.majority(places) && (heard || places == 1);
         if !majority {
@@ -160,7 +160,7 @@
             self.since = self.since.or(Some(now));
             self.seen = Some(now);
         }
-        let settled = |span: Span| self.since.is_some_and(|since| now.since(since) >= span);
+        let settled = |span: Micros| self.since.is_some_and(|since| now.since(since) >= span);
         let seen = self.seen.is_some_and(|at| at >= self.began && now.since(at) < release);
         let until = now + release;
         let half = Share { until, ..Sharer::without(places, me, now) };
--- a/crates/view/src/terms.rs
+++ b/crates/view/src/terms.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::str::FromStr;
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 /// Addresses whose first so many bits are these.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
@@ -76,16 +76,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
     /// Between two asks of a node, and how long an answer may take before others are asked to ask.
-    pub period: Span,
-    pub answer: Span,
+    pub period: Micros,
+    pub answer: Micros,
     /// Between two tries of seeds and of members called dead.
-    pub seeds: Span,
+    pub seeds: Micros,
     /// How long after its death or its leaving a member is forgotten.
-    pub forget: Span,
+    pub forget: Micros,
     /// How long a missing node must have been dead until its portion is taken, and how long after its last sight of
     /// a majority a node lets go of its own.
-    pub sure: Span,
-    pub release: Span,
+    pub sure: Micros,
+    pub release: Micros,
 }
 
 #[derive(Deserialize)]
@@ -192,7 +192,8 @@
             }
         }
         let [period, answer, seeds, forget, sure, release] =
-            [times.period, answer, times.seeds, times.forget, times.sure, times.release].map(Span::millis);
+            [times.period, answer, times.seeds, times.forget, times.sure, times.release]
+                .map(Micros::from_millis);
         Ok(ViewTerms {
             fleet: file.fleet,
             listen: file.listen,
--- a/crates/view/src/view/ask.rs
+++ b/crates/view/src/view/ask.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 impl View {
     /// So many members that are here, by chance.
@@ -26,7 +26,7 @@
         found
     }
 
-    pub(super) fn number(&mut self, now: Moment, purpose: Purpose, span: Span) -> u32 {
+    pub(super) fn number(&mut self, now: Timestamp, purpose: Purpose, span: Micros) -> u32 {
         self.last_ask = self.last_ask.wrapping_add(1).max(1);
         if self.asks.len() >= ASKS {
             self.asks.pop_first();
@@ -54,7 +54,7 @@
     }
 
     /// Asks the next member, and those that did not answer on a lossy way.
-    pub(super) fn begin_round(&mut self, now: Moment, again: Vec<String>) {
+    pub(super) fn begin_round(&mut self, now: Timestamp, again: Vec<String>) {
         let next = self.next_target().filter(|name| !again.contains(name));
         let again = again.into_iter().map(|name| (name, true));
         for (target, again) in again.chain(next.map(|name| (name, false))) {
@@ -71,9 +71,9 @@
         }
     }
 
-    fn begin_ask(&mut self, now: Moment, target: String, again: bool) {
+    fn begin_ask(&mut self, now: Timestamp, target: String, again: bool) {
         let period = self.stretch(self.terms.times.period);
-        let ask = self.number(now, Purpose::Round, Span(period.0 * 2));
+        let ask = self.number(now, Purpose::Round, Micros(period.0 * 2));
         let relay = Some(now + self.stretch(self.terms.times.answer));
         let Some(member) = self.members.get_mut(&target) else { return };
         member.asked += 1;
@@ -83,7 +83,7 @@
     }
 
     /// One has not answered: others are asked to ask it, and it is asked once more.
-    pub(super) fn relay(&mut self, now: Moment, place: usize) {
+    pub(super) fn relay(&mut self, now: Timestamp, place: usize) {
         let (ask, target) = (self.rounds[place].ask, self.rounds[place].target.clone());
         // Where most asks fail it is the way that is cut, and one other is enough to tell.
         let most = if self.lossy > CUT { 1 } else { RELAYS };
@@ -97,7 +97,7 @@
 
     /// Whoever has not been heard by now is suspected; on a lossy way only after another round, for which they are
     /// returned.
-    pub(super) fn end_round(&mut self, now: Moment) -> Vec<String> {
+    pub(super) fn end_round(&mut self, now: Timestamp) -> Vec<String> {
         let (mut again, by) = (Vec::new(), self.name.clone());
         for round in std::mem::take(&mut self.rounds) {
             // Others that could not be heard either tell of troubles of one's own.
@@ -139,10 +139,10 @@
 
     /// Tries the seeds and one of the dead, as often as all together may: so two halves that have forgotten each
     /// other meet again.
-    pub(super) fn try_again(&mut self, now: Moment) {
+    pub(super) fn try_again(&mut self, now: Timestamp) {
         let times = &self.terms.times;
         let pause = times.seeds.0.max((self.here as f64 / TRIES_PER_S * 1e6) as u64);
-        self.seeds_at = now + Span(self.chance.random_range(pause / 2..=pause * 3 / 2));
+        self.seeds_at = now + Micros(self.chance.random_range(pause / 2..=pause * 3 / 2));
         if let Some(mut rival) = self.rival.take() {
             rival.tries += 1;
             if rival.tries > TRIES {
@@ -174,7 +174,14 @@
         }
     }
 
-    pub(super) fn answer(&mut self, now: Moment, at: SocketAddr, to: Option<&str>, ask: u32, stranger: bool) {
+    pub(super) fn answer(
+        &mut self,
+        now: Timestamp,
+        at: SocketAddr,
+        to: Option<&str>,
+        ask: u32,
+        stranger: bool,
+    ) {
         let mut datagram = self.datagram(Kind::Answer, ask, None);
         datagram.whole = stranger.then_some(true);
         let budget = self.afford(now);
@@ -182,7 +189,7 @@
         self.push(now, at, datagram);
     }
 
-    pub(super) fn answered_by(&mut self, now: Moment, datagram: &Datagram) {
+    pub(super) fn answered_by(&mut self, now: Timestamp, datagram: &Datagram) {
         let Some(asked) = self.asks.get(&datagram.ask) else { return };
         match &asked.purpose {
             Purpose::Round => {
@@ -199,7 +206,7 @@
                 if let Some(member) = self.members.get_mut(&round.target) {
                     if direct && round.relay.is_some() {
                         let before = member.trip.unwrap_or(trip);
-                        member.trip = Some(Span((before.0 * 7 + trip.0) / 8));
+                        member.trip = Some(Micros((before.0 * 7 + trip.0) / 8));
                     } else {
                         member.lost += 1;
                     }
@@ -219,7 +226,7 @@
         }
     }
 
-    pub(super) fn ask_for(&mut self, now: Moment, datagram: &Datagram) {
+    pub(super) fn ask_for(&mut self, now: Timestamp, datagram: &Datagram) {
         let Some(subject) = datagram.target.clone().filter(|name| self.members.contains_key(name)) else {
             return;
         };
--- a/crates/view/src/view/learn.rs
+++ b/crates/view/src/view/learn.rs
@@ -7,11 +7,11 @@
 use crate::wire::{Datagram, Kind, News};
 use rand::RngExt;
 use std::net::SocketAddr;
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 impl View {
     /// Whoever is not taken to be alive is told so, once a period: only its own word can change that.
-    pub(super) fn accuse(&mut self, now: Moment, datagram: &Datagram) {
+    pub(super) fn accuse(&mut self, now: Timestamp, datagram: &Datagram) {
         let period = self.terms.times.period;
         let Some(member) = self.members.get_mut(&datagram.from) else { return };
         let refuted = (datagram.life, datagram.edition) > (member.life, member.edition);
@@ -25,7 +25,7 @@
     }
 
     /// A datagram in this node's own name: a process beside it, or an echo.
-    pub(super) fn namesake(&mut self, now: Moment, datagram: &Datagram) {
+    pub(super) fn namesake(&mut self, now: Timestamp, datagram: &Datagram) {
         if datagram.address == self.card.address {
             return;
         }
@@ -53,7 +53,7 @@
     }
 
     /// Something is said of this node itself: it knows better.
-    pub(super) fn about_me(&mut self, now: Moment, news: &News) {
+    pub(super) fn about_me(&mut self, now: Timestamp, news: &News) {
         if news.life < self.life {
             return;
         }
@@ -80,7 +80,7 @@
     }
 
     /// Takes what holds over what is believed, and passes it on.
-    pub(super) fn learn(&mut self, now: Moment, news: &News, teller: &str, spread: bool) {
+    pub(super) fn learn(&mut self, now: Timestamp, news: &News, teller: &str, spread: bool) {
         if news.name == self.name {
             return self.about_me(now, news);
         }
@@ -151,7 +151,7 @@
         }
     }
 
-    pub(super) fn join(&mut self, now: Moment, news: &News, by: &str) {
+    pub(super) fn join(&mut self, now: Timestamp, news: &News, by: &str) {
         let Some(card) = news.card.clone() else {
             self.lacking = true;
             return;
--- a/crates/view/src/view/mod.rs
+++ b/crates/view/src/view/mod.rs
@@ -18,7 +18,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// With more news than this waiting each is told a few times only, and the sums mend the rest.
 const CROWD: usize = 48;
@@ -52,7 +52,7 @@
 /// Something that has changed in the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    pub at: Moment,
+    pub at: Timestamp,
     pub name: String,
     pub life: Life,
     pub what: What,
@@ -133,8 +133,8 @@
 #[derive(Clone)]
 struct Asked {
     purpose: Purpose,
-    until: Moment,
-    sent: Moment,
+    until: Timestamp,
+    sent: Timestamp,
 }
 
 /// An ask of a round that is out.
@@ -144,7 +144,7 @@
     target: String,
     life: Life,
     /// When others are asked to ask, if they have not been.
-    relay: Option<Moment>,
+    relay: Option<Timestamp>,
     relays: usize,
     nothings: usize,
     /// It was asked in the round before, in vain.
@@ -178,35 +178,35 @@
     order: Vec<String>,
     turn: usize,
     rounds: Vec<Round>,
-    round_at: Moment,
+    round_at: Timestamp,
     asks: BTreeMap<u32, Asked>,
     last_ask: u32,
     trouble: u32,
     /// Of this node's own asks of late, the share that had no answer by themselves.
     lossy: f64,
-    timers: BTreeSet<(Moment, String)>,
-    seeds_at: Moment,
+    timers: BTreeSet<(Timestamp, String)>,
+    seeds_at: Timestamp,
     rival: Option<Rival>,
     gossip: Gossip,
     purse: Purse,
-    differs: Option<Moment>,
-    exchange_at: Moment,
+    differs: Option<Timestamp>,
+    exchange_at: Timestamp,
     /// News has come that was of no use without a card.
     lacking: bool,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
     changes: VecDeque<Change>,
     counts: Counts,
     alone: bool,
-    born: Moment,
-    stalled: Option<Moment>,
-    answered: Option<Moment>,
+    born: Timestamp,
+    stalled: Option<Timestamp>,
+    answered: Option<Timestamp>,
 }
 
 impl View {
     /// A node's view at its start: it knows itself, and where the seeds are.
-    pub fn new(now: Moment, terms: ViewTerms, name: &str, life: Life, card: Card, seed: u64) -> View {
+    pub fn new(now: Timestamp, terms: ViewTerms, name: &str, life: Life, card: Card, seed: u64) -> View {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let first = Span(chance.random_range(0..=terms.times.period.0));
+        let first = Micros(chance.random_range(0..=terms.times.period.0));
         let purse = Purse::new(now, f64::from(terms.bytes_per_s), BURST);
         let mut view = View {
             name: name.to_owned(),
@@ -307,12 +307,12 @@
     }
 
     /// When it began, or went on after being kept from its work for longer than it may be out of touch.
-    pub fn awake_since(&self) -> Moment {
+    pub fn awake_since(&self) -> Timestamp {
         self.stalled.map_or(self.born, |at| at.max(self.born))
     }
 
     /// When an ask of this node's was last answered.
-    pub fn answered(&self) -> Option<Moment> {
+    pub fn answered(&self) -> Option<Timestamp> {
         self.answered
     }
 
@@ -326,7 +326,7 @@
     }
 
     /// When it wants to be called next.
-    pub fn next(&self) -> Moment {
+    pub fn next(&self) -> Timestamp {
         let relay = self.rounds.iter().filter_map(|round| round.relay).min();
         let timer = self.timers.first().map(|(at, _)| *at);
         let ask = self.asks.values().map(|asked| asked.until).min();
@@ -335,7 +335,7 @@
         soonest.map_or(own, |at| at.min(own))
     }
 
-    fn note(&mut self, now: Moment, name: &str, life: Life, what: What, by: &str) {
+    fn note(&mut self, now: Timestamp, name: &str, life: Life, what: What, by: &str) {
         self.counts.changes += 1;
         if self.changes.len() >= CHANGES {
             self.changes.pop_front();
@@ -344,7 +344,7 @@
     }
 
     /// Other terms, as the operators' file now says. What is known stays.
-    pub fn follow(&mut self, now: Moment, terms: ViewTerms) {
+    pub fn follow(&mut self, now: Timestamp, terms: ViewTerms) {
         self.purse = Purse::new(now, f64::from(terms.bytes_per_s), BURST);
         self.terms = terms;
         self.seeds_at = now;
@@ -368,7 +368,7 @@
     }
 
     /// Begins another life: the one that it was said to have is over, or was never its own.
-    pub fn raise_life(&mut self, now: Moment, above: Life) {
+    pub fn raise_life(&mut self, now: Timestamp, above: Life) {
         self.digest ^= sums::part(&self.name, self.life, self.edition);
         (self.life, self.edition, self.carded) = (Life(above.0.max(self.life.0) + 1), Edition(0), Edition(0));
         self.digest ^= sums::part(&self.name, self.life, self.edition);
@@ -376,14 +376,14 @@
         self.announce(now);
     }
 
-    fn announce(&mut self, now: Moment) {
+    fn announce(&mut self, now: Timestamp) {
         let (name, life) = (self.name.clone(), self.life);
         self.gossip.add(&name);
         self.note(now, &name, life, What::Raised, &name);
     }
 
     /// Goes, and says so to some of those that are here. Nothing is sent after that.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.standing = Standing::Left;
         let name = self.name.clone();
         self.gossip.add(&name);
@@ -397,8 +397,8 @@
         self.terms.via.get(name).copied().or_else(known)
     }
 
-    fn stretch(&self, span: Span) -> Span {
-        Span(span.0 * u64::from(self.trouble + 2) / 2)
+    fn stretch(&self, span: Micros) -> Micros {
+        Micros(span.0 * u64::from(self.trouble + 2) / 2)
     }
 
     fn trouble_by(&mut self, by: i32) {
@@ -406,7 +406,7 @@
     }
 
     /// Kept from its work for long, a node has no word on who was silent: nothing is held against anybody.
-    fn wake(&mut self, now: Moment) {
+    fn wake(&mut self, now: Timestamp) {
         let late = now.since(self.next());
         if late.0 <= self.terms.times.period.0 / 2 {
             return;
@@ -430,7 +430,7 @@
         }
     }
 
-    fn set_timer(&mut self, name: &str, at: Option<Moment>) {
+    fn set_timer(&mut self, name: &str, at: Option<Timestamp>) {
         let Some(member) = self.members.get_mut(name) else { return };
         if let Some(before) = member.timer.take() {
             self.timers.remove(&(before, name.to_owned()));
@@ -442,7 +442,7 @@
     }
 
     /// Does what is due by now.
-    pub fn due(&mut self, now: Moment) {
+    pub fn due(&mut self, now: Timestamp) {
         self.wake(now);
         if self.standing == Standing::Left {
             (self.round_at, self.seeds_at) = (now + self.terms.times.seeds, now + self.terms.times.seeds);
@@ -477,7 +477,7 @@
         self.look_round(now);
     }
 
-    fn look_round(&mut self, now: Moment) {
+    fn look_round(&mut self, now: Timestamp) {
         if self.alone != self.alone() {
             self.alone = self.alone();
             let (name, life) = (self.name.clone(), self.life);
@@ -487,7 +487,7 @@
     }
 
     /// A suspicion is over, or the time to forget has come.
-    fn timer(&mut self, now: Moment, name: &str) {
+    fn timer(&mut self, now: Timestamp, name: &str) {
         let Some(member) = self.members.get_mut(name) else { return };
         member.timer = None;
         let life = member.life;
@@ -508,7 +508,7 @@
     }
 
     /// Sets what is believed of a member, in the same life and edition.
-    fn set(&mut self, now: Moment, name: &str, standing: Standing, by: &str) {
+    fn set(&mut self, now: Timestamp, name: &str, standing: Standing, by: &str) {
         let what = match standing {
             Standing::Alive => What::Refuted,
             Standing::Suspected => What::Suspected,
@@ -518,7 +518,7 @@
         self.set_for(now, name, standing, by, what);
     }
 
-    fn set_for(&mut self, now: Moment, name: &str, standing: Standing, by: &str, what: What) {
+    fn set_for(&mut self, now: Timestamp, name: &str, standing: Standing, by: &str, what: What) {
         let Some(member) = self.members.get_mut(name) else { return };
         let (was, life, edition) = (member.standing, member.life, member.edition);
         (member.standing, member.since, member.by) = (standing, now, by.to_owned());
@@ -538,7 +538,7 @@
     }
 
     /// A datagram that came from there.
-    pub fn heard(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
+    pub fn heard(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
         self.wake(now);
         if !self.terms.near(from) {
             self.counts.strangers += 1;
@@ -570,7 +570,7 @@
         }
     }
 
-    fn take(&mut self, now: Moment, datagram: Datagram) {
+    fn take(&mut self, now: Timestamp, datagram: Datagram) {
         if datagram.from == self.name {
             self.namesake(now, &datagram);
             return;
--- a/crates/view/src/view/speak.rs
+++ b/crates/view/src/view/speak.rs
@@ -7,7 +7,7 @@
 use rand::seq::SliceRandom;
 use rand::RngExt;
 use std::net::SocketAddr;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 impl View {
     /// What is believed of a member, or of this node itself.
@@ -59,7 +59,7 @@
     }
 
     /// Bytes that a datagram may have, by what is left to spend.
-    pub(super) fn afford(&mut self, now: Moment) -> usize {
+    pub(super) fn afford(&mut self, now: Timestamp) -> usize {
         // What sums may ask for is kept back.
         (self.purse.held(now) - LARGEST as f64).clamp(0.0, LARGEST as f64) as usize
     }
@@ -90,7 +90,7 @@
         datagram.news = (!news.is_empty()).then_some(news);
     }
 
-    pub(super) fn push(&mut self, now: Moment, at: SocketAddr, datagram: Datagram) {
+    pub(super) fn push(&mut self, now: Timestamp, at: SocketAddr, datagram: Datagram) {
         // What an address in a datagram names is sent to only if it may be heard too.
         if at == self.card.address || !self.terms.near(at) {
             return;
@@ -106,7 +106,7 @@
         }
     }
 
-    pub(super) fn send(&mut self, now: Moment, to: &str, kind: Kind, ask: u32, target: Option<&str>) {
+    pub(super) fn send(&mut self, now: Timestamp, to: &str, kind: Kind, ask: u32, target: Option<&str>) {
         if let Some(at) = self.address(to) {
             self.send_to(now, at, target, kind, ask, Some(to));
         }
@@ -114,7 +114,7 @@
 
     pub(super) fn send_to(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         at: SocketAddr,
         target: Option<&str>,
         kind: Kind,
@@ -132,7 +132,7 @@
         self.push(now, at, datagram);
     }
 
-    pub(super) fn tell(&mut self, now: Moment, at: SocketAddr, news: Option<News>) {
+    pub(super) fn tell(&mut self, now: Timestamp, at: SocketAddr, news: Option<News>) {
         let Some(news) = news else { return };
         let mut datagram = self.datagram(Kind::Tell, 0, None);
         datagram.news = Some(vec![news]);
@@ -140,7 +140,7 @@
     }
 
     /// Two that differ for longer than news takes find by sums what one of them has missed.
-    pub(super) fn compare(&mut self, now: Moment, at: SocketAddr, datagram: &Datagram) {
+    pub(super) fn compare(&mut self, now: Timestamp, at: SocketAddr, datagram: &Datagram) {
         if datagram.kind == Kind::Sums {
             return;
         }
@@ -151,17 +151,20 @@
         let period = self.terms.times.period;
         let since = *self.differs.get_or_insert(now);
         // A newcomer and one that lacks something need not wait for what is on its way by itself.
-        let wait =
-            if self.lacking || self.here * 2 < datagram.here as usize { Span(0) } else { Span(period.0 * 4) };
+        let wait = if self.lacking || self.here * 2 < datagram.here as usize {
+            Micros(0)
+        } else {
+            Micros(period.0 * 4)
+        };
         if now.since(since) < wait || now < self.exchange_at || self.purse.held(now) < LARGEST as f64 {
             return;
         }
-        self.exchange_at = now + Span(self.chance.random_range(period.0 * 2..=period.0 * 6));
+        self.exchange_at = now + Micros(self.chance.random_range(period.0 * 2..=period.0 * 6));
         self.differs = None;
         self.send_sums(now, at, datagram.here as usize, false);
     }
 
-    pub(super) fn send_sums(&mut self, now: Moment, at: SocketAddr, there: usize, last: bool) {
+    pub(super) fn send_sums(&mut self, now: Timestamp, at: SocketAddr, there: usize, last: bool) {
         let parts = sums::parts(self.here.max(there));
         let mut sums = self.datagram(Kind::Sums, 0, None);
         sums.sums = Some(self.own_sums(parts));
@@ -177,7 +180,7 @@
     }
 
     /// Tells what stands in the parts that differ, as far as there are bytes for it, from a part by chance on.
-    pub(super) fn sums(&mut self, now: Moment, at: SocketAddr, datagram: &Datagram) {
+    pub(super) fn sums(&mut self, now: Timestamp, at: SocketAddr, datagram: &Datagram) {
         let Some(theirs) = datagram.sums.as_ref().filter(|sums| !sums.is_empty()) else { return };
         let parts = theirs.len() / 4;
         if theirs.len() % 4 != 0 || parts > LARGEST / 4 || self.purse.held(now) < LARGEST as f64 {
@@ -216,7 +219,7 @@
         self.flush(now, at, &mut news);
     }
 
-    pub(super) fn flush(&mut self, now: Moment, at: SocketAddr, news: &mut Vec<News>) {
+    pub(super) fn flush(&mut self, now: Timestamp, at: SocketAddr, news: &mut Vec<News>) {
         if !news.is_empty() {
             let mut datagram = self.datagram(Kind::Tell, 0, None);
             datagram.news = Some(std::mem::take(news));
--- a/crates/view/tests/codec.rs
+++ b/crates/view/tests/codec.rs
@@ -3,7 +3,7 @@
 use minicbor::Encoder;
 use proptest::prelude::*;
 use std::net::SocketAddr;
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 use yarrowfront_view::card::{Card, Edition, Life, Load, Phase, Standing};
 use yarrowfront_view::terms::ViewTerms;
 use yarrowfront_view::view::View;
@@ -87,7 +87,7 @@
         place: 0,
         places: 3,
     };
-    View::new(Moment(0), ViewTerms::plain("f", listen), "me", Life(5), card, 1)
+    View::new(Timestamp(0), ViewTerms::plain("f", listen), "me", Life(5), card, 1)
 }
 
 proptest! {
@@ -107,15 +107,15 @@
     fn any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..1500), said in prop::collection::vec(datagram(), 1..8)) {
         let mut view = view();
         let from = "127.0.0.9:1".parse().expect("an address");
-        view.heard(Moment(1000), from, &bytes);
+        view.heard(Timestamp(1000), from, &bytes);
         for datagram in said {
             let Some(mut bytes) = datagram.bytes() else { continue };
-            view.heard(Moment(2000), from, &bytes);
+            view.heard(Timestamp(2000), from, &bytes);
             let place = bytes.len() / 2;
             bytes[place] ^= 0x55;
-            view.heard(Moment(3000), from, &bytes);
+            view.heard(Timestamp(3000), from, &bytes);
             bytes.truncate(place);
-            view.heard(Moment(4000), from, &bytes);
+            view.heard(Timestamp(4000), from, &bytes);
         }
         view.due(view.next());
         while let Some((_, bytes)) = view.outgoing() {
--- a/crates/view/tests/view.rs
+++ b/crates/view/tests/view.rs
@@ -1,7 +1,7 @@
 //! The state machine by hand: one node, and what is said to it.
 
 use std::net::SocketAddr;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 use yarrowfront_view::card::{Card, Edition, Life, Load, Phase, Standing};
 use yarrowfront_view::share::{Places, Share, Sharer, Why, NONE};
 use yarrowfront_view::terms::{Network, ViewTerms};
@@ -25,7 +25,7 @@
 }
 
 fn view() -> View {
-    View::new(Moment(0), ViewTerms::plain("f", at(1)), "me", Life(50), card(1), 1)
+    View::new(Timestamp(0), ViewTerms::plain("f", at(1)), "me", Life(50), card(1), 1)
 }
 
 fn news(name: &str, host: u8, life: u64, edition: u32, standing: Standing) -> News {
@@ -56,7 +56,7 @@
 
 fn tell(view: &mut View, now: u64, news: Vec<News>) {
     let told = said("teller", 9, 1, Kind::Tell, news);
-    view.heard(Moment(now), at(9), &told.bytes().expect("small"));
+    view.heard(Timestamp(now), at(9), &told.bytes().expect("small"));
 }
 
 fn sent(view: &mut View) -> Vec<(SocketAddr, Datagram)> {
@@ -67,7 +67,7 @@
 
 /// Plays on alone, with nobody answering, until then.
 fn alone_until(view: &mut View, end: u64) {
-    while view.next() <= Moment(end) {
+    while view.next() <= Timestamp(end) {
         let next = view.next();
         view.due(next);
     }
@@ -136,9 +136,9 @@
     let through = sent(&mut view).iter().filter(|(_, d)| d.kind == Kind::AskFor).count();
     assert!(through > 0, "others are asked to ask");
     assert_eq!(view.member("x").map(|m| m.standing), Some(Standing::Suspected));
-    let mut stopped = View::new(Moment(0), ViewTerms::plain("f", at(1)), "me", Life(50), card(1), 1);
+    let mut stopped = View::new(Timestamp(0), ViewTerms::plain("f", at(1)), "me", Life(50), card(1), 1);
     tell(&mut stopped, 1000, vec![news("x", 2, 7, 0, Standing::Alive)]);
-    stopped.due(Moment(10_000_000));
+    stopped.due(Timestamp(10_000_000));
     let after = stopped.member("x").map(|m| m.standing);
     assert_eq!(
         (after, stopped.counts().stalls),
@@ -161,7 +161,7 @@
     tell(&mut view, 1000, vec![news("x", 2, 7, 0, Standing::Alive), news("x", 2, 7, 0, Standing::Dead)]);
     sent(&mut view);
     let ask = said("x", 2, 7, Kind::Ask, Vec::new());
-    view.heard(Moment(2000), at(2), &ask.bytes().expect("small"));
+    view.heard(Timestamp(2000), at(2), &ask.bytes().expect("small"));
     let told: Vec<News> = sent(&mut view).into_iter().flat_map(|(_, d)| d.news.unwrap_or_default()).collect();
     assert!(told.iter().any(|n| n.name == "x" && n.standing == Standing::Suspected), "{told:?}");
 }
@@ -193,25 +193,25 @@
     let mut view = view();
     let good = said("x", 2, 7, Kind::Ask, vec![news("x", 2, 7, 0, Standing::Alive)]);
     let bytes = |datagram: &Datagram| datagram.bytes().expect("small");
-    view.heard(Moment(1), SocketAddr::from(([10, 0, 0, 1], 7946)), &bytes(&good));
-    view.heard(Moment(2), at(2), &bytes(&Datagram { fleet: "g".into(), ..good.clone() }));
-    view.heard(Moment(3), at(2), &bytes(&Datagram { version: 9, ..good.clone() }));
-    view.heard(Moment(4), at(2), b"?");
+    view.heard(Timestamp(1), SocketAddr::from(([10, 0, 0, 1], 7946)), &bytes(&good));
+    view.heard(Timestamp(2), at(2), &bytes(&Datagram { fleet: "g".into(), ..good.clone() }));
+    view.heard(Timestamp(3), at(2), &bytes(&Datagram { version: 9, ..good.clone() }));
+    view.heard(Timestamp(4), at(2), b"?");
     let outside = SocketAddr::from(([10, 0, 0, 1], 7946));
-    view.heard(Moment(5), at(2), &bytes(&Datagram { address: outside, ..good.clone() }));
+    view.heard(Timestamp(5), at(2), &bytes(&Datagram { address: outside, ..good.clone() }));
     let counts = view.counts();
     let dropped =
         [counts.strangers, counts.other_fleet, counts.other_version, counts.malformed, counts.heard];
     assert_eq!(dropped, [2, 1, 1, 1, 0]);
     assert_eq!(view.outgoing(), None, "nothing is owed to them");
     let terms = ViewTerms { most_members: 20, ..ViewTerms::plain("f", at(1)) };
-    let mut small = View::new(Moment(0), terms, "me", Life(50), card(1), 1);
+    let mut small = View::new(Timestamp(0), terms, "me", Life(50), card(1), 1);
     for host in 2..60 {
         let name = format!("x{host}");
         let first = said(&name, host, 7, Kind::AskFor, vec![news(&name, host, 7, 0, Standing::Alive)]);
         for ask in 0..40 {
             let next = Datagram { ask, target: Some("x2".into()), ..first.clone() };
-            small.heard(Moment(1000), at(host), &bytes(&next));
+            small.heard(Timestamp(1000), at(host), &bytes(&next));
         }
     }
     assert_eq!((small.here(), small.members().count()), (20, 19));
@@ -254,7 +254,7 @@
 #[test]
 fn portions() {
     let times = ViewTerms::plain("f", at(1)).times;
-    let (fresh, long) = (Span(1_000_000), Span(times.sure.0 * 3));
+    let (fresh, long) = (Micros(1_000_000), Micros(times.sure.0 * 3));
     let seen = |seen, missing, extra| Places { seen, missing, extra, own: true, before: 0 };
     let cases = [
         ("all there", seen(10, 0, 0), true, long, (10, Why::Stated)),
@@ -268,26 +268,26 @@
         ("none, but settled", Places { own: false, ..seen(10, 0, 1) }, true, long, (11, Why::Crowded)),
     ];
     for (what, found, heard, after, (nodes, why)) in cases {
-        let start = Moment(1_000_000);
+        let start = Timestamp(1_000_000);
         let mut sharer = Sharer::new(start, times);
         let mut share = None;
         for step in 0..=after.0 / 100_000 {
-            share = Some(sharer.choose(start + Span(step * 100_000), &found, heard, 10, 3));
+            share = Some(sharer.choose(start + Micros(step * 100_000), &found, heard, 10, 3));
         }
         let share: Share = share.expect("a look");
         assert_eq!((share.nodes, share.why), (nodes, why), "{what}");
     }
     // Of a fleet of one place another node takes nothing, however long it has seen it: found by a walk of the search, in
     // which the one with the place started again.
-    let mut beside = Sharer::new(Moment(0), times);
+    let mut beside = Sharer::new(Timestamp(0), times);
     let found = Places { seen: 1, missing: 0, extra: 1, own: false, before: 0 };
-    let looks = (0..200u64).map(|i| beside.choose(Moment(i * 100_000), &found, true, 1, 1).nodes);
+    let looks = (0..200u64).map(|i| beside.choose(Timestamp(i * 100_000), &found, true, 1, 1).nodes);
     assert_eq!(looks.last(), Some(NONE));
     // Touch lost for a moment is no loss; for longer it is, and then all begins again.
-    let mut sharer = Sharer::new(Moment(0), times);
+    let mut sharer = Sharer::new(Timestamp(0), times);
     let mut look = |at: u64, there: bool| {
         let found = if there { seen(7, 3, 0) } else { seen(2, 3, 0) };
-        sharer.choose(Moment(at), &found, true, 10, 0).nodes
+        sharer.choose(Timestamp(at), &found, true, 10, 0).nodes
     };
     let steps = (0..200u64).map(|i| look(i * 100_000, true)).last();
     assert_eq!(steps, Some(9));
@@ -296,8 +296,8 @@
     assert_eq!([look(26_100_000, true), look(41_000_000, true), look(41_200_000, true)], [20, 20, 9]);
     // Stopped for long and awake again it has seen nobody yet, and the others may have taken over from it: an answer
     // that comes before its first look must not have it at its stated portion.
-    sharer.awake(Moment(80_000_000));
-    let share = sharer.choose(Moment(80_100_000), &seen(10, 0, 0), true, 10, 0);
+    sharer.awake(Timestamp(80_000_000));
+    let share = sharer.choose(Timestamp(80_100_000), &seen(10, 0, 0), true, 10, 0);
     assert_eq!((share.nodes, share.why), (20, Why::Fresh));
 }
 
--- a/src/allowance.rs
+++ b/src/allowance.rs
@@ -1,8 +1,8 @@
 //! How many launches beyond commands' first a node may still make: a count over the last window of time, the
 //! strict way where it is not exact. What has been counted is kept in a bounded number of slices.
 
-use crate::settings::Budget;
-use crate::times::{Moment, Span};
+use crate::settings::RetryBudget;
+use crate::times::{Micros, Timestamp};
 use std::collections::VecDeque;
 
 /// A slice that the window's edge cuts counts for its launches and not for its commands: at most one in
@@ -11,26 +11,27 @@
 
 /// Where none is stated: half of the commands may be launched again, those of twenty seconds in store for a
 /// lost zone. With more to spare at once a fleet that starts dials itself full.
-pub(crate) const UNSTATED: Budget = Budget { spare: 2.0, ratio: 0.5, window: Span::millis(20_000) };
+pub(crate) const UNSTATED: RetryBudget =
+    RetryBudget { spare_launches: 2.0, launches_per_command: 0.5, window: Micros::from_millis(20_000) };
 
 #[derive(Default)]
 pub(crate) struct Allowance {
     slices: VecDeque<Slice>,
     /// Until then another process of this node holds what is spare.
-    none_spare: Moment,
+    none_spare: Timestamp,
 }
 
 struct Slice {
-    first: Moment,
-    last: Moment,
+    first: Timestamp,
+    last: Timestamp,
     taken: u32,
     further: u32,
 }
 
 impl Allowance {
     /// A command has come, or a launch beyond a command's first is made.
-    pub(crate) fn count(&mut self, now: Moment, budget: Budget, further: bool) {
-        let long = Span(budget.window.0 / SLICES);
+    pub(crate) fn count(&mut self, now: Timestamp, budget: RetryBudget, further: bool) {
+        let long = Micros(budget.window.0 / SLICES);
         if self.slices.back().is_none_or(|s| now.since(s.first) >= long) {
             self.slices.push_back(Slice { first: now, last: now, taken: 0, further: 0 });
         }
@@ -43,23 +44,23 @@
     }
 
     /// The launches beyond commands' first that count in the window that ends now, and how many may.
-    pub(crate) fn stands(&self, now: Moment, budget: Budget) -> (f64, f64) {
+    pub(crate) fn stands(&self, now: Timestamp, budget: RetryBudget) -> (f64, f64) {
         let from = now - budget.window;
         let taken: u32 = self.slices.iter().filter(|s| s.first > from).map(|s| s.taken).sum();
         let further: u32 = self.slices.iter().filter(|s| s.last >= from).map(|s| s.further).sum();
-        let spare = if now < self.none_spare { 0.0 } else { budget.spare };
-        (f64::from(further), spare + budget.ratio * f64::from(taken))
+        let spare = if now < self.none_spare { 0.0 } else { budget.spare_launches };
+        (f64::from(further), spare + budget.launches_per_command * f64::from(taken))
     }
 
     /// When the first of the launches that count now no longer does.
-    pub(crate) fn eases(&self, now: Moment, budget: Budget) -> Moment {
+    pub(crate) fn eases(&self, now: Timestamp, budget: RetryBudget) -> Timestamp {
         let counts = |s: &&Slice| s.further > 0 && s.last >= now - budget.window;
-        self.slices.iter().find(counts).map_or(Moment(u64::MAX), |s| s.last + budget.window + Span(1))
+        self.slices.iter().find(counts).map_or(Timestamp(u64::MAX), |s| s.last + budget.window + Micros(1))
     }
 
     /// Two processes are one node while both run: the later one has nothing spare until the launches that the
     /// other made no longer count. Each has what its own commands bring it.
-    pub(crate) fn beside(&mut self, now: Moment, other: bool, budget: Budget) {
-        self.none_spare = if other { Moment(u64::MAX) } else { now + budget.window + Span(1) };
+    pub(crate) fn beside(&mut self, now: Timestamp, other: bool, budget: RetryBudget) {
+        self.none_spare = if other { Timestamp(u64::MAX) } else { now + budget.window + Micros(1) };
     }
 }
--- a/src/backend.rs
+++ b/src/backend.rs
@@ -1,13 +1,13 @@
 //! What a node has in its books of one backend, and of one profile: figures and sums, and no choice.
 
-use crate::backend_list::Listed;
+use crate::backend_list::ListEntry;
 use crate::command::Launch;
-use crate::times::Moment;
+use crate::times::Timestamp;
 
 #[derive(Default)]
 pub(crate) struct Backend {
-    pub(crate) listed: Listed,
-    pub(crate) token: Option<Moment>,
+    pub(crate) listed: ListEntry,
+    pub(crate) token: Option<Timestamp>,
     pub(crate) served: bool,
     /// The operators have called it back, and nothing has gone there yet.
     pub(crate) untried: bool,
@@ -16,9 +16,9 @@
     pub(crate) pending: f64,
     /// Work given up on that may still fill the backend, as of `ghost_at`.
     pub(crate) ghost: f64,
-    pub(crate) ghost_at: Moment,
+    pub(crate) ghost_at: Timestamp,
     /// Since when it has owed us an answer without giving any.
-    pub(crate) quiet_since: Moment,
+    pub(crate) quiet_since: Timestamp,
     /// Time taken for each unit of expected work ahead; and the same where nothing was ahead.
     pub(crate) pace: f64,
     pub(crate) solo: f64,
@@ -26,51 +26,51 @@
     pub(crate) cap: f64,
     pub(crate) good: f64,
     pub(crate) bad: f64,
-    pub(crate) weighed_at: Moment,
+    pub(crate) weighed_at: Timestamp,
     /// Commands of others there, by the last report.
     pub(crate) others: f64,
-    pub(crate) report_at: Moment,
+    pub(crate) report_at: Timestamp,
     /// The largest size that the list has told.
     pub(crate) nominal: f64,
-    pub(crate) probe_out: Option<Moment>,
+    pub(crate) probe_out: Option<Timestamp>,
     /// The last probe found nobody.
     pub(crate) down: bool,
     pub(crate) poured: f64,
-    pub(crate) poured_at: Moment,
+    pub(crate) poured_at: Timestamp,
     /// Connections that our answers left open, and when the last of them was used.
     pub(crate) open: u32,
-    pub(crate) used_at: Moment,
+    pub(crate) used_at: Timestamp,
 }
 
 impl Backend {
     /// One of whom nothing is known but its line in the list and its kind's pace.
-    pub(crate) fn fresh(now: Moment, listed: Listed, pace: f64, poured: f64) -> Backend {
+    pub(crate) fn fresh(now: Timestamp, listed: ListEntry, pace: f64, poured: f64) -> Backend {
         let (ghost_at, quiet_since, weighed_at, poured_at) = (now, now, now, now);
         let known =
-            Backend { listed, nominal: listed.size, pace, solo: pace, cap: 1.0, ..Backend::default() };
+            Backend { listed, nominal: listed.weight, pace, solo: pace, cap: 1.0, ..Backend::default() };
         Backend { ghost_at, quiet_since, weighed_at, poured, poured_at, ..known }
     }
 
     /// Goes by a new line of the list. A start that the operators told of is not taken back by an older one.
     /// What others have there for each core, if sizes are live: the largest told over this one, less one and
     /// ours.
-    pub(crate) fn relist(&mut self, line: Listed) -> f64 {
-        self.listed = Listed { started: self.listed.started, ..line };
-        self.nominal = self.nominal.max(line.size);
-        (self.nominal / line.size.max(1e-3) - 1.0 - f64::from(self.in_flight)).max(0.0)
+    pub(crate) fn relist(&mut self, line: ListEntry) -> f64 {
+        self.listed = ListEntry { started_at: self.listed.started_at, ..line };
+        self.nominal = self.nominal.max(line.weight);
+        (self.nominal / line.weight.max(1e-3) - 1.0 - f64::from(self.in_flight)).max(0.0)
     }
 
-    pub(crate) fn ghost_left(&self, now: Moment) -> f64 {
-        (self.ghost - now.since(self.ghost_at).micros() / self.pace).max(0.0)
+    pub(crate) fn ghost_left(&self, now: Timestamp) -> f64 {
+        (self.ghost - now.since(self.ghost_at).as_f64() / self.pace).max(0.0)
     }
 
     /// Work given up on goes on there for all we know.
-    pub(crate) fn haunt(&mut self, now: Moment, cost: f64) {
+    pub(crate) fn haunt(&mut self, now: Timestamp, cost: f64) {
         (self.ghost, self.ghost_at) = (self.ghost_left(now) + cost, now);
     }
 
     /// A launch holds a place.
-    pub(crate) fn occupy(&mut self, now: Moment, cost: f64) {
+    pub(crate) fn occupy(&mut self, now: Timestamp, cost: f64) {
         if self.in_flight == 0 {
             self.quiet_since = now;
         }
@@ -81,7 +81,7 @@
     /// A launch holds its place no longer.
     pub(crate) fn release(&mut self, launch: &Launch) {
         self.in_flight -= 1;
-        self.pending = if self.in_flight == 0 { 0.0 } else { (self.pending - launch.cost).max(0.0) };
+        self.pending = if self.in_flight == 0 { 0.0 } else { (self.pending - launch.expected_work).max(0.0) };
     }
 }
 
@@ -90,7 +90,7 @@
     pub(crate) mean: f64,
     pub(crate) answers: f64,
     /// When a command of it was last sent anywhere.
-    pub(crate) launched_at: Moment,
+    pub(crate) launched_at: Timestamp,
     /// Mean and spread of the hints, and how work goes along with them.
     pub(crate) hint: f64,
     pub(crate) spread: f64,
@@ -99,7 +99,7 @@
 
 impl Row {
     pub(crate) fn new(mean: f64) -> Row {
-        Row { mean, answers: 0.0, launched_at: Moment(0), hint: 0.0, spread: 0.0, along: 0.0 }
+        Row { mean, answers: 0.0, launched_at: Timestamp(0), hint: 0.0, spread: 0.0, along: 0.0 }
     }
 
     /// What was learned counts as no more than one answer from now on.
--- a/src/backend_list.rs
+++ b/src/backend_list.rs
@@ -1,12 +1,12 @@
 //! What the list of backends says.
 
-use crate::ids::{BackendId, GroupId, KindId, ZoneId};
-use crate::times::Moment;
+use crate::ids::{BackendId, BackendTypeId, GroupId, ZoneId};
+use crate::times::Timestamp;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
-    Changes,
-    Whole,
+pub enum ListUpdateKind {
+    Delta,
+    Snapshot,
     Cached,
     /// A call failed, or the watch was ended.
     Failed,
@@ -14,15 +14,15 @@
     Silent,
 }
 
-impl ListKind {
+impl ListUpdateKind {
     /// Nothing is told: the list holds as it is known.
-    pub fn tells_nothing(self) -> bool {
-        matches!(self, ListKind::Failed | ListKind::Silent)
+    pub fn is_failure(self) -> bool {
+        matches!(self, ListUpdateKind::Failed | ListUpdateKind::Silent)
     }
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum BackendState {
     #[default]
     Gone,
     Ready,
@@ -31,15 +31,15 @@
 
 /// One line of the list of backends.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listed {
+pub struct ListEntry {
     pub backend: BackendId,
     /// Says the same of it at every node.
-    pub mark: u64,
+    pub name_hash: u64,
     /// What it is registered as able to do, beside the others.
-    pub size: f64,
+    pub weight: f64,
     pub zone: ZoneId,
-    pub kind: KindId,
+    pub backend_type: BackendTypeId,
     pub group: GroupId,
-    pub state: State,
-    pub started: Moment,
+    pub state: BackendState,
+    pub started_at: Timestamp,
 }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -4,21 +4,21 @@
 
 use crate::allowance::{Allowance, UNSTATED};
 use crate::backend::{Backend, Row};
-pub use crate::backend_list::{ListKind, Listed, State};
+pub use crate::backend_list::{BackendState, ListEntry, ListUpdateKind};
 use crate::chance::Chance;
-use crate::command::{Bounds, Command, Fate, Held, Launch, Outcome, MOST_LAUNCHES};
-pub use crate::decision::{Errand, Say};
-use crate::ids::{BackendId, Hand, KindId};
+use crate::command::{Bounds, Command, Held, Launch, LaunchState, Outcome, MOST_LAUNCHES};
+pub use crate::decision::{Action, Decision};
+use crate::ids::{BackendId, BackendTypeId, CommandHandle};
 use crate::list_calls::ListCalls;
 use crate::portion;
-use crate::settings::{Among, Budget, Effect, Profile, Terms};
-use crate::times::{Moment, Span};
+use crate::settings::{DedupScope, Idempotency, Profile, RetryBudget, Settings};
+use crate::times::{Micros, Timestamp};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Default)]
 pub struct Balancer {
-    terms: Terms,
+    terms: Settings,
     chance: Chance,
     backends: Vec<Backend>,
     index: BTreeMap<BackendId, usize>,
@@ -31,7 +31,7 @@
     near: usize,
     /// Commands of late, halved in four seconds.
     met: f64,
-    met_at: Moment,
+    met_at: Timestamp,
     /// Work that each backend met has done for it of late, fading as they do.
     done: f64,
     pool: Vec<usize>,
@@ -39,12 +39,12 @@
     /// The usual work over all profiles.
     usual: f64,
     answers: f64,
-    kind_pace: BTreeMap<KindId, f64>,
+    kind_pace: BTreeMap<BackendTypeId, f64>,
     /// Commands held, the next one to go last.
     held: Vec<Held>,
-    errands: Vec<Errand>,
+    errands: Vec<Action>,
     order: u64,
-    launched_at: Moment,
+    launched_at: Timestamp,
     margin: f64,
     /// What may still be launched beyond commands' first.
     allowance: Allowance,
@@ -71,14 +71,14 @@
     probe_trip: f64,
     list_calls: ListCalls,
     /// From then on nothing is sent by the list as it is known: news that has not arrived binds this node.
-    list_holds_until: Moment,
+    list_holds_until: Timestamp,
 }
 
 /// A process may be held up for so long between its decision and its write.
-const HOLD_UP: Span = Span::millis(150);
+const HOLD_UP: Micros = Micros::from_millis(150);
 
 /// The proposal's expiry and exploring share.
-const TOKEN_EXPIRY: Span = Span::millis(2000);
+const TOKEN_EXPIRY: Micros = Micros::from_millis(2000);
 const EXPLORE: f64 = 0.1;
 /// Backends met at the least: a third failing at once still leaves a choice. Half as many again where probes
 /// find the idle one among them; fewer lost where none report.
@@ -114,7 +114,7 @@
 
 /// Idle for less is as good as in use: nothing on the way forgets so soon. And the share of launches lost on
 /// connections idle for longer that tells of them: two of six; a heavy command may look lost anywhere.
-const BRIEF: Span = Span::millis(200);
+const BRIEF: Micros = Micros::from_millis(200);
 const IDLED: f64 = 0.3;
 
 /// Places that a key has more for each backend's worth of commands, as their work is about halved where it is
@@ -122,7 +122,7 @@
 const HOT: f64 = 0.75;
 
 /// So long without a launch a node takes its chance.
-const ALONE: Span = Span::millis(1000);
+const ALONE: Micros = Micros::from_millis(1000);
 
 /// A launch out for so many times what was expected is written off, past its goal time and within it: sooner
 /// where its answer is worth nothing any more, later where a second copy may follow.
@@ -134,11 +134,11 @@
 const FIRST_GUESS: f64 = 0.1;
 
 fn first_guess(profile: &Profile) -> f64 {
-    FIRST_GUESS * profile.goal_time.micros()
+    FIRST_GUESS * profile.goal_time.as_f64()
 }
 
 impl Balancer {
-    pub fn new(terms: Terms, seed: u64, now: Moment) -> Balancer {
+    pub fn new(terms: Settings, seed: u64, now: Timestamp) -> Balancer {
         let rows: Vec<_> = terms.profiles.iter().map(|profile| Row::new(first_guess(profile))).collect();
         let usual = rows.iter().map(|row| row.mean).fold(0.0, f64::max);
         let mut node = Balancer {
@@ -152,7 +152,7 @@
             margin: 1.6,
             open: 1.0,
             lasts: f64::INFINITY,
-            list_holds_until: Moment(u64::MAX),
+            list_holds_until: Timestamp(u64::MAX),
             ..Balancer::default()
         };
         node.fill = MEAN;
@@ -161,21 +161,21 @@
     }
 
     /// Where to send this command: a backend, not yet, or never. Also asked when its `wait` is over.
-    pub fn place(&mut self, now: Moment, hand: Hand, command: &mut Command) -> Say {
-        if command.closed {
-            return Say::NotYet;
+    pub fn decide(&mut self, now: Timestamp, hand: CommandHandle, command: &mut Command) -> Decision {
+        if command.is_closed {
+            return Decision::Wait;
         }
         if !command.seen {
             self.meet(now, command);
             if !self.admitted(command) {
-                return self.give_up(command);
+                return self.reject_or_fail(command);
             }
         }
         if command.awaited().is_some() {
             return self.overdue(now, hand, command);
         }
-        if command.out() > 0 && !self.terms.second_copies {
-            return Say::NotYet; // written off, and asked for by a timer set before
+        if command.in_flight_count() > 0 && !self.terms.concurrent_launches_allowed {
+            return Decision::Wait; // written off, and asked for by a timer set before
         }
         if self.granted_at(now, command) > now {
             return self.anew(now, hand, command); // held, and what it was held for is spent
@@ -185,15 +185,15 @@
         }
         let chosen = self.choose(now, command);
         if self.ask_first(now, hand, command, chosen) {
-            return Say::NotYet;
+            return Decision::Wait;
         }
         match chosen {
             Some(i) if self.stale(now, i) => {
                 self.backends[i].open = 0;
                 command.look_at = now;
-                self.errands.push(Errand::Again(hand)); // the last pushed goes first
-                self.errands.push(Errand::Close(self.backends[i].listed.backend));
-                Say::NotYet
+                self.errands.push(Action::Reevaluate(hand)); // the last pushed goes first
+                self.errands.push(Action::CloseIdleConnections(self.backends[i].listed.backend));
+                Decision::Wait
             }
             Some(i) => self.launch(now, command, i),
             None => self.hold(now, hand, command),
@@ -201,55 +201,63 @@
     }
 
     /// What to do after this outcome of a launch.
-    pub fn after(&mut self, now: Moment, hand: Hand, command: &mut Command, n: u8, outcome: Outcome) -> Say {
-        let Some(launch) = command.launch(n).filter(|l| l.fate == Fate::Out) else {
-            return Say::NotYet;
+    pub fn on_launch_outcome(
+        &mut self,
+        now: Timestamp,
+        hand: CommandHandle,
+        command: &mut Command,
+        n: u8,
+        outcome: Outcome,
+    ) -> Decision {
+        let Some(launch) = command.launch(n).filter(|l| l.state == LaunchState::InFlight) else {
+            return Decision::Wait;
         };
         let not_run = outcome.proves_not_run(self.terms.full_may_have_run);
-        launch.fate = if not_run { Fate::NotRun } else { Fate::MayHaveRun };
+        launch.state = if not_run { LaunchState::NotRun } else { LaunchState::MayHaveRun };
         let launch = *launch;
-        if command.closed || outcome == Outcome::Finished {
+        if command.is_closed || outcome == Outcome::Finished {
             self.unhold(command); // it may have been held for a second launch
         }
         self.learn(now, command, &launch, outcome);
         self.wake_next();
-        if command.closed || outcome == Outcome::Finished || command.awaited().is_some() {
-            return Say::NotYet;
+        if command.is_closed || outcome == Outcome::Finished || command.awaited().is_some() {
+            return Decision::Wait;
         }
         self.anew(now, hand, command)
     }
 
     /// The last byte is here of a command whose launch began before it: until now that held no place, as a
     /// backend begins with the last byte, and slow clients would make it look full and silent.
-    pub fn came_whole(&mut self, now: Moment, command: &mut Command) {
-        command.came_whole(now);
+    pub fn on_body_complete(&mut self, now: Timestamp, command: &mut Command) {
+        command.on_body_complete(now);
         if let Some(launch) = command.awaited() {
-            self.backends[self.index[&launch.backend]].occupy(now, launch.cost);
+            self.backends[self.index[&launch.backend]].occupy(now, launch.expected_work);
         }
     }
 
     /// What follows when no launch is awaited any more: another one, or the end.
-    fn anew(&mut self, now: Moment, hand: Hand, command: &mut Command) -> Say {
+    fn anew(&mut self, now: Timestamp, hand: CommandHandle, command: &mut Command) -> Decision {
         let at = self.granted_at(now, command);
-        let need = if at > now { Span((self.cost(command) * self.margin.sqrt()) as u64) } else { Span(0) };
+        let need =
+            if at > now { Micros((self.cost(command) * self.margin.sqrt()) as u64) } else { Micros(0) };
         if at + need < self.goal_end(command) && self.may_launch(at, command) {
             self.unhold(command);
             command.rounds = 0;
             if at <= now {
-                return self.place(now, hand, command);
+                return self.decide(now, hand, command);
             }
             command.look_at = at;
-            return Say::NotYet;
+            return Decision::Wait;
         }
-        if command.out() > 0 {
-            return Say::NotYet; // one that was written off may still be answered
+        if command.in_flight_count() > 0 {
+            return Decision::Wait; // one that was written off may still be answered
         }
-        self.give_up(command)
+        self.reject_or_fail(command)
     }
 
     /// When a further launch is within the budget: of its second half only dear commands get any.
-    fn granted_at(&self, now: Moment, command: &Command) -> Moment {
-        if command.launched() == 0 {
+    fn granted_at(&self, now: Timestamp, command: &Command) -> Timestamp {
+        if command.launch_count() == 0 {
             return now;
         }
         let budget = self.budget();
@@ -262,32 +270,37 @@
         }
     }
 
-    fn budget(&self) -> Budget {
-        self.terms.budget.unwrap_or(UNSTATED)
+    fn budget(&self) -> RetryBudget {
+        self.terms.retry_budget.unwrap_or(UNSTATED)
     }
 
     /// How long until `place` should be asked again for this command, or `errand` for the node (`None`).
-    pub fn wait(&self, now: Moment, command: Option<&Command>) -> Option<Span> {
+    pub fn wakeup_delay(&self, now: Timestamp, command: Option<&Command>) -> Option<Micros> {
         let at = command.map_or(self.list_calls.next_at(), |command| command.look_at);
-        (at < Moment(u64::MAX)).then(|| at.since(now))
+        (at < Timestamp(u64::MAX)).then(|| at.since(now))
     }
 
-    pub fn dropped(&mut self, command: &mut Command) {
+    pub fn on_client_gone(&mut self, command: &mut Command) {
         self.unhold(command);
-        command.closed = true;
-        command.look_at = Moment(u64::MAX);
+        command.is_closed = true;
+        command.look_at = Timestamp(u64::MAX);
     }
 
-    pub fn list(&mut self, now: Moment, kind: ListKind, lines: impl Iterator<Item = Listed>) {
-        if kind.tells_nothing() {
+    pub fn apply_list(
+        &mut self,
+        now: Timestamp,
+        kind: ListUpdateKind,
+        lines: impl Iterator<Item = ListEntry>,
+    ) {
+        if kind.is_failure() {
             self.list_calls.ended(now, &self.terms, &mut self.chance);
             return;
         }
-        if kind != ListKind::Cached {
+        if kind != ListUpdateKind::Cached {
             self.list_calls.watch_opened();
         }
-        let whole = kind != ListKind::Changes;
-        self.backends.iter_mut().filter(|_| whole).for_each(|b| b.listed.state = State::Gone);
+        let whole = kind != ListUpdateKind::Delta;
+        self.backends.iter_mut().filter(|_| whole).for_each(|b| b.listed.state = BackendState::Gone);
         for line in lines {
             self.line(now, line);
         }
@@ -297,22 +310,22 @@
     /// News that this node has not heard counts as known to it from then on; none once it has been heard, or while
     /// discovery is down: then the list serves on. Until the grace is over commands go by the list as it is known, and from
     /// then on they are held for its answer. Without effect where the list is pushed.
-    pub fn list_binds_from(&mut self, binds: Option<Moment>) {
-        let grace = Span(self.terms.drain_grace.0.saturating_sub(HOLD_UP.0));
-        let binds = binds.filter(|_| self.terms.must_ask);
-        self.list_holds_until = binds.map_or(Moment(u64::MAX), |at| at + grace);
+    pub fn set_list_expiry(&mut self, binds: Option<Timestamp>) {
+        let grace = Micros(self.terms.drain_grace.0.saturating_sub(HOLD_UP.0));
+        let binds = binds.filter(|_| self.terms.list_is_requested);
+        self.list_holds_until = binds.map_or(Timestamp(u64::MAX), |at| at + grace);
         self.wake_next();
     }
 
     /// Leaves a backend out whatever the list says of it, or uses it again: then it is cold, all learned is
     /// void. Its token comes before all others until it is used, as nothing else need tell of it soon.
-    pub fn maint(&mut self, now: Moment, backend: BackendId, out: bool) {
+    pub fn set_maintenance(&mut self, now: Timestamp, backend: BackendId, out: bool) {
         if out {
             self.left_out.insert(backend);
-            self.errands.push(Errand::Close(backend));
+            self.errands.push(Action::CloseIdleConnections(backend));
         } else if self.left_out.remove(&backend) {
             if let Some(&i) = self.index.get(&backend) {
-                self.line(now, Listed { started: now, ..self.backends[i].listed });
+                self.line(now, ListEntry { started_at: now, ..self.backends[i].listed });
                 self.backends[i].untried = true;
             }
         }
@@ -321,25 +334,25 @@
 
     /// Until when a launch that has to wait may be written: by the list, the operators, its time, and the
     /// other launches of its command. Never where that is past.
-    pub fn stands(&self, command: &Command, n: u8) -> Moment {
+    pub fn launch_valid_until(&self, command: &Command, n: u8) -> Timestamp {
         let (bounds, launch) = (self.bounds(command, Some(n)), command.launches().nth(usize::from(n)));
         let there = launch.and_then(|launch| self.index.get(&launch.backend)).is_some_and(|&i| self.takes(i));
-        let ends = if command.coming { Moment(u64::MAX) } else { command.ends };
+        let ends = if command.is_body_incomplete { Timestamp(u64::MAX) } else { command.deadline };
         let until = bounds.until.min(ends).min(self.list_holds_until);
         if bounds.launch && there {
             until
         } else {
-            Moment(0)
+            Timestamp(0)
         }
     }
 
-    pub fn is_left_out(&self, backend: BackendId) -> bool {
+    pub fn is_in_maintenance(&self, backend: BackendId) -> bool {
         self.left_out.contains(&backend)
     }
 
     fn takes(&self, i: usize) -> bool {
         let at = &self.backends[i].listed;
-        at.state == State::Ready && !self.is_left_out(at.backend)
+        at.state == BackendState::Ready && !self.is_in_maintenance(at.backend)
     }
 
     fn arrange(&mut self) {
@@ -347,7 +360,7 @@
         self.ready = ready;
         rest.into_iter().for_each(|i| self.backends[i].token = None);
         let backends = &self.backends;
-        self.ready.sort_by_cached_key(|&i| portion::rank(backends[i].listed.mark));
+        self.ready.sort_by_cached_key(|&i| portion::rank(backends[i].listed.name_hash));
         let start = portion::place(&self.terms, self.ready.len());
         self.ready.rotate_left(start);
         self.wake_next();
@@ -355,7 +368,7 @@
 
     /// Goes by other terms from now on. Profiles keep their places and new ones stand behind them, so that a
     /// command ends by what it came in under; what is known of backends, and what is out there, stays.
-    pub fn switch(&mut self, terms: Terms) {
+    pub fn replace_settings(&mut self, terms: Settings) {
         self.terms = terms;
         let new = self.terms.profiles.iter().skip(self.rows.len());
         self.rows.extend(new.map(|profile| Row::new(first_guess(profile))));
@@ -363,21 +376,21 @@
     }
 
     /// As one of so many nodes that share what all share, at that place among them, from now on.
-    pub fn fleet(&mut self, nodes: u32, me: u32) {
-        (self.terms.nodes, self.terms.me) = (nodes, me);
+    pub fn set_membership(&mut self, nodes: u32, me: u32) {
+        (self.terms.node_count, self.terms.node_index) = (nodes, me);
         self.arrange();
     }
 
     /// Another process of this node runs, the one before, or has ended.
-    pub fn beside(&mut self, now: Moment, other: bool) {
+    pub fn set_predecessor_running(&mut self, now: Timestamp, other: bool) {
         self.allowance.beside(now, other, self.budget());
     }
 
-    fn line(&mut self, now: Moment, line: Listed) {
-        let kind_pace = self.kind_pace.get(&line.kind).copied().unwrap_or(1.0);
+    fn line(&mut self, now: Timestamp, line: ListEntry) {
+        let kind_pace = self.kind_pace.get(&line.backend_type).copied().unwrap_or(1.0);
         // Many nodes' parts of a cold backend's budget come to less than a command each: their vessels start
         // filled by a random part of what is lacking, so that their first commands do not come all together.
-        let brim = self.part(now, line.started) * self.terms.push_over_span.micros();
+        let brim = self.part(now, line.started_at) * self.terms.collapse_window.as_f64();
         let poured = (self.usual - brim).max(0.0) * self.chance.unit();
         let fresh = Backend::fresh(now, line, kind_pace, poured);
         match self.index.get(&line.backend) {
@@ -385,33 +398,41 @@
                 self.index.insert(line.backend, self.backends.len());
                 self.backends.push(fresh);
             }
-            Some(&i) if self.backends[i].listed.started < line.started => {
+            Some(&i) if self.backends[i].listed.started_at < line.started_at => {
                 // It has started anew: all learned is void, but our launches there are still owed outcomes.
                 let (in_flight, pending) = (self.backends[i].in_flight, self.backends[i].pending);
                 self.backends[i] = Backend { in_flight, pending, ..fresh };
             }
             Some(&i) => {
                 let others = self.backends[i].relist(line);
-                self.crowd += 0.01 * f64::from(self.terms.live_sizes) * (others - self.crowd);
+                self.crowd += 0.01 * f64::from(self.terms.weights_are_live) * (others - self.crowd);
             }
         }
     }
 
-    pub fn report(&mut self, now: Moment, at: BackendId, found: bool, trip: Option<Span>, values: &[f32]) {
+    pub fn on_load_report(
+        &mut self,
+        now: Timestamp,
+        at: BackendId,
+        found: bool,
+        trip: Option<Micros>,
+        values: &[f32],
+    ) {
         let Some(&i) = self.index.get(&at) else { return };
         let sighted = self.sighted();
         let b = &mut self.backends[i];
         if let Some(trip) = trip {
             b.probe_out = None;
             b.down = !found;
-            self.probe_trip += 0.05 * f64::from(found) * (trip.micros() - self.probe_trip);
+            self.probe_trip += 0.05 * f64::from(found) * (trip.as_f64() - self.probe_trip);
         }
         let value = |at: Option<usize>| at.and_then(|at| values.get(at)).map(|&v| f64::from(v));
-        let queued = value(self.terms.report_queued);
+        let queued = value(self.terms.report_queue_index);
         // Reports carry a little noise: less than half a command is none. Where they tell of those that wait
         // alone, how busy the cores are stands for those in work.
-        let busy = value(self.terms.report_busy).map_or(0.0, |busy| busy.min(1.0));
-        let counted = value(self.terms.report_held).map(|held| held.max(queued.unwrap_or(0.0)).round());
+        let busy = value(self.terms.report_utilization_index).map_or(0.0, |busy| busy.min(1.0));
+        let counted =
+            value(self.terms.report_in_flight_index).map(|held| held.max(queued.unwrap_or(0.0)).round());
         let Some(held) = counted.or(queued.map(|queued| queued.round() + busy)) else { return };
         // A token that has just been minted by the answer that this came with is none.
         b.token = b.token.filter(|_| held == 0.0 || trip.is_some() || !sighted);
@@ -421,21 +442,21 @@
         self.crowd += 0.05 * (b.others - self.crowd);
         if held < 0.1 && b.in_flight == 0 {
             b.ghost = 0.0;
-            if b.served && b.listed.state == State::Ready && sighted {
+            if b.served && b.listed.state == BackendState::Ready && sighted {
                 b.token = Some(now);
             }
             self.wake_next();
         }
     }
 
-    pub fn errand(&mut self, now: Moment) -> Option<Errand> {
+    pub fn next_action(&mut self, now: Timestamp) -> Option<Action> {
         if self.errands.is_empty() && self.list_calls.take_due(now, &self.terms) {
-            return Some(Errand::Follow);
+            return Some(Action::RequestList);
         }
         self.errands.pop()
     }
 
-    fn meet(&mut self, now: Moment, command: &mut Command) {
+    fn meet(&mut self, now: Timestamp, command: &mut Command) {
         command.seen = true;
         self.order += 1;
         command.order = self.order;
@@ -449,22 +470,27 @@
         let rate = self.met * std::f64::consts::LN_2 / 4e6;
         let fewest = if self.sighted() { FEWEST * 3 / 2 } else { FEWEST };
         // A key's place is the same everywhere only as far as all meet it: as many then as keep a connection.
-        let life = if self.terms.warm_keys { self.terms.conn_idle.max(TOKEN_EXPIRY) } else { TOKEN_EXPIRY };
-        self.reach = fewest.max((0.5 * rate * life.micros()) as usize);
+        let life = if self.terms.key_affinity {
+            self.terms.connection_idle_timeout.max(TOKEN_EXPIRY)
+        } else {
+            TOKEN_EXPIRY
+        };
+        self.reach = fewest.max((0.5 * rate * life.as_f64()) as usize);
         self.near = usize::MAX;
-        if self.dear() || self.terms.connection_price > 0.0 {
+        if self.dear() || self.terms.connection_penalty > 0.0 {
             // The few that could ask cost more than they gain, and their news is old when the next one comes.
             self.near = portion::few(&self.terms, self.ready.len(), rate * self.usual);
         } else {
-            self.probes = (self.probes + (FOR_PROBES / self.terms.probe_price.max(1e-4)).min(5.0)).min(40.0);
+            self.probes =
+                (self.probes + (FOR_PROBES / self.terms.probe_penalty.max(1e-4)).min(5.0)).min(40.0);
         }
         self.allowance.count(now, self.budget(), false);
         let cost = self.cost(command);
-        let each = if self.terms.payoff_by_work { 1.0 } else { cost.max(1.0) };
+        let each = if self.terms.payoff_is_per_work { 1.0 } else { cost.max(1.0) };
         let value = self.profile(command).payoff / each;
         // A client's repeat has spent part of its goal time somewhere else.
-        command.value = if command.repeat { value * 0.5 } else { value };
-        self.recent[self.order as usize % RECENT] = (command.value, cost.max(1.0), command.key);
+        command.value = if command.is_client_retry { value * 0.5 } else { value };
+        self.recent[self.order as usize % RECENT] = (command.value, cost.max(1.0), command.affinity_key);
         // Two nodes go by late launches, many by how much of the goal time all of them take. Some credit, or
         // single heavy commands would turn away work all the time.
         let unseen = self.unseen();
@@ -475,13 +501,13 @@
     }
 
     /// What is left by now of the sums that stand as of the last command.
-    fn fade(&self, now: Moment) -> f64 {
-        (-now.since(self.met_at).micros() / 4e6).exp2()
+    fn fade(&self, now: Timestamp) -> f64 {
+        (-now.since(self.met_at).as_f64() / 4e6).exp2()
     }
 
     /// Probes are allowed, and cost too much to go by.
     fn dear(&self) -> bool {
-        self.terms.may_probe && self.terms.probe_price > FOR_PROBES
+        self.terms.probes_allowed && self.terms.probe_penalty > FOR_PROBES
     }
 
     /// Whether a command is of the dearest work that comes, as far as the node is open: drawn among equals,
@@ -499,27 +525,27 @@
 
     /// A launch out past its goal time: the fleet is fuller than this node can see. One out far longer than
     /// expected is written off: it holds no place any more, and within the goal time its command may move on.
-    fn overdue(&mut self, now: Moment, hand: Hand, command: &mut Command) -> Say {
+    fn overdue(&mut self, now: Timestamp, hand: CommandHandle, command: &mut Command) -> Decision {
         let end = self.goal_end(command);
-        command.look_at = Moment(u64::MAX);
-        let Some(out) = command.awaited() else { return Say::NotYet };
-        out.lost = now >= out.lost_at;
+        command.look_at = Timestamp(u64::MAX);
+        let Some(out) = command.awaited() else { return Decision::Wait };
+        out.is_lost = now >= out.lost_at;
         let launch = *out;
-        if launch.lost {
+        if launch.is_lost {
             let i = self.index[&launch.backend];
             self.tell_lost(&launch, true);
             self.weigh(now, i, 0.0, 1.0);
             self.backends[i].release(&launch);
-            self.backends[i].haunt(now, launch.cost);
+            self.backends[i].haunt(now, launch.expected_work);
             self.wake_next();
-            if self.terms.second_copies {
+            if self.terms.concurrent_launches_allowed {
                 return self.anew(now, hand, command);
             }
             // Called off first, and launched again only when that is over: never two at once.
-            let last = command.launched() - 1;
-            return match self.terms.cancel && now < end && self.may_launch(now, command) {
-                true => Say::CallOff(last as u8),
-                false => Say::NotYet,
+            let last = command.launch_count() - 1;
+            return match self.terms.cancel_supported && now < end && self.may_launch(now, command) {
+                true => Decision::CancelLaunch(last as u8),
+                false => Decision::Wait,
             };
         }
         command.look_at = if now < end { end.min(launch.lost_at) } else { launch.lost_at };
@@ -527,29 +553,30 @@
             self.heed(&launch, 1.0);
             self.close(1.0 - self.unseen());
         }
-        Say::NotYet
+        Decision::Wait
     }
 
     /// Whether reports show what others do, and launches to those idle by them have not belied them of late.
     fn sighted(&self) -> bool {
         let t = &self.terms;
-        let tells = t.report_held.is_some() || t.report_busy.is_some() && t.reports_come;
-        tells && (t.may_probe || t.reports_come) && self.belied < 0.35
+        let tells = t.report_in_flight_index.is_some()
+            || t.report_utilization_index.is_some() && t.reports_piggybacked;
+        tells && (t.probes_allowed || t.reports_piggybacked) && self.belied < 0.35
     }
 
     /// Whether reports tell all commands held, and not how full a backend is alone.
     fn counts(&self) -> bool {
-        self.sighted() && self.terms.report_held.is_some()
+        self.sighted() && self.terms.report_in_flight_index.is_some()
     }
 
     /// Whether it can look where it likes: reports that come with answers tell of whom it has just been to.
     fn asks(&self) -> bool {
-        !self.terms.reports_come && self.sighted()
+        !self.terms.reports_piggybacked && self.sighted()
     }
 
     /// Late though sent to an idle backend, as reports had it: that is the command or the backend.
     fn behind(&self, launch: &Launch) -> bool {
-        !self.counts() || launch.ahead > 1.5 * launch.cost
+        !self.counts() || launch.work_ahead > 1.5 * launch.expected_work
     }
 
     /// What launches take of their goal time tells how full the fleet is, sooner than the few late ones. It
@@ -560,7 +587,7 @@
 
     /// How much of what happens to backends this node neither does nor sees: nothing for two nodes.
     fn unseen(&self) -> f64 {
-        let nodes = if self.counts() { 2 } else { self.terms.nodes.max(2) };
+        let nodes = if self.counts() { 2 } else { self.terms.node_count.max(2) };
         1.0 - 2.0 / f64::from(nodes)
     }
 
@@ -576,20 +603,20 @@
         &self.rows[usize::from(command.profile.0)]
     }
 
-    fn goal_end(&self, command: &Command) -> Moment {
+    fn goal_end(&self, command: &Command) -> Timestamp {
         let profile = self.profile(command);
-        (command.arrived + profile.goal_time).min(command.ends)
+        (command.arrived_at + profile.goal_time).min(command.deadline)
     }
 
     /// Expected work in standard microseconds.
     fn cost(&self, command: &Command) -> f64 {
         let row = self.row(command);
-        let Some(hint) = command.hint.filter(|_| row.answers > HINTED && row.spread > 0.0) else {
+        let Some(hint) = command.work_hint.filter(|_| row.answers > HINTED && row.spread > 0.0) else {
             return row.mean;
         };
         // Rough hints mislead when taken at their word: they count as far as past work went along with them.
         let slope = (row.along / row.spread).clamp(0.0, row.mean / row.hint.max(1.0));
-        (row.mean + slope * (hint.micros() - row.hint)).clamp(0.2 * row.mean, 4.0 * row.mean)
+        (row.mean + slope * (hint.as_f64() - row.hint)).clamp(0.2 * row.mean, 4.0 * row.mean)
     }
 
     /// The same where too much would have it refused: of a profile that has not been met no more than the usual work.
@@ -603,74 +630,74 @@
     fn bounds(&self, command: &Command, but: Option<u8>) -> Bounds {
         let profile = self.profile(command);
         let mut bounds =
-            Bounds { launch: true, turn_back: true, until: Moment(u64::MAX), zone: None, group: None };
+            Bounds { launch: true, turn_back: true, until: Timestamp(u64::MAX), zone: None, group: None };
         let Some(ran) = command.may_have_run(but) else { return bounds };
-        match (profile.effect, profile.among) {
-            (Effect::Repeatable, _) => {}
-            (Effect::OnceOnly, _) => (bounds.launch, bounds.turn_back) = (false, false),
-            (Effect::Tagged, among) => {
+        match (profile.idempotency, profile.dedup_scope) {
+            (Idempotency::Repeatable, _) => {}
+            (Idempotency::Once, _) => (bounds.launch, bounds.turn_back) = (false, false),
+            (Idempotency::ByKey, among) => {
                 // A microsecond less: spans are counted from the send on a finer clock.
-                bounds.until = ran.sent + profile.memory_span - Span(1);
-                bounds.turn_back = among == Among::All;
-                bounds.zone = (among == Among::Zone).then_some(ran.zone);
-                bounds.group = (among == Among::Group).then_some(ran.group);
+                bounds.until = ran.sent_at + profile.dedup_window - Micros(1);
+                bounds.turn_back = among == DedupScope::All;
+                bounds.zone = (among == DedupScope::Zone).then_some(ran.zone);
+                bounds.group = (among == DedupScope::Group).then_some(ran.group);
             }
         }
         bounds
     }
 
-    fn may_launch(&self, now: Moment, command: &Command) -> bool {
+    fn may_launch(&self, now: Timestamp, command: &Command) -> bool {
         let bounds = self.bounds(command, None);
-        let most = self.terms.most_launches.min(MOST_LAUNCHES);
-        let may = bounds.launch && !command.spent && command.launched() < most;
-        may && now < bounds.until && now < command.ends
+        let most = self.terms.max_launches.min(MOST_LAUNCHES);
+        let may = bounds.launch && !command.is_body_consumed && command.launch_count() < most;
+        may && now < bounds.until && now < command.deadline
     }
 
     /// Time there for a unit of work. What is not known yet is taken from the kind and the warm-up; what was
     /// learned fades by half each second after the first without an answer, or a backend once slow is never
     /// tried again.
-    fn pace(&self, now: Moment, b: &Backend) -> f64 {
-        let warmth = self.warmth(now, b.listed.started);
+    fn pace(&self, now: Timestamp, b: &Backend) -> f64 {
+        let warmth = self.warmth(now, b.listed.started_at);
         if b.answers < 3 && warmth < 1.0 {
             // Somewhere between the least it may have by now and all of it.
             return b.pace / warmth.sqrt();
         }
-        let idle = if b.in_flight == 0 { now.since(b.quiet_since).micros() / 1e6 } else { 0.0 };
+        let idle = if b.in_flight == 0 { now.since(b.quiet_since).as_f64() / 1e6 } else { 0.0 };
         b.pace * (1.0 - idle).min(0.0).exp2().max(0.1)
     }
 
     /// Expected time for work there, with all that is ahead of it.
-    fn expected(&self, now: Moment, b: &Backend, cost: f64) -> f64 {
+    fn expected(&self, now: Timestamp, b: &Backend, cost: f64) -> f64 {
         // Behind others nothing has faded: only an idle one is worth a try on the chance that it has changed.
         let pace = self.pace(now, b).max(b.pace);
         let mut ahead = self.ahead(now, b) * pace;
         if b.in_flight > 0 {
             // A silence lasts about as long again as it has lasted.
-            ahead = ahead.max(now.since(b.quiet_since).micros());
+            ahead = ahead.max(now.since(b.quiet_since).as_f64());
         }
         ahead + cost * pace
     }
 
-    fn ahead(&self, now: Moment, b: &Backend) -> f64 {
+    fn ahead(&self, now: Timestamp, b: &Backend) -> f64 {
         b.pending + b.ghost_left(now).max(self.others(now, b) * self.usual)
     }
 
     /// Commands of others there: by its last report, and the longer ago that was, by what is usual.
-    fn others(&self, now: Moment, b: &Backend) -> f64 {
+    fn others(&self, now: Timestamp, b: &Backend) -> f64 {
         if !self.sighted() {
             return 0.0;
         }
-        let halves = now.since(b.report_at).micros() / (self.usual * b.pace);
+        let halves = now.since(b.report_at).as_f64() / (self.usual * b.pace);
         self.crowd + (b.others - self.crowd) * (-halves).exp2()
     }
 
-    fn choose(&mut self, now: Moment, command: &Command) -> Option<usize> {
+    fn choose(&mut self, now: Timestamp, command: &Command) -> Option<usize> {
         if !self.may_launch(now, command) {
             return None;
         }
-        let first = command.launched() == 0;
+        let first = command.launch_count() == 0;
         // What cannot be sent again is no means to try the unknown.
-        let explore = self.chance.unit() < EXPLORE && self.profile(command).effect != Effect::OnceOnly;
+        let explore = self.chance.unit() < EXPLORE && self.profile(command).idempotency != Idempotency::Once;
         let ready = std::mem::take(&mut self.ready);
         let mut pool = std::mem::take(&mut self.pool);
         pool.clear();
@@ -714,7 +741,7 @@
             let idle = |i: &usize| self.idle(now, &self.backends[*i]) && self.bears_a_try(now, *i, command);
             pool.extend(ready[..reach].iter().copied().filter(idle));
         }
-        if self.terms.warm_keys && command.key != 0 && !(explore && self.counts()) {
+        if self.terms.key_affinity && command.affinity_key != 0 && !(explore && self.counts()) {
             self.keep_warm(command, &mut pool, ready.len());
         }
         let mut best = None;
@@ -722,11 +749,11 @@
             best = self.oldest_token(now, &pool);
         }
         if best.is_none() && !pool.is_empty() {
-            if command.asked > Moment(0) && pool.iter().any(|&i| self.fresh(now, i)) {
+            if command.asked > Timestamp(0) && pool.iter().any(|&i| self.fresh(now, i)) {
                 pool.retain(|&i| self.fresh(now, i));
             }
             // Two at random, or those asked for this command, who were drawn so.
-            if command.asked == Moment(0) {
+            if command.asked == Timestamp(0) {
                 let draws = [self.chance.draw(), self.chance.draw()];
                 let two = draws.map(|draw| pool[draw as usize % pool.len()]);
                 pool.clear();
@@ -746,10 +773,10 @@
     /// Those of a pool where the command's key is likely to have been met: the first in an order that all
     /// nodes share. A key that draws much has as many places as its traffic needs.
     fn keep_warm(&self, command: &Command, pool: &mut Vec<usize>, all: usize) {
-        let alike = self.recent.iter().filter(|(_, _, key)| *key == command.key).count();
+        let alike = self.recent.iter().filter(|(_, _, key)| *key == command.affinity_key).count();
         let drawn = alike.saturating_sub(1) as f64 / RECENT as f64;
         let at = |i: &usize| &self.backends[*i].listed;
-        pool.sort_by_cached_key(|i| portion::key_rank(at(i).mark, at(i).size, command.key));
+        pool.sort_by_cached_key(|i| portion::key_rank(at(i).name_hash, at(i).weight, command.affinity_key));
         let places = if self.counts() { 2 } else { 1 };
         pool.truncate(places + (drawn * HOT * all as f64) as usize);
     }
@@ -758,11 +785,11 @@
     fn step(&self, b: &Backend) -> i64 {
         let far = b.listed.zone.0 != self.terms.zone;
         // A crossing counts as its price in units of a tenth of a command's time.
-        let dear = if far { 1.0 + 10.0 * self.terms.crossing_price } else { 1.0 };
+        let dear = if far { 1.0 + 10.0 * self.terms.cross_zone_penalty } else { 1.0 };
         (4.0 * (b.pace * dear).log2()).round() as i64
     }
 
-    fn oldest_token(&self, now: Moment, pool: &[usize]) -> Option<usize> {
+    fn oldest_token(&self, now: Timestamp, pool: &[usize]) -> Option<usize> {
         let held = pool.iter().copied().filter(|&i| {
             let b = &self.backends[i];
             let idle = |at| now.since(at) < TOKEN_EXPIRY && (at >= b.report_at || b.others == 0.0);
@@ -772,29 +799,30 @@
         held.min_by_key(|&i| (!at(i).untried, self.step(at(i)), at(i).token))
     }
 
-    fn connected(&self, now: Moment, i: usize) -> bool {
+    fn connected(&self, now: Timestamp, i: usize) -> bool {
         let b = &self.backends[i];
-        let least = self.lasts.min(self.terms.conn_idle.micros());
-        b.open > 0 && (b.in_flight > 0 || now.since(b.used_at).micros() < least)
+        let least = self.lasts.min(self.terms.connection_idle_timeout.as_f64());
+        b.open > 0 && (b.in_flight > 0 || now.since(b.used_at).as_f64() < least)
     }
 
     /// Whether the connections there have been idle for too long to be trusted, and not for so long as to be
     /// closed already. Where new ones fail they are all there is.
-    fn stale(&self, now: Moment, i: usize) -> bool {
+    fn stale(&self, now: Timestamp, i: usize) -> bool {
         let (b, sure) = (&self.backends[i], self.connected(now, i) || self.dials > DIALS_FAIL);
-        !sure && b.open > 0 && now.since(b.used_at) < self.terms.conn_idle
+        !sure && b.open > 0 && now.since(b.used_at) < self.terms.connection_idle_timeout
     }
 
     /// Where launches on connections idle for long are lost, and few on those just used, something drops idle
     /// ones: half that time is trusted, and twice as much after seventy answers, so that it is tried again.
     fn tell_lost(&mut self, launch: &Launch, lost: bool) {
         let known = lost && self.backends[self.index[&launch.backend]].bad >= 0.3; // it is gone, or hangs
-        let share = if launch.idle < BRIEF { &mut self.spoilt } else { &mut self.idled };
+        let share = if launch.connection_idle < BRIEF { &mut self.spoilt } else { &mut self.idled };
         *share += 0.2 * f64::from(!known) * (f64::from(lost) - *share);
         if self.spoilt > 0.5 * IDLED {
             self.lasts = f64::INFINITY; // it is not the connections
-        } else if lost && !known && launch.idle >= BRIEF && self.idled > IDLED + 2.0 * self.spoilt {
-            self.lasts = self.lasts.min(0.5 * launch.idle.micros());
+        } else if lost && !known && launch.connection_idle >= BRIEF && self.idled > IDLED + 2.0 * self.spoilt
+        {
+            self.lasts = self.lasts.min(0.5 * launch.connection_idle.as_f64());
         } else if !lost {
             self.lasts *= 1.01;
         }
@@ -808,18 +836,18 @@
             && bounds.group.is_none_or(|g| g == at.group)
     }
 
-    fn room(&self, now: Moment, i: usize, command: &Command) -> bool {
+    fn room(&self, now: Timestamp, i: usize, command: &Command) -> bool {
         let b = &self.backends[i];
         if f64::from(b.in_flight) + 1.0 > b.cap.floor() || !self.allowed(i, command) {
             return false;
         }
         let cost = self.cost(command);
-        let left = self.goal_end(command).since(now).micros();
+        let left = self.goal_end(command).since(now).as_f64();
         // With nothing ahead there is no better place for it: only a backend late as a rule is left out.
         let idle = self.idle(now, b);
         // With many nodes an own count of zero is no sign of idleness: most of the margin then, from two on.
         let fits = if idle {
-            let doubt = self.margin.powf(0.7 - 1.4 / f64::from(self.terms.nodes.max(2)));
+            let doubt = self.margin.powf(0.7 - 1.4 / f64::from(self.terms.node_count.max(2)));
             let row = self.row(command);
             // Only an answer tells what a profile needs, so one that has had none is tried.
             row.answers == 0.0 || row.mean * self.pace(now, b) * doubt <= left
@@ -830,75 +858,77 @@
     }
 
     /// Whether it may go there though there is no room by what is known: nothing speaks against the backend itself.
-    fn bears_a_try(&self, now: Moment, i: usize, command: &Command) -> bool {
+    fn bears_a_try(&self, now: Timestamp, i: usize, command: &Command) -> bool {
         let b = &self.backends[i];
         b.bad < 0.3 && self.allowed(i, command) && self.pour(now, b, self.cost(command)).is_some()
     }
 
     /// Whether nothing is ahead there, for all that is known of it.
-    fn idle(&self, now: Moment, b: &Backend) -> bool {
+    fn idle(&self, now: Timestamp, b: &Backend) -> bool {
         b.in_flight == 0 && b.ghost_left(now) == 0.0 && self.others(now, b) < 0.5
     }
 
     /// Whether a profile is taken to need more than its goal time wherever it is sent, and has been sent nowhere for that
     /// long: what was learned of it may be old, and only another answer can tell.
-    fn is_due_again(&self, now: Moment, command: &Command) -> bool {
+    fn is_due_again(&self, now: Timestamp, command: &Command) -> bool {
         let row = self.row(command);
         let goal = self.profile(command).goal_time;
-        row.mean * self.margin > goal.micros() && now.since(row.launched_at) >= goal
+        row.mean * self.margin > goal.as_f64() && now.since(row.launched_at) >= goal
     }
 
     /// The share of its capacity that a backend has at least, so long after its start.
-    fn warmth(&self, now: Moment, started: Moment) -> f64 {
-        if started == Moment(0) {
+    fn warmth(&self, now: Timestamp, started: Timestamp) -> f64 {
+        if started == Timestamp(0) {
             return 1.0; // the list's word for a long time ago
         }
-        let start = self.terms.start_capacity.max(0.01);
-        let share = now.since(started).micros() / self.terms.warm_within.micros().max(1.0);
+        let start = self.terms.initial_capacity.max(0.01);
+        let share = now.since(started).as_f64() / self.terms.warm_up_time.as_f64().max(1.0);
         (start + (1.0 - start) * share).min(1.0)
     }
 
     /// How many nodes meet a backend, ourselves among them.
     fn sharers(&self) -> f64 {
         let part = self.reach.min(self.near) as f64 / self.ready.len().max(1) as f64;
-        (f64::from(self.terms.nodes) * part.min(1.0)).max(1.0)
+        (f64::from(self.terms.node_count) * part.min(1.0)).max(1.0)
     }
 
     /// Our part of what goes to a backend: as one of like nodes that meet it, or by what has been done for us
     /// of late if that is more: most nodes carry little, some far more, and no fleet does more than it can.
-    fn share(&self, now: Moment) -> f64 {
+    fn share(&self, now: Timestamp) -> f64 {
         (1.0 / self.sharers()).max(self.done * self.fade(now) * std::f64::consts::LN_2 / 4e6)
     }
 
     /// Our part of what a cold backend can take in a microsecond beyond what it gets done: the vessel full
     /// and what drains of it meanwhile come to less than all.
-    fn part(&self, now: Moment, started: Moment) -> f64 {
-        0.47 * (self.terms.push_over_multiple - 1.0).max(0.1) * self.warmth(now, started) * self.share(now)
+    fn part(&self, now: Timestamp, started: Timestamp) -> f64 {
+        0.47 * (self.terms.collapse_load_multiple - 1.0).max(0.1)
+            * self.warmth(now, started)
+            * self.share(now)
     }
 
     /// What a cold backend was given and has not done, as a vessel that drains in the stated span: its level
     /// after this work, or nothing if that would be too much.
-    fn pour(&self, now: Moment, b: &Backend, cost: f64) -> Option<f64> {
-        let rate = self.part(now, b.listed.started);
-        let level = (b.poured - rate * now.since(b.poured_at).micros()).max(0.0) + cost;
-        let brim = rate * self.terms.push_over_span.micros();
-        let warm = self.warmth(now, b.listed.started) >= 1.0;
+    fn pour(&self, now: Timestamp, b: &Backend, cost: f64) -> Option<f64> {
+        let rate = self.part(now, b.listed.started_at);
+        let level = (b.poured - rate * now.since(b.poured_at).as_f64()).max(0.0) + cost;
+        let brim = rate * self.terms.collapse_window.as_f64();
+        let warm = self.warmth(now, b.listed.started_at) >= 1.0;
         (warm || level <= brim || level <= cost).then_some(level)
     }
 
     /// Whether a backend gets work: drawn, when in doubt, from the posterior of its chance of success.
-    fn willing(&mut self, now: Moment, i: usize, command: &Command) -> bool {
+    fn willing(&mut self, now: Timestamp, i: usize, command: &Command) -> bool {
         self.weigh(now, i, 0.0, 0.0);
         let trip = self.probe_trip;
         let b = &self.backends[i];
         // A probe out for many times its usual trip tells of a stalled process long before it fails.
-        if b.down || b.probe_out.is_some_and(|at| now.since(at).micros() > 4.0 * trip + 4000.0) {
+        if b.down || b.probe_out.is_some_and(|at| now.since(at).as_f64() > 4.0 * trip + 4000.0) {
             return false;
         }
         if b.bad < 0.3 {
             return true;
         }
-        if self.profile(command).effect == Effect::OnceOnly {
+        if self.profile(command).idempotency == Idempotency::Once {
             // Beyond doubt is who has no more of them than chance gives each.
             let usual = self.common * (b.good + b.bad);
             return b.bad < 0.3 + usual + usual.sqrt();
@@ -922,13 +952,13 @@
         *shares.select_nth_unstable_by(middle, f64::total_cmp).1
     }
 
-    fn weigh(&mut self, now: Moment, i: usize, good: f64, bad: f64) {
+    fn weigh(&mut self, now: Timestamp, i: usize, good: f64, bad: f64) {
         // Evidence halves in three seconds, and past eight good outcomes the older of both kinds counts less.
         // Where many nodes meet a backend, each tries it again the later: together as often as three.
         if self.backends[i].bad > 0.0 {
             let half = 3e6 * (self.sharers() / 3.0).clamp(1.0, 10.0);
             let b = &mut self.backends[i];
-            let fade = (-now.since(b.weighed_at).micros() / half).exp2();
+            let fade = (-now.since(b.weighed_at).as_f64() / half).exp2();
             b.good *= fade;
             b.bad *= fade;
         }
@@ -938,26 +968,26 @@
         (b.good, b.bad) = ((b.good + good) / over, ((b.bad + bad) / over).min(8.0));
     }
 
-    fn launch(&mut self, now: Moment, command: &mut Command, i: usize) -> Say {
+    fn launch(&mut self, now: Timestamp, command: &mut Command, i: usize) -> Decision {
         let held = command.waiting;
         self.unhold(command);
         let cost = self.cost(command);
         let ahead = self.ahead(now, &self.backends[i]);
         let level = self.pour(now, &self.backends[i], cost).unwrap_or(0.0);
         let due = self.expected(now, &self.backends[i], cost.max(self.usual));
-        let within = if self.terms.second_copies { LOST[1] } else { CALLED_OFF };
-        let lost = [LOST[0], within].map(|times| now + Span((times * due) as u64));
+        let within = if self.terms.concurrent_launches_allowed { LOST[1] } else { CALLED_OFF };
+        let lost = [LOST[0], within].map(|times| now + Micros((times * due) as u64));
         let lost_at = self.goal_end(command).max(lost[0]).min(lost[1]);
         let dialled = !self.connected(now, i);
         let there = &self.backends[i];
-        let idle = if dialled || there.in_flight > 0 { Span(0) } else { now.since(there.used_at) };
-        if command.launched() > 0 {
+        let idle = if dialled || there.in_flight > 0 { Micros(0) } else { now.since(there.used_at) };
+        if command.launch_count() > 0 {
             self.allowance.count(now, self.budget(), true);
         }
         let b = &mut self.backends[i];
         b.open = if dialled { 0 } else { b.open - 1 };
         (b.token, b.untried) = (None, false);
-        if !command.coming {
+        if !command.is_body_incomplete {
             b.occupy(now, cost);
         }
         b.poured = level;
@@ -968,39 +998,45 @@
             backend: b.listed.backend,
             zone: b.listed.zone,
             group: b.listed.group,
-            sent: now,
-            fate: Fate::Out,
-            cost,
-            ahead: ahead + cost,
+            sent_at: now,
+            state: LaunchState::InFlight,
+            expected_work: cost,
+            work_ahead: ahead + cost,
             depth: b.in_flight,
             lost_at,
-            lost: command.coming,
-            dialled,
-            idle,
+            is_lost: command.is_body_incomplete,
+            is_new_connection: dialled,
+            connection_idle: idle,
         });
         command.look_at = self.goal_end(command).min(lost_at).max(now);
         if held {
             self.wake_next();
         }
         self.pressure *= 0.98;
-        Say::Launch(self.backends[i].listed.backend)
+        Decision::Launch(self.backends[i].listed.backend)
     }
 
     /// Where other nodes send too and probes are allowed, a launch that is not to an idle backend by fresh
     /// news asks first: some are probed and the command is held for the trip, a hundredth of its time.
     /// While none has room it asks again and again, later each time. True while it is to wait.
-    fn ask_first(&mut self, now: Moment, hand: Hand, command: &mut Command, chosen: Option<usize>) -> bool {
+    fn ask_first(
+        &mut self,
+        now: Timestamp,
+        hand: CommandHandle,
+        command: &mut Command,
+        chosen: Option<usize>,
+    ) -> bool {
         let idle = chosen.is_some_and(|i| {
             let b = &self.backends[i];
             self.fresh(now, i) && b.in_flight == 0 && b.others == 0.0
         });
-        if !self.asks() || self.terms.nodes < 2 || idle || self.ready.is_empty() {
+        if !self.asks() || self.terms.node_count < 2 || idle || self.ready.is_empty() {
             return false;
         }
         let more = command.rounds < ROUNDS || chosen.is_none();
         if now >= command.asked && more && self.probes >= ASKED as f64 && self.may_launch(now, command) {
             let trip = (ASKING * self.usual + 2.0 * self.probe_trip) as u64;
-            let trip = Span(trip << command.rounds.saturating_sub(2).min(3));
+            let trip = Micros(trip << command.rounds.saturating_sub(2).min(3));
             if now + trip >= self.goal_end(command) {
                 return false;
             }
@@ -1014,9 +1050,9 @@
     }
 
     /// Whether what is known of a backend is news: a report, or an answer that left it to itself.
-    fn fresh(&self, now: Moment, i: usize) -> bool {
+    fn fresh(&self, now: Timestamp, i: usize) -> bool {
         let b = &self.backends[i];
-        now.since(b.report_at.max(b.token.unwrap_or(Moment(0)))).micros() <= FRESH * self.usual
+        now.since(b.report_at.max(b.token.unwrap_or(Timestamp(0)))).as_f64() <= FRESH * self.usual
     }
 
     fn met_one(&mut self) -> usize {
@@ -1024,65 +1060,65 @@
     }
 
     /// Probes a few of those met, this one first, and none of whom there is news or a probe out already.
-    fn probe_some(&mut self, now: Moment, mut next: usize) {
+    fn probe_some(&mut self, now: Timestamp, mut next: usize) {
         let mut left = ASKED;
         for _ in 0..4 * ASKED {
             if left > 0 && self.backends[next].probe_out.is_none() && !self.fresh(now, next) {
                 left -= 1;
                 self.probes = (self.probes - 1.0).max(0.0);
                 self.backends[next].probe_out = Some(now);
-                self.errands.push(Errand::Probe(self.backends[next].listed.backend));
+                self.errands.push(Action::Probe(self.backends[next].listed.backend));
             }
             next = self.met_one();
         }
     }
 
     /// Own launches that end in a microsecond, by what each backend's answers take and how likely they come.
-    fn rate(&self, now: Moment) -> f64 {
+    fn rate(&self, now: Timestamp) -> f64 {
         let met = self.ready.iter().take(self.reach).map(|&i| &self.backends[i]);
         let likely = |b: &Backend| (1.0 + b.good) / (1.0 + b.good + b.bad) * b.cap.floor();
         let each = |b: &Backend| likely(b) / (b.pace * (self.usual + self.ahead(now, b) - b.pending));
         met.filter(|b| !b.down).map(each).sum()
     }
 
-    fn hold(&mut self, now: Moment, hand: Hand, command: &mut Command) -> Say {
+    fn hold(&mut self, now: Timestamp, hand: CommandHandle, command: &mut Command) -> Decision {
         if !self.may_launch(now, command) {
-            return self.give_up(command);
+            return self.reject_or_fail(command);
         }
         let ahead = self.held.len() - self.standing(command);
         // A held command starts with nothing ahead of it: it needs less than one sent to stand behind others.
-        let need = Span((self.least_cost(command) * self.margin.sqrt()) as u64);
+        let need = Micros((self.least_cost(command) * self.margin.sqrt()) as u64);
         let latest = (self.goal_end(command) - need).min(self.bounds(command, None).until);
-        let wait = Span(((ahead + 1) as f64 / self.rate(now).max(1e-9)) as u64);
+        let wait = Micros(((ahead + 1) as f64 / self.rate(now).max(1e-9)) as u64);
         if command.waiting {
             if now < latest && now + wait.scaled(0.5) < latest {
                 // Own answers are rare among many nodes: what has come free must be looked for.
-                let look = now + Span((LOOK * self.usual) as u64);
-                command.look_at = if self.terms.may_probe { latest.min(look) } else { latest };
-                return Say::NotYet;
+                let look = now + Micros((LOOK * self.usual) as u64);
+                command.look_at = if self.terms.probes_allowed { latest.min(look) } else { latest };
+                return Decision::Wait;
             }
             if now < self.list_holds_until {
                 self.close(1.0);
             }
-            return self.give_up(command);
+            return self.reject_or_fail(command);
         }
         if now + wait >= latest {
-            return self.give_up(command);
+            return self.reject_or_fail(command);
         }
         self.insert(latest, hand, command);
         // Whoever is pushed out of time by this one is told at once.
         if let Some(last) = self.held.first() {
-            let wait = Span((self.held.len() as f64 * 0.5 / self.rate(now).max(1e-9)) as u64);
+            let wait = Micros((self.held.len() as f64 * 0.5 / self.rate(now).max(1e-9)) as u64);
             if now + wait >= last.latest {
-                self.errands.push(Errand::Again(last.hand));
+                self.errands.push(Action::Reevaluate(last.hand));
             }
         }
-        Say::NotYet
+        Decision::Wait
     }
 
     fn wake_next(&mut self) {
         if let Some(next) = self.held.last() {
-            self.errands.push(Errand::Again(next.hand));
+            self.errands.push(Action::Reevaluate(next.hand));
         }
     }
 
@@ -1092,7 +1128,7 @@
         self.held.partition_point(|h| (h.value, Reverse(h.order)) < rank)
     }
 
-    fn insert(&mut self, latest: Moment, hand: Hand, command: &mut Command) {
+    fn insert(&mut self, latest: Timestamp, hand: CommandHandle, command: &mut Command) {
         command.look_at = latest;
         if !command.waiting {
             command.waiting = true;
@@ -1111,70 +1147,70 @@
     }
 
     /// Ends a command without an answer of a backend's: turned back where that is harmless.
-    pub fn give_up(&mut self, command: &mut Command) -> Say {
+    pub fn reject_or_fail(&mut self, command: &mut Command) -> Decision {
         self.unhold(command);
-        command.closed = true;
-        command.look_at = Moment(u64::MAX);
+        command.is_closed = true;
+        command.look_at = Timestamp(u64::MAX);
         if !self.bounds(command, None).turn_back {
-            return Say::Errored;
+            return Decision::Fail;
         }
         self.pressure = 0.98 * self.pressure + 0.02;
         // The more is being turned back, the later to come, and never all together.
         let spread = 0.5 + 0.5 * self.chance.unit();
-        Say::TurnBack(self.terms.longest_come_back.scaled((0.1 + 2.0 * self.pressure).min(1.0) * spread))
+        Decision::Reject(self.terms.max_retry_after.scaled((0.1 + 2.0 * self.pressure).min(1.0) * spread))
     }
 
-    fn learn(&mut self, now: Moment, command: &Command, launch: &Launch, outcome: Outcome) {
+    fn learn(&mut self, now: Timestamp, command: &Command, launch: &Launch, outcome: Outcome) {
         let Some(&i) = self.index.get(&launch.backend) else { return };
-        let took = now.since(launch.sent).micros();
-        if matches!(outcome, Outcome::TimedOut | Outcome::Broken) {
+        let took = now.since(launch.sent_at).as_f64();
+        if matches!(outcome, Outcome::TimedOut | Outcome::ConnectionLost) {
             // A connection that has lost its way swallows whatever is sent on it next: a new one is cheap.
-            self.errands.push(Errand::Close(launch.backend));
+            self.errands.push(Action::CloseIdleConnections(launch.backend));
             self.backends[i].open = 0;
-            if !launch.lost {
+            if !launch.is_lost {
                 self.tell_lost(launch, true);
             }
         }
         self.fulls += 0.01 * (f64::from(outcome == Outcome::Full) - self.fulls);
-        let failed = f64::from(outcome == Outcome::Unreachable);
-        self.dials += 0.25 * f64::from(launch.dialled) * (failed - self.dials);
+        let failed = f64::from(outcome == Outcome::ConnectFailed);
+        self.dials += 0.25 * f64::from(launch.is_new_connection) * (failed - self.dials);
         if matches!(outcome, Outcome::Finished | Outcome::Errored | Outcome::Full) {
             let b = &mut self.backends[i];
             (b.open, b.used_at) = (b.open + 1, now);
             self.tell_lost(launch, false);
         }
-        let goal = self.profile(command).goal_time.micros();
-        let alone = launch.ahead <= 1.5 * launch.cost && outcome != Outcome::Cancelled;
+        let goal = self.profile(command).goal_time.as_f64();
+        let alone = launch.work_ahead <= 1.5 * launch.expected_work && outcome != Outcome::Cancelled;
         let late = f64::from(took > goal || outcome == Outcome::Full);
         self.belied += 0.1 * f64::from(alone) * (late - self.belied);
         let b = &self.backends[i];
         // A time-out tells of the backend only if it was silent throughout, and for long: some clients
         // give up within a usual answer's time, and a heavy command takes long anywhere.
-        let silent = b.quiet_since <= launch.sent && took > 4.0 * launch.ahead * b.pace;
+        let silent = b.quiet_since <= launch.sent_at && took > 4.0 * launch.work_ahead * b.pace;
         let bad = match outcome {
             // Counted when it was written off.
-            Outcome::TimedOut | Outcome::Broken if launch.lost => 0.0,
+            Outcome::TimedOut | Outcome::ConnectionLost if launch.is_lost => 0.0,
             Outcome::TimedOut if !silent => 0.0,
-            Outcome::Finished | Outcome::Full | Outcome::Cancelled | Outcome::Unsent => 0.0,
-            Outcome::Unreachable => 2.0,
-            Outcome::Errored | Outcome::TimedOut | Outcome::Broken => 1.0,
+            Outcome::Finished | Outcome::Full | Outcome::Cancelled | Outcome::NotSent => 0.0,
+            Outcome::ConnectFailed => 2.0,
+            Outcome::Errored | Outcome::TimedOut | Outcome::ConnectionLost => 1.0,
         };
         let finished = outcome == Outcome::Finished;
         self.weigh(now, i, if finished { 1.0 } else { 0.0 }, bad);
         let b = &mut self.backends[i];
-        let before = launch.sent < b.listed.started;
-        if !launch.lost {
+        let before = launch.sent_at < b.listed.started_at;
+        if !launch.is_lost {
             b.release(launch);
         }
-        if outcome == Outcome::Full && self.terms.may_probe {
+        if outcome == Outcome::Full && self.terms.probes_allowed {
             // As good as a report: there is more than it can do in time.
             b.others = goal / self.rows[usize::from(command.profile.0)].mean.max(1.0);
             b.report_at = now;
         }
-        if matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) && !before && !launch.lost {
-            b.haunt(now, launch.cost);
-            if took > launch.ahead * b.pace {
-                b.pace += 0.1 * (took / launch.ahead.max(1.0) - b.pace).min(3.0 * b.pace);
+        if matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) && !before && !launch.is_lost {
+            b.haunt(now, launch.expected_work);
+            if took > launch.work_ahead * b.pace {
+                b.pace += 0.1 * (took / launch.work_ahead.max(1.0) - b.pace).min(3.0 * b.pace);
             }
         }
         if !finished || before {
@@ -1182,7 +1218,7 @@
         }
         if took < goal {
             let half = f64::from(self.sighted() && !self.counts());
-            let own = half * (launch.cost * self.backends[i].pace).min(0.8 * goal);
+            let own = half * (launch.expected_work * self.backends[i].pace).min(0.8 * goal);
             self.heed(launch, (took - own).max(0.0) / (goal - own));
         }
         let b = &mut self.backends[i];
@@ -1190,26 +1226,26 @@
         b.down = false;
         b.served = true;
         // What it has done it could bear.
-        b.poured = (b.poured - launch.cost).max(0.0);
-        b.ghost *= f64::from(launch.sent <= b.ghost_at);
-        if b.in_flight == 0 && b.listed.state == State::Ready {
+        b.poured = (b.poured - launch.expected_work).max(0.0);
+        b.ghost *= f64::from(launch.sent_at <= b.ghost_at);
+        if b.in_flight == 0 && b.listed.state == BackendState::Ready {
             b.token = (b.ghost_left(now) == 0.0).then_some(now);
         }
         b.answers += 1;
-        self.done += launch.cost / self.reach.min(self.near).min(self.ready.len()).max(1) as f64;
-        if launch.dialled && self.terms.reports_come {
+        self.done += launch.expected_work / self.reach.min(self.near).min(self.ready.len()).max(1) as f64;
+        if launch.is_new_connection && self.terms.reports_piggybacked {
             return; // how long the handshake took tells nothing of the work
         }
-        let part = took * launch.cost / launch.ahead.max(1.0);
+        let part = took * launch.expected_work / launch.work_ahead.max(1.0);
         // A single heavy command must not make a backend look slow: nothing counts for more than four times.
         self.answers += 1.0;
         let most = if self.answers > 1.0 { 4.0 * self.usual } else { f64::MAX };
         self.usual += (1.0 / self.answers).max(0.02) * (part.min(most) - self.usual);
         let row = &mut self.rows[usize::from(command.profile.0)];
-        if !row.learn(part, self.usual, command.hint.map(|hint| hint.micros())) {
+        if !row.learn(part, self.usual, command.work_hint.map(|hint| hint.as_f64())) {
             return;
         }
-        let seen = took / launch.ahead;
+        let seen = took / launch.work_ahead;
         let over = seen / b.pace;
         let weight = (1.0 / f64::from(b.answers + 1)).max(0.1);
         b.pace += weight * (seen.min(4.0 * b.pace) - b.pace);
@@ -1220,14 +1256,14 @@
         let b = &mut self.backends[i];
         // The cap grows while answers from a full backend come as soon as from an idle one.
         if launch.depth == 1 {
-            b.solo += 0.1 * (took / launch.cost - b.solo);
+            b.solo += 0.1 * (took / launch.expected_work - b.solo);
         }
         if f64::from(launch.depth) >= b.cap.floor() {
-            let quick = took <= 1.2 * b.solo * launch.cost;
+            let quick = took <= 1.2 * b.solo * launch.expected_work;
             b.cap = if quick { b.cap + 0.05 } else { (b.cap - 0.25).max(1.0) };
         }
         let pace = b.pace;
-        let kind = self.kind_pace.entry(b.listed.kind).or_insert(1.0);
+        let kind = self.kind_pace.entry(b.listed.backend_type).or_insert(1.0);
         *kind += 0.02 * (pace - *kind);
     }
 }
--- a/src/decision.rs
+++ b/src/decision.rs
@@ -1,25 +1,25 @@
 //! What the module says of a command, and what it wants besides: plain values for the caller to carry out.
 
-use crate::ids::{BackendId, Hand};
-use crate::times::Span;
+use crate::ids::{BackendId, CommandHandle};
+use crate::times::Micros;
 
 /// What to do with a command now. `NotYet` leaves it in hand, held or with a launch out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Say {
+pub enum Decision {
     Launch(BackendId),
-    NotYet,
-    TurnBack(Span),
-    Errored,
+    Wait,
+    Reject(Micros),
+    Fail,
     /// Stop waiting for this launch; its outcome then says what follows.
-    CallOff(u8),
+    CancelLaunch(u8),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Errand {
+pub enum Action {
     Probe(BackendId),
-    Follow,
+    RequestList,
     /// Close the idle connections there.
-    Close(BackendId),
+    CloseIdleConnections(BackendId),
     /// Ask `place` for this held command again.
-    Again(Hand),
+    Reevaluate(CommandHandle),
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -11,8 +11,8 @@
     CommandId(u32);
     BackendId(u32);
     ZoneId(u16);
-    KindId(u8);
+    BackendTypeId(u8);
     GroupId(u16);
     ProfileId(u16);
-    Hand(u32);
+    CommandHandle(u32);
 }
--- a/src/portion.rs
+++ b/src/portion.rs
@@ -4,7 +4,7 @@
 //! All nodes hold the backends in one order and start in it at places evenly apart: each then has as many
 //! as any other. A node that keeps to few does much of their work itself, and so knows how busy they are.
 
-use crate::settings::Terms;
+use crate::settings::Settings;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{BuildHasher, BuildHasherDefault};
 
@@ -27,13 +27,13 @@
 }
 
 /// Where in the order of so many backends this node starts.
-pub(crate) fn place(terms: &Terms, backends: usize) -> usize {
-    let nodes = terms.nodes.max(1) as usize;
-    terms.me as usize % nodes * backends / nodes
+pub(crate) fn place(terms: &Settings, backends: usize) -> usize {
+    let nodes = terms.node_count.max(1) as usize;
+    terms.node_index as usize % nodes * backends / nodes
 }
 
 /// How many of them it keeps to, with so much work coming in a unit of time.
-pub(crate) fn few(terms: &Terms, backends: usize, load: f64) -> usize {
-    let each = NODES * backends as f64 / f64::from(terms.nodes.max(1));
+pub(crate) fn few(terms: &Settings, backends: usize, load: f64) -> usize {
+    let each = NODES * backends as f64 / f64::from(terms.node_count.max(1));
     (load / SHARE).max(each).max(FEWEST).ceil() as usize
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,17 +1,17 @@
 //! What a deployment states at start: read once, kept as plain values.
 
-use crate::times::Span;
+use crate::times::Micros;
 use serde_json::Value;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     Repeatable,
-    Tagged,
-    OnceOnly,
+    ByKey,
+    Once,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Among {
+pub enum DedupScope {
     All,
     Zone,
     Group,
@@ -19,70 +19,70 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Profile {
-    pub goal_time: Span,
-    pub time_limit: Span,
-    pub effect: Effect,
-    pub among: Among,
-    pub memory_span: Span,
+    pub goal_time: Micros,
+    pub time_limit: Micros,
+    pub idempotency: Idempotency,
+    pub dedup_scope: DedupScope,
+    pub dedup_window: Micros,
     pub payoff: f64,
 }
 
 /// Launches of one node beyond each command's first: in any window at most so many, and a share of the
 /// commands that it took in the same time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
-    pub spare: f64,
-    pub ratio: f64,
-    pub window: Span,
+pub struct RetryBudget {
+    pub spare_launches: f64,
+    pub launches_per_command: f64,
+    pub window: Micros,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
-    pub nodes: u32,
+pub struct Settings {
+    pub node_count: u32,
     /// Which of them this one is.
-    pub me: u32,
+    pub node_index: u32,
     pub zone: u16,
     pub profiles: Vec<Profile>,
-    pub payoff_by_work: bool,
-    pub must_ask: bool,
-    pub ask_within: Span,
-    pub may_probe: bool,
+    pub payoff_is_per_work: bool,
+    pub list_is_requested: bool,
+    pub list_request_interval: Micros,
+    pub probes_allowed: bool,
     /// Where a load report holds the commands in flight and those queued.
-    pub report_held: Option<usize>,
-    pub report_queued: Option<usize>,
+    pub report_in_flight_index: Option<usize>,
+    pub report_queue_index: Option<usize>,
     /// And how busy its cores are.
-    pub report_busy: Option<usize>,
+    pub report_utilization_index: Option<usize>,
     /// Reports come with answers, not with probes alone.
-    pub reports_come: bool,
+    pub reports_piggybacked: bool,
     /// The list gives each backend's size over one more than it holds for each core.
-    pub live_sizes: bool,
-    pub most_launches: usize,
+    pub weights_are_live: bool,
+    pub max_launches: usize,
     /// Whether two launches of a command may be out at a time.
-    pub second_copies: bool,
-    pub cancel: bool,
+    pub concurrent_launches_allowed: bool,
+    pub cancel_supported: bool,
     /// A backend that met a key lately has less work with it.
-    pub warm_keys: bool,
+    pub key_affinity: bool,
     /// How long a connection without a launch stays open.
-    pub conn_idle: Span,
-    pub longest_come_back: Span,
-    pub probe_price: f64,
-    pub crossing_price: f64,
-    pub connection_price: f64,
-    pub start_capacity: f64,
-    pub warm_within: Span,
-    pub push_over_multiple: f64,
-    pub push_over_span: Span,
+    pub connection_idle_timeout: Micros,
+    pub max_retry_after: Micros,
+    pub probe_penalty: f64,
+    pub cross_zone_penalty: f64,
+    pub connection_penalty: f64,
+    pub initial_capacity: f64,
+    pub warm_up_time: Micros,
+    pub collapse_load_multiple: f64,
+    pub collapse_window: Micros,
     /// For so long after it is known that a backend drains or is gone, it may still be sent to.
-    pub drain_grace: Span,
+    pub drain_grace: Micros,
     /// Where one is stated.
-    pub budget: Option<Budget>,
+    pub retry_budget: Option<RetryBudget>,
     /// A backend that says that it is full may have run the command all the same.
     pub full_may_have_run: bool,
     /// A backend that is listed as gone, or left out, without having drained may still be sent to.
-    pub only_draining_binds: bool,
+    pub only_draining_is_binding: bool,
     /// The weight of the nines in what service is judged by, and how many of them count in full.
-    pub nines: f64,
-    pub top_nines: f64,
+    pub log_loss_weight: f64,
+    pub max_nines: f64,
 }
 
 /// Walks down a JSON object and names the key in whatever goes wrong.
@@ -113,8 +113,8 @@
     }
 
     /// Nanoseconds on the wire, rounded down: every use is the shorter the safer, bar those that say so.
-    fn span(&self) -> Result<Span, String> {
-        Ok(Span((self.number(0.0, 1e18)? / 1000.0) as u64))
+    fn span(&self) -> Result<Micros, String> {
+        Ok(Micros((self.number(0.0, 1e18)? / 1000.0) as u64))
     }
 
     fn flag(&self) -> Result<bool, String> {
@@ -137,23 +137,26 @@
 const HUGE: f64 = 1e15;
 
 fn profile(key: &Key) -> Result<Profile, String> {
-    let effects =
-        [("repeatable", Effect::Repeatable), ("by_key", Effect::Tagged), ("once", Effect::OnceOnly)];
+    let effects = [
+        ("repeatable", Idempotency::Repeatable),
+        ("by_key", Idempotency::ByKey),
+        ("once", Idempotency::Once),
+    ];
     let effect = key.at("idempotency")?.one_of(&effects)?;
-    let among = [("all", Among::All), ("zone", Among::Zone), ("cell", Among::Group)];
-    let tagged = effect == Effect::Tagged;
+    let among = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Group)];
+    let tagged = effect == Idempotency::ByKey;
     Ok(Profile {
         goal_time: key.at("goalTime")?.span()?,
         time_limit: key.at("timeLimit")?.span()?,
-        effect,
-        among: if tagged { key.at("group")?.one_of(&among)? } else { Among::All },
-        memory_span: if tagged { key.at("memorySpan")?.span()? } else { Span(0) },
+        idempotency: effect,
+        dedup_scope: if tagged { key.at("group")?.one_of(&among)? } else { DedupScope::All },
+        dedup_window: if tagged { key.at("memorySpan")?.span()? } else { Micros(0) },
         payoff: key.at("payoff")?.number(0.0, HUGE)?,
     })
 }
 
 /// The budget of launches: stated whole or not at all.
-fn budget(rules: &Key) -> Result<Option<Budget>, String> {
+fn budget(rules: &Key) -> Result<Option<RetryBudget>, String> {
     let names = ["spareAttempts", "repeatRatio", "extraWindow"];
     if names.iter().all(|name| rules.maybe(name).is_none()) {
         return Ok(None);
@@ -161,15 +164,19 @@
     let [spare, ratio, window] = names.map(|name| rules.at(name));
     let window = window?;
     // Rounded up: the longer the stricter.
-    let span = Span(window.span()?.0 + 1);
+    let span = Micros(window.span()?.0 + 1);
     if span.0 == 1 {
         return Err(format!("settings: {} is nothing", window.path));
     }
-    Ok(Some(Budget { spare: spare?.number(0.0, 1e9)?, ratio: ratio?.number(0.0, 1e6)?, window: span }))
+    Ok(Some(RetryBudget {
+        spare_launches: spare?.number(0.0, 1e9)?,
+        launches_per_command: ratio?.number(0.0, 1e6)?,
+        window: span,
+    }))
 }
 
-impl Terms {
-    pub fn from_json(text: &[u8]) -> Result<Terms, String> {
+impl Settings {
+    pub fn from_json(text: &[u8]) -> Result<Settings, String> {
         let value: Value = serde_json::from_slice(text).map_err(|e| format!("settings: not JSON: {e}"))?;
         let top = Key { value: &value, path: String::new() };
         let (limits, rules) = (top.at("limits")?, top.at("guarantees")?);
@@ -196,45 +203,45 @@
         };
         let place = |name| names.iter().position(|n| *n == name);
         let payoffs = [("request", false), ("work", true)];
-        Ok(Terms {
-            nodes: top.at("balancers")?.number(0.0, 1e6)? as u32,
-            me: top.maybe("me").map_or(Ok(0.0), |k| k.number(0.0, 1e6))? as u32,
+        Ok(Settings {
+            node_count: top.at("balancers")?.number(0.0, 1e6)? as u32,
+            node_index: top.maybe("me").map_or(Ok(0.0), |k| k.number(0.0, 1e6))? as u32,
             zone: top.at("zone")?.number(0.0, 65535.0)? as u16,
             profiles: top.at("profiles")?.items()?.iter().map(profile).collect::<Result<_, _>>()?,
-            payoff_by_work: top.maybe("payoffPer").map_or(Ok(false), |k| k.one_of(&payoffs))?,
-            must_ask,
-            ask_within: rules.maybe("askWithin").map_or(Ok(Span(10_000_000)), |k| k.span())?,
-            may_probe: flag("mayProbe")?,
-            report_held: place("outstanding"),
-            report_queued: place("backlog"),
-            report_busy: place("utilization"),
-            reports_come,
-            live_sizes: top.maybe("weights").is_some_and(|key| key.value.as_str() == Some("live")),
-            most_launches: limits.at("mostLaunches")?.number(1.0, 1e6)? as usize,
-            second_copies: flag("secondCopies")?,
-            cancel: flag("cancel")?,
-            warm_keys: top
+            payoff_is_per_work: top.maybe("payoffPer").map_or(Ok(false), |k| k.one_of(&payoffs))?,
+            list_is_requested: must_ask,
+            list_request_interval: rules.maybe("askWithin").map_or(Ok(Micros(10_000_000)), |k| k.span())?,
+            probes_allowed: flag("mayProbe")?,
+            report_in_flight_index: place("outstanding"),
+            report_queue_index: place("backlog"),
+            report_utilization_index: place("utilization"),
+            reports_piggybacked: reports_come,
+            weights_are_live: top.maybe("weights").is_some_and(|key| key.value.as_str() == Some("live")),
+            max_launches: limits.at("mostLaunches")?.number(1.0, 1e6)? as usize,
+            concurrent_launches_allowed: flag("secondCopies")?,
+            cancel_supported: flag("cancel")?,
+            key_affinity: top
                 .maybe("familyInfo")
                 .and_then(|f| f.maybe("warmKeys"))
                 .map_or(Ok(false), |k| k.flag())?,
-            conn_idle: limits.maybe("connIdle").map_or(Ok(Span(0)), |key| key.span())?,
-            longest_come_back: match come_back {
+            connection_idle_timeout: limits.maybe("connIdle").map_or(Ok(Micros(0)), |key| key.span())?,
+            max_retry_after: match come_back {
                 true => limits.at("maxRetryAfter")?.span()?,
-                false => Span(0),
+                false => Micros(0),
             },
-            probe_price: price("probe")?,
-            crossing_price: price("crossZone")?,
-            connection_price: price("connection")?,
-            start_capacity: rules.at("startCapacity")?.number(0.0, 1.0)?,
-            warm_within: Span(rules.at("warmWithin")?.span()?.0 + 1),
-            push_over_multiple: rules.at("tipMultiple")?.number(0.0, HUGE)?,
-            push_over_span: rules.at("fall")?.span()?,
-            drain_grace: rules.maybe("drainGrace").map_or(Ok(Span(0)), |key| key.span())?,
-            budget: budget(&rules)?,
+            probe_penalty: price("probe")?,
+            cross_zone_penalty: price("crossZone")?,
+            connection_penalty: price("connection")?,
+            initial_capacity: rules.at("startCapacity")?.number(0.0, 1.0)?,
+            warm_up_time: Micros(rules.at("warmWithin")?.span()?.0 + 1),
+            collapse_load_multiple: rules.at("tipMultiple")?.number(0.0, HUGE)?,
+            collapse_window: rules.at("fall")?.span()?,
+            drain_grace: rules.maybe("drainGrace").map_or(Ok(Micros(0)), |key| key.span())?,
+            retry_budget: budget(&rules)?,
             full_may_have_run: rule("mayShedBegun")?,
-            only_draining_binds: rule("removalNotBinding")?,
-            nines: goal("logLossPart", 0.0)?,
-            top_nines: goal("topNines", 0.01)?,
+            only_draining_is_binding: rule("removalNotBinding")?,
+            log_loss_weight: goal("logLossPart", 0.0)?,
+            max_nines: goal("topNines", 0.01)?,
         })
     }
 }
