--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -6,10 +6,10 @@
 use serde_json::{json, Value};
 use yarrowfront::command::Command;
 use yarrowfront::command::Outcome::{self, *};
-use yarrowfront::decide::{Errand, ListKind, Say, State};
-use yarrowfront::ids::{BackendId, Hand};
-use yarrowfront::settings::Terms;
-use yarrowfront::times::Span;
+use yarrowfront::decide::{Action, BackendState, Decision, ListUpdateKind};
+use yarrowfront::ids::{BackendId, CommandHandle};
+use yarrowfront::settings::Settings;
+use yarrowfront::times::Micros;
 
 /// Rule 2: what may follow a launch, by profile kind and what is known of it. The second backend is of the
 /// first one's group, the third of another.
@@ -29,21 +29,21 @@
         ("repeatable", "all", TimedOut, GOAL + 1, TurnBack),
         ("by_key", "all", Errored, 10, Anywhere),
         ("by_key", "all", Errored, GOAL + 1, TurnBack),
-        ("by_key", "cell", Broken, 10, Group),
+        ("by_key", "cell", ConnectionLost, 10, Group),
         ("by_key", "cell", Errored, 61, Error),
         ("by_key", "cell", Full, 61, Anywhere),
-        ("by_key", "cell", Unreachable, GOAL + 1, TurnBack),
+        ("by_key", "cell", ConnectFailed, GOAL + 1, TurnBack),
         ("once", "all", Errored, 10, Error),
         ("once", "all", TimedOut, 400, Error),
         ("once", "all", Full, 10, Anywhere),
-        ("once", "all", Unreachable, GOAL + 1, TurnBack),
-        ("once", "all", Unsent, GOAL + 1, TurnBack),
+        ("once", "all", ConnectFailed, GOAL + 1, TurnBack),
+        ("once", "all", NotSent, GOAL + 1, TurnBack),
         ("repeatable", "all", Full, 10, Anywhere),
         ("by_key", "cell", Full, 10, Group),
         ("by_key", "cell", Full, 61, Error),
         ("by_key", "all", Full, GOAL + 1, TurnBack),
         ("once", "all", Full, 10, Error),
-        ("once", "all", Unreachable, 10, Anywhere),
+        ("once", "all", ConnectFailed, 10, Anywhere),
     ];
     for (n, (effect, group, outcome, after, then)) in cases.iter().enumerate() {
         let mut seen = Vec::new();
@@ -56,24 +56,26 @@
             });
             bench.list_groups(&[(1, 1), (2, 1), (3, 2)]);
             let mut command = bench.command(0);
-            let Say::Launch(first) = bench.place(&mut command) else { panic!("nothing sent: {effect}") };
+            let Decision::Launch(first) = bench.place(&mut command) else { panic!("nothing sent: {effect}") };
             bench.later(*after);
             seen.push((first.0, bench.after(&mut command, 0, *outcome)));
         }
-        let launched = seen.iter().filter(|(_, say)| matches!(say, Say::Launch(_))).count();
+        let launched = seen.iter().filter(|(_, say)| matches!(say, Decision::Launch(_))).count();
         let group_of = |b: u32| b / 3;
         let strays = seen
             .iter()
-            .filter(|(first, say)| matches!(say, Say::Launch(b) if group_of(b.0) != group_of(*first)));
+            .filter(|(first, say)| matches!(say, Decision::Launch(b) if group_of(b.0) != group_of(*first)));
         let strays = strays.count();
         match then {
             Anywhere => assert!(launched == seen.len() && strays > 0, "{effect} {outcome:?}: {seen:?}"),
             Group => assert!(launched > 0 && strays == 0, "{effect} {outcome:?}: {seen:?}"),
             TurnBack => assert!(
-                seen.iter().all(|(_, s)| matches!(s, Say::TurnBack(_))),
+                seen.iter().all(|(_, s)| matches!(s, Decision::Reject(_))),
                 "{effect} {outcome:?}: {seen:?}"
             ),
-            Error => assert!(seen.iter().all(|(_, s)| *s == Say::Errored), "{effect} {outcome:?}: {seen:?}"),
+            Error => {
+                assert!(seen.iter().all(|(_, s)| *s == Decision::Fail), "{effect} {outcome:?}: {seen:?}")
+            }
         }
     }
 }
@@ -81,25 +83,25 @@
 /// Rule 3, and a list that loses, returns or never names a backend.
 #[test]
 fn only_ready_backends_get_work() {
-    type Lines = &'static [(u32, State, u64)];
+    type Lines = &'static [(u32, BackendState, u64)];
     let cases: &[(Lines, bool)] = &[
         (&[], false),
-        (&[(1, State::Draining, 0)], false),
-        (&[(1, State::Gone, 0)], false),
-        (&[(1, State::Ready, 0)], true),
-        (&[(1, State::Draining, 0), (1, State::Ready, 900_000)], true),
-        (&[(1, State::Ready, 0), (1, State::Gone, 0)], false),
+        (&[(1, BackendState::Draining, 0)], false),
+        (&[(1, BackendState::Gone, 0)], false),
+        (&[(1, BackendState::Ready, 0)], true),
+        (&[(1, BackendState::Draining, 0), (1, BackendState::Ready, 900_000)], true),
+        (&[(1, BackendState::Ready, 0), (1, BackendState::Gone, 0)], false),
     ];
     for (lines, sends) in cases {
         let mut bench = Bench::new(1);
         for line in *lines {
-            bench.line(ListKind::Changes, *line);
+            bench.line(ListUpdateKind::Delta, *line);
         }
         let mut command = bench.command(0);
         let say = bench.place(&mut command);
-        assert_eq!(matches!(say, Say::Launch(_)), *sends, "{lines:?}");
+        assert_eq!(matches!(say, Decision::Launch(_)), *sends, "{lines:?}");
         assert!(
-            *sends || matches!(say, Say::TurnBack(_)),
+            *sends || matches!(say, Decision::Reject(_)),
             "with nowhere to go it is answered at once: {lines:?}"
         );
     }
@@ -123,20 +125,20 @@
         });
         bench.list_groups(&[(1, 1), (2, 1)]);
         let mut waits = bench.command(0);
-        assert!(matches!(bench.place(&mut waits), Say::Launch(_)), "{case}");
-        bench.node.list_binds_from(Some(bench.now + Span::millis(500)));
+        assert!(matches!(bench.place(&mut waits), Decision::Launch(_)), "{case}");
+        bench.node.set_list_expiry(Some(bench.now + Micros::from_millis(500)));
         bench.later(after);
         let mut command = bench.command(0);
-        waits.ends = command.ends;
-        assert_eq!(bench.node.stands(&waits, 0) > bench.now, sends, "{case}");
-        assert_eq!(matches!(bench.place(&mut command), Say::Launch(_)), sends, "{case}");
+        waits.deadline = command.deadline;
+        assert_eq!(bench.node.launch_valid_until(&waits, 0) > bench.now, sends, "{case}");
+        assert_eq!(matches!(bench.place(&mut command), Decision::Launch(_)), sends, "{case}");
         if sends {
             continue;
         }
-        assert!(!command.closed, "{case}: held for the answer");
-        bench.node.list_binds_from(None);
-        assert!(bench.errands().iter().any(|errand| matches!(errand, Errand::Again(_))), "{case}");
-        assert!(matches!(bench.place(&mut command), Say::Launch(_)), "{case}");
+        assert!(!command.is_closed, "{case}: held for the answer");
+        bench.node.set_list_expiry(None);
+        assert!(bench.errands().iter().any(|errand| matches!(errand, Action::Reevaluate(_))), "{case}");
+        assert!(matches!(bench.place(&mut command), Decision::Launch(_)), "{case}");
     }
 }
 
@@ -153,11 +155,11 @@
     let mut refused = 0;
     for _ in 0..count {
         let mut command = bench.command(class);
-        command.ends = command.arrived + Span::millis(8000);
-        if matches!(bench.place(&mut command), Say::Launch(_)) {
+        command.deadline = command.arrived_at + Micros::from_millis(8000);
+        if matches!(bench.place(&mut command), Decision::Launch(_)) {
             bench.finish(&mut command, takes);
         } else {
-            bench.node.dropped(&mut command);
+            bench.node.on_client_gone(&mut command);
             bench.later(1);
             refused += 1;
         }
@@ -169,8 +171,8 @@
 fn keep_all_busy(bench: &mut Bench, commands: usize, takes: u64) {
     let mut out: Vec<_> = (0..commands).map(|_| bench.command(0)).collect();
     for command in &mut out {
-        command.ends = command.arrived + Span::millis(8000);
-        assert!(matches!(bench.place(command), Say::Launch(_)));
+        command.deadline = command.arrived_at + Micros::from_millis(8000);
+        assert!(matches!(bench.place(command), Decision::Launch(_)));
     }
     bench.later(takes);
     out.iter_mut().for_each(|command| bench.finish(command, 0));
@@ -200,7 +202,9 @@
         settings(&mut switched);
         let third = class(&switched, short);
         switched["profiles"].as_array_mut().expect("profiles").push(third);
-        bench.node.switch(Terms::from_json(switched.to_string().as_bytes()).expect("good settings"));
+        bench
+            .node
+            .replace_settings(Settings::from_json(switched.to_string().as_bytes()).expect("good settings"));
         keep_all_busy(&mut bench, 6, known_takes);
         assert_eq!(not_launched(&mut bench, 2, 60, short / 20), 0, "{case}, new in the settings");
     }
@@ -214,12 +218,12 @@
     bench.list_groups(&[(1, 1), (2, 1)]);
     (0..10).for_each(|_| keep_all_busy(&mut bench, 2, 10));
     let mut busy = [bench.command(0), bench.command(0)];
-    busy.iter_mut().for_each(|command| assert!(matches!(bench.place(command), Say::Launch(_))));
+    busy.iter_mut().for_each(|command| assert!(matches!(bench.place(command), Decision::Launch(_))));
     let mut command = bench.command(1);
-    command.ends = command.arrived + Span::millis(300);
-    assert_eq!(bench.place(&mut command), Say::NotYet);
+    command.deadline = command.arrived_at + Micros::from_millis(300);
+    assert_eq!(bench.place(&mut command), Decision::Wait);
     bench.finish(&mut busy[0], 10);
-    assert!(matches!(bench.place(&mut command), Say::Launch(_)));
+    assert!(matches!(bench.place(&mut command), Decision::Launch(_)));
 }
 
 /// A class whose first answers took longer than its goal time was refused for good: while others were sent nothing more was
@@ -243,7 +247,11 @@
         }
         refused += 1;
         let since = *refused_since.get_or_insert(before);
-        assert!(bench.now.since(since) <= Span::millis(200 + 20), "refused for {:?}", bench.now.since(since));
+        assert!(
+            bench.now.since(since) <= Micros::from_millis(200 + 20),
+            "refused for {:?}",
+            bench.now.since(since)
+        );
     }
     assert!(refused < 100, "{refused} of 400 refused");
 }
@@ -257,23 +265,23 @@
     bench.list_groups(&[(1, 1), (2, 1)]);
     let place = |bench: &mut Bench| {
         let mut command = bench.command(0);
-        command.ends = command.arrived + Span::millis(8000);
+        command.deadline = command.arrived_at + Micros::from_millis(8000);
         (bench.place(&mut command), command)
     };
     let (say, mut first) = place(&mut bench);
-    assert!(matches!(say, Say::Launch(_)));
+    assert!(matches!(say, Decision::Launch(_)));
     bench.later(480);
-    assert!(matches!(place(&mut bench).0, Say::Launch(_)));
-    while !first.launches().any(|launch| launch.lost) {
+    assert!(matches!(place(&mut bench).0, Decision::Launch(_)));
+    while !first.launches().any(|launch| launch.is_lost) {
         bench.later(5);
-        assert_eq!(bench.place(&mut first), Say::NotYet, "the other backend is busy");
+        assert_eq!(bench.place(&mut first), Decision::Wait, "the other backend is busy");
     }
     let (say, behind) = place(&mut bench);
-    assert_eq!(say, Say::NotYet, "both backends are busy");
+    assert_eq!(say, Decision::Wait, "both backends are busy");
     bench.errands();
-    first.closed = true;
+    first.is_closed = true;
     bench.after(&mut first, 0, Finished);
-    assert!(bench.errands().contains(&Errand::Again(Hand(behind.id.0))));
+    assert!(bench.errands().contains(&Action::Reevaluate(CommandHandle(behind.id.0))));
 }
 
 /// Rule 4: a backend at a fifth of its capacity, and four nodes that all find it.
@@ -282,11 +290,11 @@
     for (started, least, most) in [(0, 60, 1000), (990_000, 1, 8)] {
         let mut bench = Bench::new(1);
         bench.warm_up_costs();
-        bench.line(ListKind::Whole, (7, State::Ready, started));
+        bench.line(ListUpdateKind::Snapshot, (7, BackendState::Ready, started));
         let mut sent = 0;
         for _ in 0..1000 {
             let mut command = bench.command(0);
-            if matches!(bench.place(&mut command), Say::Launch(_)) {
+            if matches!(bench.place(&mut command), Decision::Launch(_)) {
                 sent += 1;
                 bench.after(&mut command, 0, Full);
             }
@@ -304,15 +312,15 @@
     for (outcome, least, most) in [(Finished, 16, 20), (Errored, 1, 8), (TimedOut, 1, 8), (Full, 1, 8)] {
         let mut bench = Bench::new(1);
         bench.warm_up_costs();
-        bench.line(ListKind::Whole, (7, State::Ready, 990_000));
+        bench.line(ListUpdateKind::Snapshot, (7, BackendState::Ready, 990_000));
         let mut sent = 0;
         for _ in 0..20 {
             let mut command = bench.command(0);
-            let launched = matches!(bench.place(&mut command), Say::Launch(_));
+            let launched = matches!(bench.place(&mut command), Decision::Launch(_));
             bench.later(50);
             if launched {
                 sent += 1;
-                command.closed = true;
+                command.is_closed = true;
                 bench.after(&mut command, 0, outcome);
             }
         }
@@ -325,20 +333,20 @@
 fn a_held_command_is_answered_in_time() {
     let mut bench = Bench::new(1);
     bench.warm_up_costs();
-    bench.line(ListKind::Whole, (1, State::Ready, 0));
+    bench.line(ListUpdateKind::Snapshot, (1, BackendState::Ready, 0));
     let mut busy = bench.command(0);
-    assert!(matches!(bench.place(&mut busy), Say::Launch(_)));
+    assert!(matches!(bench.place(&mut busy), Decision::Launch(_)));
     let mut held = bench.command(0);
-    assert_eq!(bench.place(&mut held), Say::NotYet);
-    let wait = bench.node.wait(bench.now, Some(&held)).expect("a held command has a timer");
-    assert!(wait < Span::millis(GOAL));
+    assert_eq!(bench.place(&mut held), Decision::Wait);
+    let wait = bench.node.wakeup_delay(bench.now, Some(&held)).expect("a held command has a timer");
+    assert!(wait < Micros::from_millis(GOAL));
     bench.now = bench.now + wait;
-    assert!(matches!(bench.place(&mut held), Say::TurnBack(_)));
-    assert_eq!(bench.node.wait(bench.now, Some(&held)), None);
-    assert_eq!(bench.place(&mut held), Say::NotYet, "it is over: nothing more is said");
+    assert!(matches!(bench.place(&mut held), Decision::Reject(_)));
+    assert_eq!(bench.node.wakeup_delay(bench.now, Some(&held)), None);
+    assert_eq!(bench.place(&mut held), Decision::Wait, "it is over: nothing more is said");
     bench.later(GOAL);
-    assert!(matches!(bench.after(&mut busy, 0, TimedOut), Say::TurnBack(_)));
-    assert_eq!(bench.after(&mut busy, 0, TimedOut), Say::NotYet, "an outcome told twice");
+    assert!(matches!(bench.after(&mut busy, 0, TimedOut), Decision::Reject(_)));
+    assert_eq!(bench.after(&mut busy, 0, TimedOut), Decision::Wait, "an outcome told twice");
 }
 
 /// Tokens: a served answer that leaves none of ours there mints one, nothing else does. With a token the
@@ -351,13 +359,13 @@
             let mut bench = Bench::new(seed);
             bench.list_groups(&[(1, 1), (2, 1), (3, 1), (4, 1), (5, 1), (6, 1)]);
             let mut command = bench.command(0);
-            let Say::Launch(first) = bench.place(&mut command) else { panic!("nothing sent") };
+            let Decision::Launch(first) = bench.place(&mut command) else { panic!("nothing sent") };
             bench.later(30);
-            command.closed = outcome == Finished;
+            command.is_closed = outcome == Finished;
             bench.after(&mut command, 0, outcome);
             let mut next = bench.command(0);
             let again = bench.place(&mut next);
-            hits += u32::from(again == Say::Launch(first));
+            hits += u32::from(again == Decision::Launch(first));
         }
         assert_eq!(hits > 20, token, "{outcome:?}: {hits} of 40 went to the same backend");
     }
@@ -372,7 +380,9 @@
         let mut went = Vec::new();
         for _ in 0..100 {
             let mut command = bench.command(0);
-            let Say::Launch(backend) = bench.place(&mut command) else { panic!("nothing sent: {effect}") };
+            let Decision::Launch(backend) = bench.place(&mut command) else {
+                panic!("nothing sent: {effect}")
+            };
             went.push(backend);
             bench.finish(&mut command, 30);
         }
@@ -388,11 +398,11 @@
     let mut to_bad = 0;
     for _ in 0..400 {
         let mut command = bench.command(0);
-        let Say::Launch(backend) = bench.place(&mut command) else { continue };
+        let Decision::Launch(backend) = bench.place(&mut command) else { continue };
         bench.later(10);
         let bad = backend.0 == 4;
         to_bad += u32::from(bad);
-        command.closed = !bad;
+        command.is_closed = !bad;
         bench.after(&mut command, 0, if bad { Errored } else { Finished });
     }
     assert!((1..40).contains(&to_bad), "{to_bad} of 400");
@@ -400,7 +410,7 @@
     let mut found = 0;
     for _ in 0..2000 {
         let mut command = bench.command(0);
-        let Say::Launch(backend) = bench.place(&mut command) else { continue };
+        let Decision::Launch(backend) = bench.place(&mut command) else { continue };
         bench.finish(&mut command, 10);
         found += u32::from(backend.0 == 4);
     }
@@ -413,17 +423,17 @@
     for (after, trusted) in [(20, true), (300, false)] {
         let mut bench = Bench::with(5, |t| t["profiles"][0]["idempotency"] = "once".into());
         bench.warm_up_costs();
-        bench.line(ListKind::Whole, (1, State::Ready, 0));
-        bench.line(ListKind::Changes, (2, State::Ready, 0));
+        bench.line(ListUpdateKind::Snapshot, (1, BackendState::Ready, 0));
+        bench.line(ListUpdateKind::Delta, (2, BackendState::Ready, 0));
         let mut command = bench.command(0);
-        let Say::Launch(blamed) = bench.place(&mut command) else { panic!("nothing sent") };
+        let Decision::Launch(blamed) = bench.place(&mut command) else { panic!("nothing sent") };
         let mut other = bench.command(0);
-        assert!(matches!(bench.place(&mut other), Say::Launch(_)));
+        assert!(matches!(bench.place(&mut other), Decision::Launch(_)));
         bench.later(after);
         bench.after(&mut command, 0, TimedOut);
         bench.later(100);
         let mut next = bench.command(0);
-        assert_eq!(bench.place(&mut next) == Say::Launch(blamed), trusted, "time-out after {after} ms");
+        assert_eq!(bench.place(&mut next) == Decision::Launch(blamed), trusted, "time-out after {after} ms");
     }
 }
 
@@ -434,8 +444,8 @@
     bench.list_groups(&[(1, 1)]);
     for n in 0..200u64 {
         let mut command = bench.command(0);
-        command.hint = Some(Span::millis(10 + 400 * (n % 2)));
-        assert!(matches!(bench.place(&mut command), Say::Launch(_)), "command {n}");
+        command.work_hint = Some(Micros::from_millis(10 + 400 * (n % 2)));
+        assert!(matches!(bench.place(&mut command), Decision::Launch(_)), "command {n}");
         bench.finish(&mut command, 30);
     }
 }
@@ -445,13 +455,13 @@
 fn many_nodes_do_not_bury_a_crowded_backend() {
     for (nodes, sends) in [(1, true), (12, false)] {
         let mut bench = Bench::with(4, |t| t["balancers"] = nodes.into());
-        bench.line(ListKind::Whole, (1, State::Ready, 0));
+        bench.line(ListUpdateKind::Snapshot, (1, BackendState::Ready, 0));
         for n in 0..20 {
             let mut command = bench.command(0);
             let say = bench.place(&mut command);
-            assert!(n > 0 || matches!(say, Say::Launch(_)), "what nobody knows yet is tried");
-            assert!(n < 5 || matches!(say, Say::Launch(_)) == sends, "{nodes} nodes: {say:?}");
-            if matches!(say, Say::Launch(_)) {
+            assert!(n > 0 || matches!(say, Decision::Launch(_)), "what nobody knows yet is tried");
+            assert!(n < 5 || matches!(say, Decision::Launch(_)) == sends, "{nodes} nodes: {say:?}");
+            if matches!(say, Decision::Launch(_)) {
                 bench.finish(&mut command, GOAL - 15);
             }
         }
@@ -462,18 +472,18 @@
 #[test]
 fn a_failed_list_call_is_made_again() {
     let mut bench = Bench::new(1);
-    let mut last = Span(0);
+    let mut last = Micros(0);
     for round in 0..8 {
-        let wait = bench.node.wait(bench.now, None).expect("a call is due");
-        assert!(wait <= Span::millis(4000), "round {round}: {wait:?}");
+        let wait = bench.node.wakeup_delay(bench.now, None).expect("a call is due");
+        assert!(wait <= Micros::from_millis(4000), "round {round}: {wait:?}");
         bench.now = bench.now + wait;
-        assert_eq!(bench.errands(), [Errand::Follow], "round {round}");
-        bench.node.list(bench.now, ListKind::Failed, std::iter::empty());
+        assert_eq!(bench.errands(), [Action::RequestList], "round {round}");
+        bench.node.apply_list(bench.now, ListUpdateKind::Failed, std::iter::empty());
         last = last.max(wait);
     }
-    assert!(last > Span::millis(1000));
-    bench.line(ListKind::Whole, (1, State::Ready, 0));
-    assert_eq!(bench.node.wait(bench.now, None), None, "subscribed");
+    assert!(last > Micros::from_millis(1000));
+    bench.line(ListUpdateKind::Snapshot, (1, BackendState::Ready, 0));
+    assert_eq!(bench.node.wakeup_delay(bench.now, None), None, "subscribed");
 }
 
 /// What a watch misses that has fallen silent counts as told six seconds after its last line; three pass until that is
@@ -481,20 +491,22 @@
 /// off. In either case the last of hundreds is no worse than the first.
 #[test]
 fn a_silent_watch_is_made_again_in_time() {
-    for (discovery, kind, most) in
-        [("ask", ListKind::Silent, 2000), ("push", ListKind::Silent, 100), ("push", ListKind::Failed, 100)]
-    {
+    for (discovery, kind, most) in [
+        ("ask", ListUpdateKind::Silent, 2000),
+        ("push", ListUpdateKind::Silent, 100),
+        ("push", ListUpdateKind::Failed, 100),
+    ] {
         for nodes in [1, 2, 30, 300, 3000] {
             for seed in 0..50 {
                 let mut bench = Bench::with(seed, |t| {
                     (t["discovery"], t["balancers"]) = (discovery.into(), nodes.into());
                 });
-                bench.line(ListKind::Whole, (1, State::Ready, 0));
+                bench.line(ListUpdateKind::Snapshot, (1, BackendState::Ready, 0));
                 for round in 0..if discovery == "push" { 8 } else { 1 } {
-                    bench.node.list(bench.now, kind, std::iter::empty());
-                    let wait = bench.node.wait(bench.now, None).expect("a call is due");
+                    bench.node.apply_list(bench.now, kind, std::iter::empty());
+                    let wait = bench.node.wakeup_delay(bench.now, None).expect("a call is due");
                     assert!(
-                        wait <= Span::millis(most),
+                        wait <= Micros::from_millis(most),
                         "{discovery}, {nodes} nodes, round {round}: {wait:?}"
                     );
                 }
@@ -515,11 +527,11 @@
         for wrong in [serde_json::Value::Null, "x".into(), (-1.0).into()] {
             let mut json = help::terms();
             *json.pointer_mut(at).expect("the key is there") = wrong.clone();
-            let said = Terms::from_json(json.to_string().as_bytes()).expect_err("it must not pass");
+            let said = Settings::from_json(json.to_string().as_bytes()).expect_err("it must not pass");
             assert!(said.contains(named), "{at} = {wrong}: {said}");
         }
     }
-    assert!(Terms::from_json(b"{").expect_err("not JSON").contains("JSON"));
+    assert!(Settings::from_json(b"{").expect_err("not JSON").contains("JSON"));
     // What may be left out is checked all the same where it stands, and a budget stands whole.
     let cases: &[(&str, &str, serde_json::Value)] = &[
         (
@@ -547,7 +559,7 @@
         json["goal"] = json!({});
         let table = json.pointer_mut(at).and_then(|t| t.as_object_mut()).expect("a table");
         table.extend(keys.as_object().expect("keys").clone());
-        let said = Terms::from_json(json.to_string().as_bytes()).expect_err("it must not pass");
+        let said = Settings::from_json(json.to_string().as_bytes()).expect_err("it must not pass");
         assert!(said.contains(named), "{keys}: {said}");
     }
 }
@@ -570,25 +582,29 @@
         bench.list_groups(&[(1, 1), (2, 1)]);
         for _ in 0..40 {
             let mut command = bench.command(0);
-            assert!(matches!(bench.place(&mut command), Say::Launch(_)));
+            assert!(matches!(bench.place(&mut command), Decision::Launch(_)));
             bench.finish(&mut command, 4);
         }
         let mut command = bench.command(0);
-        let Say::Launch(first) = bench.place(&mut command) else { panic!("{effect}: nothing sent") };
-        let lost = bench.node.wait(bench.now, Some(&command)).expect("a look");
-        assert!(lost > Span::millis(8) && lost < Span::millis(GOAL), "{effect}: {lost:?}");
+        let Decision::Launch(first) = bench.place(&mut command) else { panic!("{effect}: nothing sent") };
+        let lost = bench.node.wakeup_delay(bench.now, Some(&command)).expect("a look");
+        assert!(lost > Micros::from_millis(8) && lost < Micros::from_millis(GOAL), "{effect}: {lost:?}");
         bench.later(lost.0 / 1000 + 1);
         let say = bench.place(&mut command);
-        assert_eq!(matches!(say, Say::Launch(b) if b != first), again, "{effect}, copies {copies}: {say:?}");
-        let stays = if copies { Say::NotYet } else { Say::CallOff(0) };
+        assert_eq!(
+            matches!(say, Decision::Launch(b) if b != first),
+            again,
+            "{effect}, copies {copies}: {say:?}"
+        );
+        let stays = if copies { Decision::Wait } else { Decision::CancelLaunch(0) };
         assert!(again || say == stays, "{effect}, copies {copies}: {say:?}");
         // Then the place is free for whoever dares; the other one may be taken by then.
         let mut others = [(); 6].map(|()| bench.command(0));
-        let there = (0..240).any(|n| bench.place(&mut others[n / 40]) == Say::Launch(first));
+        let there = (0..240).any(|n| bench.place(&mut others[n / 40]) == Decision::Launch(first));
         assert_eq!(there, effect != "once", "{effect}, copies {copies}");
         // Answered after all it counts once, and nothing more follows.
-        command.closed = true;
-        assert_eq!(bench.after(&mut command, 0, Finished), Say::NotYet);
+        command.is_closed = true;
+        assert_eq!(bench.after(&mut command, 0, Finished), Decision::Wait);
     }
 }
 
@@ -607,43 +623,55 @@
         ("nothing", "once", true, |_, _| {}),
         ("a little time", "by_key", true, |bench, _| bench.later(400)),
         ("all of its time", "repeatable", false, |bench, _| bench.later(500)),
-        ("it drains", "repeatable", false, |bench, _| bench.line(ListKind::Changes, (1, State::Draining, 0))),
-        ("it is gone", "repeatable", false, |bench, _| bench.line(ListKind::Whole, (2, State::Ready, 0))),
-        ("left out", "repeatable", false, |bench, _| bench.node.maint(bench.now, BackendId(1), true)),
+        ("it drains", "repeatable", false, |bench, _| {
+            bench.line(ListUpdateKind::Delta, (1, BackendState::Draining, 0))
+        }),
+        ("it is gone", "repeatable", false, |bench, _| {
+            bench.line(ListUpdateKind::Snapshot, (2, BackendState::Ready, 0))
+        }),
+        ("left out", "repeatable", false, |bench, _| {
+            bench.node.set_maintenance(bench.now, BackendId(1), true)
+        }),
         ("another one drains", "once", true, |bench, _| {
-            bench.line(ListKind::Changes, (2, State::Draining, 0));
+            bench.line(ListUpdateKind::Delta, (2, BackendState::Draining, 0));
+        }),
+        ("it is listed anew", "once", true, |bench, _| {
+            bench.line(ListUpdateKind::Delta, (1, BackendState::Ready, 5))
         }),
-        ("it is listed anew", "once", true, |bench, _| bench.line(ListKind::Changes, (1, State::Ready, 5))),
         ("its body is still to come", "once", true, |bench, command| {
-            command.coming = true;
+            command.is_body_incomplete = true;
             bench.later(500);
         }),
     ];
     for (what, effect, stands, meanwhile) in cases {
         let mut bench = Bench::with(1, settings(effect));
-        bench.line(ListKind::Whole, (1, State::Ready, 0));
+        bench.line(ListUpdateKind::Snapshot, (1, BackendState::Ready, 0));
         let mut command = bench.command(0);
-        assert_eq!(bench.place(&mut command), Say::Launch(BackendId(1)), "{what}");
-        bench.line(ListKind::Changes, (2, State::Ready, 0));
+        assert_eq!(bench.place(&mut command), Decision::Launch(BackendId(1)), "{what}");
+        bench.line(ListUpdateKind::Delta, (2, BackendState::Ready, 0));
         meanwhile(&mut bench, &mut command);
-        assert_eq!(bench.now < bench.node.stands(&command, 0), stands, "{what}");
+        assert_eq!(bench.now < bench.node.launch_valid_until(&command, 0), stands, "{what}");
     }
     // A second one also hangs on the first: on what that proves, and on how long its tag is remembered.
     for (first, effect, millis, stands) in [
         (Errored, "by_key", 10, true),
         (Errored, "by_key", 70, false),
-        (Unreachable, "by_key", 70, true),
-        (Unreachable, "once", 70, true),
+        (ConnectFailed, "by_key", 70, true),
+        (ConnectFailed, "once", 70, true),
         (Errored, "repeatable", 70, true),
     ] {
         let mut bench = Bench::with(1, settings(effect));
-        bench.line(ListKind::Whole, (1, State::Ready, 0));
+        bench.line(ListUpdateKind::Snapshot, (1, BackendState::Ready, 0));
         let mut command = bench.command(0);
-        assert!(matches!(bench.place(&mut command), Say::Launch(_)));
-        bench.line(ListKind::Changes, (2, State::Ready, 0));
-        assert!(matches!(bench.after(&mut command, 0, first), Say::Launch(_)), "{first:?}, {effect}");
+        assert!(matches!(bench.place(&mut command), Decision::Launch(_)));
+        bench.line(ListUpdateKind::Delta, (2, BackendState::Ready, 0));
+        assert!(matches!(bench.after(&mut command, 0, first), Decision::Launch(_)), "{first:?}, {effect}");
         bench.later(millis);
-        assert_eq!(bench.now < bench.node.stands(&command, 1), stands, "{first:?}, {effect}, {millis}");
+        assert_eq!(
+            bench.now < bench.node.launch_valid_until(&command, 1),
+            stands,
+            "{first:?}, {effect}, {millis}"
+        );
     }
 }
 
@@ -655,12 +683,12 @@
     bench.list_groups(&[(1, 1), (2, 1)]);
     for round in 0..12 {
         let mut command = bench.command(0);
-        assert!(matches!(bench.place(&mut command), Say::Launch(_)));
+        assert!(matches!(bench.place(&mut command), Decision::Launch(_)));
         match round % 4 {
             0 => {
-                assert!(matches!(bench.after(&mut command, 0, Errored), Say::Launch(_)));
+                assert!(matches!(bench.after(&mut command, 0, Errored), Decision::Launch(_)));
                 bench.later(50);
-                command.closed = true;
+                command.is_closed = true;
                 bench.after(&mut command, 1, Finished);
             }
             _ => bench.finish(&mut command, 50),
@@ -669,10 +697,10 @@
     let mut out = [bench.command(0), bench.command(0)];
     for command in &mut out {
         // Drawn by its failures a backend may be passed over for a while.
-        assert!((0..50).any(|_| matches!(bench.place(command), Say::Launch(_))));
+        assert!((0..50).any(|_| matches!(bench.place(command), Decision::Launch(_))));
     }
     let mut held = bench.command(0);
-    assert_eq!(bench.place(&mut held), Say::NotYet);
+    assert_eq!(bench.place(&mut held), Decision::Wait);
 }
 
 /// A share of failures that all backends have, as when one answer in ten comes spoilt, must not leave each out for
@@ -687,10 +715,11 @@
             let mut pair = [bench.command(0), bench.command(0)];
             let says = [0, 1].map(|n| bench.place(&mut pair[n]));
             bench.later(10);
-            both += usize::from(says.iter().all(|say| matches!(say, Say::Launch(_))) && says[0] != says[1]);
+            both +=
+                usize::from(says.iter().all(|say| matches!(say, Decision::Launch(_))) && says[0] != says[1]);
             for (command, say) in pair.iter_mut().zip(says) {
-                let Say::Launch(backend) = say else {
-                    bench.node.dropped(command);
+                let Decision::Launch(backend) = say else {
+                    bench.node.on_client_gone(command);
                     continue;
                 };
                 answers += u32::from(backend.0 == 1);
@@ -712,16 +741,16 @@
     bench.warm_up_costs();
     bench.list_groups(&[(1, 1)]);
     let mut command = bench.command(0);
-    assert!(matches!(bench.place(&mut command), Say::Launch(_)));
+    assert!(matches!(bench.place(&mut command), Decision::Launch(_)));
     bench.later(GOAL);
-    assert_eq!(bench.place(&mut command), Say::NotYet);
-    let lost = bench.node.wait(bench.now, Some(&command)).expect("another look");
-    assert!(lost < Span::millis(500 - GOAL), "{lost:?}");
+    assert_eq!(bench.place(&mut command), Decision::Wait);
+    let lost = bench.node.wakeup_delay(bench.now, Some(&command)).expect("another look");
+    assert!(lost < Micros::from_millis(500 - GOAL), "{lost:?}");
     bench.later(lost.0 / 1000 + 1);
-    assert_eq!(bench.place(&mut command), Say::NotYet);
+    assert_eq!(bench.place(&mut command), Decision::Wait);
     bench.later(100);
     let mut next = bench.command(0);
-    assert!((0..50).any(|_| matches!(bench.place(&mut next), Say::Launch(_))));
+    assert!((0..50).any(|_| matches!(bench.place(&mut next), Decision::Launch(_))));
 }
 
 /// Answers spoilt on the wire, from all backends alike: once-only commands found nobody beyond doubt, and then took
@@ -740,18 +769,18 @@
             for round in 0..200u64 {
                 // Enough for the five others, then one that may run once only.
                 let mut out: Vec<_> = (0..6).map(|n| bench.command(u16::from(n == 5))).collect();
-                let says: Vec<Say> = out.iter_mut().map(|command| bench.place(command)).collect();
+                let says: Vec<Decision> = out.iter_mut().map(|command| bench.place(command)).collect();
                 bench.later(25);
                 for (n, (command, say)) in out.iter_mut().zip(says).enumerate() {
-                    let Say::Launch(backend) = say else {
-                        bench.node.dropped(command);
+                    let Decision::Launch(backend) = say else {
+                        bench.node.on_client_gone(command);
                         continue;
                     };
                     let ill = backend.0 == 1;
                     sick += u32::from(round > 20 && n == 5 && ill);
                     let spoilt = ill || everywhere && (round + 3 * u64::from(backend.0)) % 8 == 0;
-                    command.closed = true;
-                    bench.after(command, 0, if spoilt { Broken } else { Finished });
+                    command.is_closed = true;
+                    bench.after(command, 0, if spoilt { ConnectionLost } else { Finished });
                 }
             }
         }
@@ -768,12 +797,12 @@
         bench.warm_up_costs();
         bench.list_groups(&[(1, 0), (2, 0), (3, 0)]);
         let mut command = bench.command(0);
-        assert!(matches!(bench.place(&mut command), Say::Launch(_)));
+        assert!(matches!(bench.place(&mut command), Decision::Launch(_)));
         command.launch(0).expect("launched").lost_at = bench.now;
         for _ in 0..3 {
             bench.place(&mut command);
         }
-        assert_eq!(command.launched(), launched, "second copies {copies}");
+        assert_eq!(command.launch_count(), launched, "second copies {copies}");
     }
 }
 
@@ -796,13 +825,17 @@
         bench.warm_up_costs();
         bench.list_groups(&[(1, 0), (2, 0), (3, 0)]);
         let mut command = bench.command(0);
-        let Say::Launch(first) = bench.place(&mut command) else { panic!("not launched") };
+        let Decision::Launch(first) = bench.place(&mut command) else { panic!("not launched") };
         bench.later(late);
         command.launch(0).expect("launched").lost_at = bench.now;
         let say = bench.place(&mut command);
-        assert_eq!(say, if off { Say::CallOff(0) } else { Say::NotYet }, "{effect} {cancel} {late}");
+        assert_eq!(
+            say,
+            if off { Decision::CancelLaunch(0) } else { Decision::Wait },
+            "{effect} {cancel} {late}"
+        );
         if off {
-            let Say::Launch(second) = bench.after(&mut command, 0, Outcome::Cancelled) else {
+            let Decision::Launch(second) = bench.after(&mut command, 0, Outcome::Cancelled) else {
                 panic!("not again")
             };
             assert_ne!(first, second);
@@ -830,12 +863,12 @@
             if fails {
                 let mut command = bench.command(0);
                 bench.place(&mut command);
-                command.closed = true;
-                bench.after(&mut command, 0, Outcome::Unreachable);
+                command.is_closed = true;
+                bench.after(&mut command, 0, Outcome::ConnectFailed);
             }
             bench.list_groups(&[(1, 0), (2, 0), (3, 0), (5, 0), (6, 0), (7, 0)]);
             let mut command = bench.command(0);
-            let Say::Launch(backend) = bench.place(&mut command) else { panic!("not launched") };
+            let Decision::Launch(backend) = bench.place(&mut command) else { panic!("not launched") };
             strangers += usize::from(backend.0 > 3);
         }
         assert!((least..=most).contains(&strangers), "{fails}: {strangers} of 40 dialled");
@@ -850,14 +883,14 @@
     bench.list_groups(&[(1, 0)]);
     for (hint, takes) in [(1, 10), (30, 50), (60, 90)] {
         let mut command = bench.command(0);
-        command.hint = Some(Span::millis(hint));
-        assert!(matches!(bench.place(&mut command), Say::Launch(_)));
+        command.work_hint = Some(Micros::from_millis(hint));
+        assert!(matches!(bench.place(&mut command), Decision::Launch(_)));
         bench.finish(&mut command, takes);
     }
     let [mut first, mut second] = [(); 2].map(|()| bench.command(0));
-    second.hint = Some(Span::millis(3000));
-    assert!(matches!(bench.place(&mut first), Say::Launch(_)));
-    assert_eq!(bench.place(&mut second), Say::NotYet, "it is held until the first is done");
+    second.work_hint = Some(Micros::from_millis(3000));
+    assert!(matches!(bench.place(&mut first), Decision::Launch(_)));
+    assert_eq!(bench.place(&mut second), Decision::Wait, "it is held until the first is done");
 }
 
 /// Hints that are all alike have no slope at all: by nought over nought no backend would ever fit again.
@@ -867,16 +900,16 @@
     bench.list_groups(&[(1, 0)]);
     for n in 0..40 {
         let mut command = bench.command(0);
-        command.hint = Some(Span(30_000));
-        assert!(matches!(bench.place(&mut command), Say::Launch(_)), "{n}");
+        command.work_hint = Some(Micros(30_000));
+        assert!(matches!(bench.place(&mut command), Decision::Launch(_)), "{n}");
         bench.finish(&mut command, 30);
     }
     let [mut first, mut second] = [(); 2].map(|()| bench.command(0));
-    (first.hint, second.hint) = (Some(Span(30_000)), Some(Span(30_000)));
+    (first.work_hint, second.work_hint) = (Some(Micros(30_000)), Some(Micros(30_000)));
     bench.place(&mut first);
     bench.place(&mut second);
     assert!(
-        bench.node.wait(bench.now, Some(&second)).is_some_and(|wait| wait > Span(0)),
+        bench.node.wakeup_delay(bench.now, Some(&second)).is_some_and(|wait| wait > Micros(0)),
         "it is held, not given up"
     );
 }
@@ -888,24 +921,24 @@
     let mut bench = Bench::new(21);
     bench.warm_up_costs();
     bench.list_groups(&[(1, 0), (2, 0)]);
-    bench.line(ListKind::Changes, (2, State::Draining, 0));
+    bench.line(ListUpdateKind::Delta, (2, BackendState::Draining, 0));
     let mut command = bench.command(0);
-    assert_eq!(bench.place(&mut command), Say::Launch(BackendId(1)));
+    assert_eq!(bench.place(&mut command), Decision::Launch(BackendId(1)));
     let mut json = help::terms();
     json["limits"]["secondCopies"] = false.into();
     json["limits"]["cancel"] = false.into();
     let mut once = json["profiles"][0].clone();
     once["idempotency"] = "once".into();
     json["profiles"].as_array_mut().expect("profiles").push(once);
-    bench.node.switch(Terms::from_json(json.to_string().as_bytes()).expect("good settings"));
+    bench.node.replace_settings(Settings::from_json(json.to_string().as_bytes()).expect("good settings"));
     command.launch(0).expect("launched").lost_at = bench.now;
-    assert_eq!(bench.place(&mut command), Say::NotYet, "the second copy");
+    assert_eq!(bench.place(&mut command), Decision::Wait, "the second copy");
     // The profile it came in under is repeatable still: it may be turned back once its launch is over.
     bench.later(GOAL);
-    assert!(matches!(bench.after(&mut command, 0, Outcome::TimedOut), Say::TurnBack(_)));
+    assert!(matches!(bench.after(&mut command, 0, Outcome::TimedOut), Decision::Reject(_)));
     for profile in [0, 1] {
         let mut next = bench.command(profile);
-        assert_ne!(bench.place(&mut next), Say::Launch(BackendId(2)), "it drains");
+        assert_ne!(bench.place(&mut next), Decision::Launch(BackendId(2)), "it drains");
     }
 }
 
@@ -916,13 +949,13 @@
         let mut bench = Bench::with(4, |t| t["profiles"][0]["idempotency"] = "once".into());
         bench.list_groups(&[(1, 1), (2, 1)]);
         let mut command = bench.command(0);
-        assert!(matches!(bench.place(&mut command), Say::Launch(_)));
+        assert!(matches!(bench.place(&mut command), Decision::Launch(_)));
         let mut json = help::terms();
         json["profiles"][0]["idempotency"] = "once".into();
         json["guarantees"]["mayShedBegun"] = doubted.into();
-        bench.node.switch(Terms::from_json(json.to_string().as_bytes()).expect("good settings"));
+        bench.node.replace_settings(Settings::from_json(json.to_string().as_bytes()).expect("good settings"));
         bench.later(10);
-        assert_eq!(bench.after(&mut command, 0, Full) == Say::Errored, then_out);
+        assert_eq!(bench.after(&mut command, 0, Full) == Decision::Fail, then_out);
     }
 }
 
@@ -935,31 +968,36 @@
         bench.list_groups(&[(1, 0), (2, 0)]);
         for _ in 0..10 {
             let mut command = bench.command(0);
-            assert!(matches!(bench.place(&mut command), Say::Launch(_)));
+            assert!(matches!(bench.place(&mut command), Decision::Launch(_)));
             bench.finish(&mut command, 20);
         }
         for _ in 0..2 {
-            bench.node.maint(bench.now, BackendId(1), true);
+            bench.node.set_maintenance(bench.now, BackendId(1), true);
         }
-        assert!(bench.errands().contains(&Errand::Close(BackendId(1))), "its idle connections go");
-        for (what, state, started) in
-            [("ready", State::Ready, 0), ("gone", State::Gone, 0), ("anew", State::Ready, 9)]
-        {
-            bench.line(ListKind::Changes, (1, state, started));
+        assert!(
+            bench.errands().contains(&Action::CloseIdleConnections(BackendId(1))),
+            "its idle connections go"
+        );
+        for (what, state, started) in [
+            ("ready", BackendState::Ready, 0),
+            ("gone", BackendState::Gone, 0),
+            ("anew", BackendState::Ready, 9),
+        ] {
+            bench.line(ListUpdateKind::Delta, (1, state, started));
             for _ in 0..6 {
                 let mut command = bench.command(0);
-                assert_eq!(bench.place(&mut command), Say::Launch(BackendId(2)), "{what}");
+                assert_eq!(bench.place(&mut command), Decision::Launch(BackendId(2)), "{what}");
                 bench.finish(&mut command, 20);
             }
         }
-        bench.node.maint(bench.now, BackendId(1), false);
-        bench.line(ListKind::Changes, (1, State::Ready, 9));
+        bench.node.set_maintenance(bench.now, BackendId(1), false);
+        bench.line(ListUpdateKind::Delta, (1, BackendState::Ready, 9));
         bench.later(3000);
         let [mut first, mut second, mut third] = [(); 3].map(|()| bench.command(0));
-        assert_eq!(bench.place(&mut first), Say::Launch(BackendId(1)), "seed {seed}: tried at once");
+        assert_eq!(bench.place(&mut first), Decision::Launch(BackendId(1)), "seed {seed}: tried at once");
         // It is cold since the call, whatever the list says of its start: one at a time.
-        assert_eq!(bench.place(&mut second), Say::Launch(BackendId(2)), "seed {seed}");
-        assert_ne!(bench.place(&mut third), Say::Launch(BackendId(1)), "seed {seed}: it is cold");
+        assert_eq!(bench.place(&mut second), Decision::Launch(BackendId(2)), "seed {seed}");
+        assert_ne!(bench.place(&mut third), Decision::Launch(BackendId(1)), "seed {seed}: it is cold");
     }
 }
 
@@ -972,25 +1010,29 @@
     bench.warm_up_costs();
     bench.list_groups(&[(1, 0)]);
     let mut slow = bench.command(0);
-    slow.coming = true;
-    assert_eq!(bench.place(&mut slow), Say::Launch(BackendId(1)));
+    slow.is_body_incomplete = true;
+    assert_eq!(bench.place(&mut slow), Decision::Launch(BackendId(1)));
     for n in 0..4 {
         let mut quick = bench.command(0);
-        assert_eq!(bench.place(&mut quick), Say::Launch(BackendId(1)), "command {n}");
+        assert_eq!(bench.place(&mut quick), Decision::Launch(BackendId(1)), "command {n}");
         bench.finish(&mut quick, 50);
     }
     bench.later(3000);
-    bench.node.came_whole(bench.now, &mut slow);
+    bench.node.on_body_complete(bench.now, &mut slow);
     let [mut next, mut other] = [(); 2].map(|()| bench.command(0));
-    assert_eq!(bench.place(&mut next), Say::NotYet, "now its place is taken");
-    assert_eq!(bench.node.wait(bench.now, Some(&slow)), Some(Span::millis(GOAL)), "its goal time begins");
+    assert_eq!(bench.place(&mut next), Decision::Wait, "now its place is taken");
+    assert_eq!(
+        bench.node.wakeup_delay(bench.now, Some(&slow)),
+        Some(Micros::from_millis(GOAL)),
+        "its goal time begins"
+    );
     bench.list_groups(&[(1, 0), (2, 0)]);
     bench.later(499);
-    assert_eq!(bench.place(&mut slow), Say::NotYet, "far too late, and not sent again");
-    assert_eq!(slow.launched(), 1);
-    assert_eq!(bench.place(&mut other), Say::Launch(BackendId(2)), "there is room for it all the same");
-    let say = bench.after(&mut slow, 0, Outcome::Broken);
-    assert!(matches!(say, Say::TurnBack(_)), "nor after its launch broke: {say:?}");
+    assert_eq!(bench.place(&mut slow), Decision::Wait, "far too late, and not sent again");
+    assert_eq!(slow.launch_count(), 1);
+    assert_eq!(bench.place(&mut other), Decision::Launch(BackendId(2)), "there is room for it all the same");
+    let say = bench.after(&mut slow, 0, Outcome::ConnectionLost);
+    assert!(matches!(say, Decision::Reject(_)), "nor after its launch broke: {say:?}");
 }
 
 /// Further launches against a plain count of all that was ever taken and launched: no window that ends with one
@@ -1012,14 +1054,15 @@
         for step in 0..3000u64 {
             draw = draw.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
             // Bursts, then silences longer than a slice of the window.
-            bench.now = bench.now + Span((draw >> 33) % if step % 200 < 20 { 400_000 } else { 9_000 });
+            bench.now = bench.now + Micros((draw >> 33) % if step % 200 < 20 { 400_000 } else { 9_000 });
             let mut command = bench.command(0);
             taken.push(bench.now);
             let mut say = bench.place(&mut command);
             for n in 0..4 {
-                let Say::Launch(_) = say else { break };
-                let counts = |at: &&_| bench.now.since(**at) <= Span::millis(window);
-                let came = taken.iter().rev().take_while(|at| bench.now.since(**at) < Span::millis(window));
+                let Decision::Launch(_) = say else { break };
+                let counts = |at: &&_| bench.now.since(**at) <= Micros::from_millis(window);
+                let came =
+                    taken.iter().rev().take_while(|at| bench.now.since(**at) < Micros::from_millis(window));
                 let allowed = spare + ratio * came.count() as f64;
                 if n > 0 {
                     further.push(bench.now);
@@ -1030,13 +1073,14 @@
                     "seed {seed}: {spent} where {allowed} are allowed"
                 );
                 most = most.max(spent);
-                say = bench.after(&mut command, n, if draw >> 40 & 3 == 0 { Finished } else { Unreachable });
-                let refused = matches!(say, Say::TurnBack(_)) && n < 3 && draw >> 40 & 3 != 0;
+                say =
+                    bench.after(&mut command, n, if draw >> 40 & 3 == 0 { Finished } else { ConnectFailed });
+                let refused = matches!(say, Decision::Reject(_)) && n < 3 && draw >> 40 & 3 != 0;
                 // A slice at the edge may count for its launches and not yet for its commands.
                 let little = ((spent + 1) as f64) < 0.4 * allowed;
                 assert!(!refused || !little, "seed {seed}: refused with {spent} of {allowed} spent");
             }
-            bench.node.dropped(&mut command);
+            bench.node.on_client_gone(&mut command);
         }
         assert!(most >= spare as usize, "seed {seed}: never more than {most} of {spare}");
     }
@@ -1055,33 +1099,36 @@
         });
         bench.list_groups(&[1, 2, 3, 4, 5, 6].map(|id| (id, 1)));
         if second {
-            bench.node.beside(bench.now, true);
+            bench.node.set_predecessor_running(bench.now, true);
         }
         for n in 0..spent {
             let mut command = bench.command(0);
-            assert!(matches!(bench.place(&mut command), Say::Launch(_)));
-            let say = bench.after(&mut command, 0, Unreachable);
-            assert!(matches!(say, Say::Launch(_)), "launch {n}: {say:?}");
+            assert!(matches!(bench.place(&mut command), Decision::Launch(_)));
+            let say = bench.after(&mut command, 0, ConnectFailed);
+            assert!(matches!(say, Decision::Launch(_)), "launch {n}: {say:?}");
             bench.after(&mut command, 1, Finished);
         }
         if second {
-            bench.node.beside(bench.now, false);
+            bench.node.set_predecessor_running(bench.now, false);
         }
         let mut command = bench.command(0);
-        assert!(matches!(bench.place(&mut command), Say::Launch(_)));
-        let say = bench.after(&mut command, 0, Unreachable);
-        assert_eq!(matches!(say, Say::Launch(_)), !waits, "{spent} {second}: {say:?}");
+        assert!(matches!(bench.place(&mut command), Decision::Launch(_)));
+        let say = bench.after(&mut command, 0, ConnectFailed);
+        assert_eq!(matches!(say, Decision::Launch(_)), !waits, "{spent} {second}: {say:?}");
         if waits && !second {
-            let wait = bench.node.wait(bench.now, Some(&command)).expect("a timer");
-            assert!(wait > Span::millis(59) && wait < Span::millis(62), "{wait:?}");
+            let wait = bench.node.wakeup_delay(bench.now, Some(&command)).expect("a timer");
+            assert!(wait > Micros::from_millis(59) && wait < Micros::from_millis(62), "{wait:?}");
             bench.now = bench.now + wait;
-            assert!(matches!(bench.place(&mut command), Say::Launch(_)), "after the window");
+            assert!(matches!(bench.place(&mut command), Decision::Launch(_)), "after the window");
         }
         if second {
             bench.later(61);
             let mut command = bench.command(0);
-            assert!(matches!(bench.place(&mut command), Say::Launch(_)));
-            assert!(matches!(bench.after(&mut command, 0, Unreachable), Say::Launch(_)), "a window later");
+            assert!(matches!(bench.place(&mut command), Decision::Launch(_)));
+            assert!(
+                matches!(bench.after(&mut command, 0, ConnectFailed), Decision::Launch(_)),
+                "a window later"
+            );
         }
     }
 }
@@ -1104,10 +1151,10 @@
             let mut bench = Bench::with(seed, half_sighted);
             bench.warm_up_costs();
             bench.list_groups(&[(1, 0), (2, 0)]);
-            bench.node.report(bench.now, BackendId(1), true, None, &values);
-            bench.node.report(bench.now, BackendId(2), true, None, &[0.0, 0.0]);
+            bench.node.on_load_report(bench.now, BackendId(1), true, None, &values);
+            bench.node.on_load_report(bench.now, BackendId(2), true, None, &[0.0, 0.0]);
             let mut command = bench.command(0);
-            hits += u32::from(bench.place(&mut command) == Say::Launch(BackendId(1)));
+            hits += u32::from(bench.place(&mut command) == Decision::Launch(BackendId(1)));
         }
         assert_eq!(hits < 20, passed_over, "{values:?}: {hits} of 60 went there");
     }
@@ -1124,9 +1171,9 @@
         for n in 0..120 {
             let mut command = bench.command(0);
             match bench.place(&mut command) {
-                Say::Launch(at) => {
+                Decision::Launch(at) => {
                     bench.finish(&mut command, if n < 40 { 60 } else { 60 + waited });
-                    bench.node.report(bench.now, at, true, None, &[0.0, 0.3]);
+                    bench.node.on_load_report(bench.now, at, true, None, &[0.0, 0.3]);
                 }
                 _ => turned_back += 1,
             }
@@ -1151,8 +1198,8 @@
             bench.list_groups(&lines);
             for key in 0..60 {
                 let mut command = bench.command(0);
-                command.key = if key == 59 { 7 } else { 100 + key };
-                let Say::Launch(at) = bench.place(&mut command) else { continue };
+                command.affinity_key = if key == 59 { 7 } else { 100 + key };
+                let Decision::Launch(at) = bench.place(&mut command) else { continue };
                 if key == 59 {
                     met.insert(at.0);
                 }
@@ -1191,22 +1238,22 @@
         for n in 0..200 {
             let mut command = bench.command(0);
             let mut say = bench.place(&mut command);
-            while say == Say::NotYet {
+            while say == Decision::Wait {
                 let errands = bench.errands();
-                let [Errand::Close(at), Errand::Again(_)] = errands[..] else {
+                let [Action::CloseIdleConnections(at), Action::Reevaluate(_)] = errands[..] else {
                     panic!("{what:?}: {errands:?}")
                 };
                 used.remove(&at);
                 closes += u32::from(n >= 100);
                 say = bench.place(&mut command);
             }
-            let Say::Launch(at) = say else { continue };
+            let Decision::Launch(at) = say else { continue };
             bench.errands();
             bench.later(20);
-            let idle = used.insert(at, bench.now).map_or(Span(0), |then| bench.now.since(then));
+            let idle = used.insert(at, bench.now).map_or(Micros(0), |then| bench.now.since(then));
             let gone = match what {
                 Nothing => false,
-                IdleDropped => idle > Span::millis(600),
+                IdleDropped => idle > Micros::from_millis(600),
                 OneDead => at == BackendId(1),
                 AnswersLost => n % 4 == 1,
             };
@@ -1214,8 +1261,8 @@
             if gone {
                 used.remove(&at);
             }
-            command.closed = true;
-            bench.after(&mut command, 0, if gone { Broken } else { Finished });
+            command.is_closed = true;
+            bench.after(&mut command, 0, if gone { ConnectionLost } else { Finished });
             bench.errands();
             bench.later(150);
         }
@@ -1240,7 +1287,7 @@
         let mut used = std::collections::BTreeSet::new();
         for _ in 0..60 {
             let mut command = bench.command(0);
-            if let Say::Launch(at) = bench.place(&mut command) {
+            if let Decision::Launch(at) = bench.place(&mut command) {
                 used.insert(at);
             }
             bench.finish(&mut command, 20);
@@ -1260,11 +1307,11 @@
         let mut turned_back = 0;
         for n in 1..=600 {
             let mut command = bench.command(0);
-            if !matches!(bench.place(&mut command), Say::Launch(_)) {
+            if !matches!(bench.place(&mut command), Decision::Launch(_)) {
                 turned_back += 1;
             } else if full_in > 0 && n % full_in == 0 {
                 bench.after(&mut command, 0, Full);
-                bench.node.dropped(&mut command);
+                bench.node.on_client_gone(&mut command);
             } else {
                 bench.finish(&mut command, 56);
             }
@@ -1289,6 +1336,6 @@
             bench.list_sized(&[1, 2, 3, 4].map(|id| (id, 0)), size);
         }
         let mut command = bench.command(0);
-        assert_eq!(matches!(bench.place(&mut command), Say::Launch(_)), launched, "{weights} {size}");
+        assert_eq!(matches!(bench.place(&mut command), Decision::Launch(_)), launched, "{weights} {size}");
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,9 +6,9 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use yarrowfront::command::{Command, Outcome::*};
-use yarrowfront::decide::{Errand, ListKind, Say, State};
+use yarrowfront::decide::{Action, BackendState, Decision, ListUpdateKind};
 use yarrowfront::ids::BackendId;
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 fn among(nodes: u32, seed: u64) -> Bench {
     Bench::with(seed, |t| t["balancers"] = nodes.into())
@@ -24,16 +24,16 @@
 }
 
 /// What is said once the backends asked for it have answered, and all its waits are over.
-fn settled(bench: &mut Bench, command: &mut Command) -> Say {
+fn settled(bench: &mut Bench, command: &mut Command) -> Decision {
     loop {
         let say = bench.place(command);
         for errand in bench.errands() {
-            if let Errand::Probe(backend) = errand {
-                bench.node.report(bench.now, backend, true, Some(Span::millis(1)), &[]);
+            if let Action::Probe(backend) = errand {
+                bench.node.on_load_report(bench.now, backend, true, Some(Micros::from_millis(1)), &[]);
             }
         }
-        match (say, bench.node.wait(bench.now, Some(command))) {
-            (Say::NotYet, Some(wait)) => bench.now = bench.now + wait,
+        match (say, bench.node.wakeup_delay(bench.now, Some(command))) {
+            (Decision::Wait, Some(wait)) => bench.now = bench.now + wait,
             _ => return say,
         }
     }
@@ -57,20 +57,20 @@
             let mut say = bench.place(&mut command);
             for _ in 0..60 {
                 for errand in bench.errands() {
-                    if let Errand::Probe(backend) = errand {
+                    if let Action::Probe(backend) = errand {
                         probes += 1;
-                        let trip = Some(Span(500));
-                        bench.node.report(bench.now, backend, true, trip, &[held, held]);
+                        let trip = Some(Micros(500));
+                        bench.node.on_load_report(bench.now, backend, true, trip, &[held, held]);
                     }
                 }
-                if say != Say::NotYet {
+                if say != Decision::Wait {
                     break;
                 }
                 bench.later(3);
                 say = bench.place(&mut command);
             }
-            launched += u32::from(matches!(say, Say::Launch(_)));
-            if matches!(say, Say::Launch(_)) {
+            launched += u32::from(matches!(say, Decision::Launch(_)));
+            if matches!(say, Decision::Launch(_)) {
                 bench.finish(&mut command, 30);
             }
             bench.later(200);
@@ -79,7 +79,7 @@
         assert!(held > 0.0 || launched == 200, "an idle fleet takes them all: {launched}");
         bench.later(10_000);
         let idle = bench.errands();
-        assert!(!idle.iter().any(|e| matches!(e, Errand::Probe(_))), "{idle:?}");
+        assert!(!idle.iter().any(|e| matches!(e, Action::Probe(_))), "{idle:?}");
     }
 }
 
@@ -93,15 +93,18 @@
         for seed in 0..nodes {
             let mut bench = among(nodes, u64::from(seed));
             let (start, mut last) = (bench.now, bench.now);
-            while bench.now < start + Span::millis(28_000) {
-                let wait = bench.node.wait(bench.now, None).expect("a call is due");
+            while bench.now < start + Micros::from_millis(28_000) {
+                let wait = bench.node.wakeup_delay(bench.now, None).expect("a call is due");
                 bench.now = bench.now + wait;
-                assert_eq!(bench.errands(), [Errand::Follow]);
-                assert!(bench.now.since(last) < Span::millis(10_000), "{nodes} nodes: one waits too long");
+                assert_eq!(bench.errands(), [Action::RequestList]);
+                assert!(
+                    bench.now.since(last) < Micros::from_millis(10_000),
+                    "{nodes} nodes: one waits too long"
+                );
                 last = bench.now;
                 calls[(bench.now.since(start).0 / 1_000_000) as usize % 30] += 1;
                 bench.later(2000);
-                bench.node.list(bench.now, ListKind::Failed, std::iter::empty());
+                bench.node.apply_list(bench.now, ListUpdateKind::Failed, std::iter::empty());
             }
         }
         assert!(calls.iter().all(|&n| n <= most), "{nodes} nodes: {calls:?}");
@@ -119,7 +122,7 @@
         for _ in 0..100 {
             let mut command = bench.command(0);
             bench.place(&mut command);
-            probes += bench.errands().iter().filter(|e| matches!(e, Errand::Probe(_))).count();
+            probes += bench.errands().iter().filter(|e| matches!(e, Action::Probe(_))).count();
             bench.later(70);
         }
         assert_eq!(probes > 0, some, "{probes} probes at {price}");
@@ -136,7 +139,9 @@
         for _ in 0..3000 {
             let mut command = bench.command(0);
             bench.later(apart);
-            let Say::Launch(backend) = bench.place(&mut command) else { panic!("an idle fleet takes all") };
+            let Decision::Launch(backend) = bench.place(&mut command) else {
+                panic!("an idle fleet takes all")
+            };
             met.insert(backend);
             bench.finish(&mut command, took);
         }
@@ -161,7 +166,7 @@
         let mut taken = BTreeSet::new();
         for n in 0..6 {
             let mut command = bench.command(0);
-            if let Say::Launch(backend) = settled(&mut bench, &mut command) {
+            if let Decision::Launch(backend) = settled(&mut bench, &mut command) {
                 taken.insert(backend);
                 // The first three fill its few, as a backend new to it is given one at a time.
                 if n < 3 {
@@ -182,16 +187,16 @@
         let mut bench = Bench::with(2, |t| {
             t["guarantees"]["startCapacity"] = least.into();
         });
-        bench.line(ListKind::Whole, (1, State::Ready, 0));
+        bench.line(ListUpdateKind::Snapshot, (1, BackendState::Ready, 0));
         for _ in 0..6 {
             let mut command = bench.command(0);
-            assert!(matches!(bench.place(&mut command), Say::Launch(_)));
+            assert!(matches!(bench.place(&mut command), Decision::Launch(_)));
             bench.finish(&mut command, GOAL * 3 / 10);
         }
-        bench.line(ListKind::Whole, (2, State::Ready, bench.now.0));
+        bench.line(ListUpdateKind::Snapshot, (2, BackendState::Ready, bench.now.0));
         let mut command = bench.command(0);
         let said = bench.place(&mut command);
-        assert_eq!(matches!(said, Say::Launch(b) if b.0 == 2), taken, "{said:?} at {least}");
+        assert_eq!(matches!(said, Decision::Launch(b) if b.0 == 2), taken, "{said:?} at {least}");
     }
 }
 
@@ -206,9 +211,9 @@
         });
         bench.list_groups(&groups(200, 2));
         let mut command = bench.command(0);
-        let Say::Launch(first) = bench.place(&mut command) else { panic!("nothing sent") };
+        let Decision::Launch(first) = bench.place(&mut command) else { panic!("nothing sent") };
         bench.later(10);
-        let Say::Launch(second) = bench.after(&mut command, 0, Errored) else { panic!("seed {seed}") };
+        let Decision::Launch(second) = bench.after(&mut command, 0, Errored) else { panic!("seed {seed}") };
         assert!(first != second && (first.0 - 1) / 2 == (second.0 - 1) / 2, "{first:?}, {second:?}");
     }
 }
@@ -227,10 +232,10 @@
         // What the fleet has done for each of them of late is next to nothing.
         bench.later(60_000);
         let started = bench.now.0 - 1000;
-        bench.line(ListKind::Whole, (7, State::Ready, started));
+        bench.line(ListUpdateKind::Snapshot, (7, BackendState::Ready, started));
         for _ in 0..100 {
             let mut command = bench.command(0);
-            if matches!(bench.place(&mut command), Say::Launch(_)) {
+            if matches!(bench.place(&mut command), Decision::Launch(_)) {
                 sent += 1;
                 bench.after(&mut command, 0, Full);
             }
@@ -249,11 +254,11 @@
             let mut bench = Bench::new(seed);
             bench.list_groups(&groups(10, 1));
             let mut command = bench.command(0);
-            let Say::Launch(first) = bench.place(&mut command) else { panic!("nothing sent") };
+            let Decision::Launch(first) = bench.place(&mut command) else { panic!("nothing sent") };
             bench.finish(&mut command, 30);
             bench.later(after);
             let mut next = bench.command(0);
-            hits += u32::from(bench.place(&mut next) == Say::Launch(first));
+            hits += u32::from(bench.place(&mut next) == Decision::Launch(first));
         }
         assert_eq!(hits > 25, token, "after {after} ms: {hits} of 40");
     }
@@ -268,7 +273,7 @@
     for n in 0..40 {
         let mut command = bench.command(0);
         let say = bench.place(&mut command);
-        assert!(n < 15 || matches!(say, Say::Launch(_)), "command {n}: {say:?}");
+        assert!(n < 15 || matches!(say, Decision::Launch(_)), "command {n}: {say:?}");
         bench.finish(&mut command, if n == 0 { GOAL - 5 } else { 20 });
         bench.later(100);
     }
@@ -291,7 +296,7 @@
         for n in 0..times {
             let profile = usize::from(n % 4 == 0);
             let mut command = bench.command(profile as u16);
-            if matches!(bench.place(&mut command), Say::Launch(_)) {
+            if matches!(bench.place(&mut command), Decision::Launch(_)) {
                 launched[profile] += 1;
                 bench.later(took.min(GOAL + 1));
                 bench.place(&mut command);
@@ -313,7 +318,7 @@
 /// Perth's big days: a backend that sent a command back full counts as crowded for the next one.
 #[test]
 fn a_full_backend_is_as_good_as_reported() {
-    for (outcome, again) in [(Unsent, true), (Full, false)] {
+    for (outcome, again) in [(NotSent, true), (Full, false)] {
         let mut hits = 0;
         for seed in 0..40 {
             let mut bench = asking(500, seed, 0.002);
@@ -321,7 +326,7 @@
             let launch = |bench: &mut Bench| loop {
                 let mut command = bench.command(0);
                 for _ in 0..10 {
-                    if let Say::Launch(backend) = bench.place(&mut command) {
+                    if let Decision::Launch(backend) = bench.place(&mut command) {
                         bench.after(&mut command, 0, outcome);
                         return backend;
                     }
@@ -347,16 +352,16 @@
             for _ in 0..12 {
                 let say = bench.place(&mut command);
                 for errand in bench.errands() {
-                    let Errand::Probe(backend) = errand else { continue };
+                    let Action::Probe(backend) = errand else { continue };
                     probes += 1;
-                    bench.node.report(bench.now, backend, true, Some(Span(500)), &[0.0, 0.0]);
+                    bench.node.on_load_report(bench.now, backend, true, Some(Micros(500)), &[0.0, 0.0]);
                 }
-                if matches!(say, Say::Launch(_)) {
+                if matches!(say, Decision::Launch(_)) {
                     bench.finish(&mut command, took);
                 }
                 bench.later(3);
             }
-            bench.node.dropped(&mut command);
+            bench.node.on_client_gone(&mut command);
             bench.later(300);
         }
         probes
@@ -379,10 +384,10 @@
         while sent < 60 {
             let mut command = bench.command(0);
             let mut say = bench.place(&mut command);
-            while say == Say::NotYet {
+            while say == Decision::Wait {
                 for errand in bench.errands() {
-                    if let Errand::Probe(backend) = errand {
-                        bench.node.report(bench.now, backend, true, Some(Span(100)), &[0.0, 0.0]);
+                    if let Action::Probe(backend) = errand {
+                        bench.node.on_load_report(bench.now, backend, true, Some(Micros(100)), &[0.0, 0.0]);
                     }
                 }
                 bench.later(5);
@@ -393,8 +398,8 @@
         }
         bench.later(500);
         let mut command = bench.command(0);
-        assert_eq!(bench.place(&mut command), Say::NotYet);
-        let wait = bench.node.wait(bench.now, Some(&command)).expect("a time").0;
+        assert_eq!(bench.place(&mut command), Decision::Wait);
+        let wait = bench.node.wakeup_delay(bench.now, Some(&command)).expect("a time").0;
         assert!((least..=most).contains(&wait), "{takes} ms: it waits {wait} us");
     }
 }
@@ -409,13 +414,13 @@
     });
     bench.list_groups(&groups(4, 4));
     for id in 0..60 {
-        bench.node.report(bench.now, BackendId(1 + id % 4), true, None, &[20.0]);
+        bench.node.on_load_report(bench.now, BackendId(1 + id % 4), true, None, &[20.0]);
     }
     let mut launched = 0;
     for _ in 0..5 {
         bench.later(1500);
         let mut command = bench.command(0);
-        if let Say::Launch(_) = settled(&mut bench, &mut command) {
+        if let Decision::Launch(_) = settled(&mut bench, &mut command) {
             launched += 1;
             bench.finish(&mut command, 20);
         }
@@ -439,9 +444,9 @@
             for n in 0..30 {
                 let mut command = bench.command(0);
                 // The key is one of thirty: no more than chance among the last ones.
-                command.key = if n % 10 == 0 { 77 } else { 1000 + n };
-                let Say::Launch(backend) = settled(&mut bench, &mut command) else { continue };
-                if command.key == 77 {
+                command.affinity_key = if n % 10 == 0 { 77 } else { 1000 + n };
+                let Decision::Launch(backend) = settled(&mut bench, &mut command) else { continue };
+                if command.affinity_key == 77 {
                     places.insert(backend);
                 }
                 bench.finish(&mut command, 20);
@@ -464,12 +469,12 @@
             bench.place(&mut command);
             bench.finish(&mut command, pause);
         }
-        bench.line(ListKind::Whole, (50, State::Ready, bench.now.0));
+        bench.line(ListUpdateKind::Snapshot, (50, BackendState::Ready, bench.now.0));
         (0..100)
             .filter(|_| {
                 bench.later(pause);
                 let mut command = bench.command(0);
-                let sent = matches!(bench.place(&mut command), Say::Launch(_));
+                let sent = matches!(bench.place(&mut command), Decision::Launch(_));
                 if sent {
                     bench.finish(&mut command, 10);
                 }
