--- a/src/decide.rs
+++ b/src/decide.rs
@@ -5,12 +5,12 @@
 use crate::allowance::{Allowance, UNSTATED};
 use crate::backend::{Backend, Row};
 pub use crate::backend_list::{BackendState, ListEntry, ListUpdateKind};
-use crate::chance::Chance;
 use crate::command::{Bounds, Command, Held, Launch, LaunchState, Outcome, MOST_LAUNCHES};
 pub use crate::decision::{Action, Decision};
 use crate::ids::{BackendId, BackendTypeId, CommandHandle};
 use crate::list_calls::ListCalls;
 use crate::portion;
+use crate::random::Chance;
 use crate::settings::{DedupScope, Idempotency, Profile, RetryBudget, Settings};
 use crate::times::{Micros, Timestamp};
 use std::cmp::Reverse;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,12 +4,12 @@
 mod allowance;
 mod backend;
 pub mod backend_list;
-mod chance;
 pub mod command;
 pub mod decide;
 pub mod decision;
 pub mod ids;
 mod list_calls;
 mod portion;
+mod random;
 pub mod settings;
 pub mod times;
--- a/src/list_calls.rs
+++ b/src/list_calls.rs
@@ -4,7 +4,7 @@
 //! the span from the end of a watch to the next call is bounded by time alone, and never grows with the number of nodes
 //! or of failures: an overloaded discovery refuses calls at once, and a refusal costs it nothing.
 
-use crate::chance::Chance;
+use crate::random::Chance;
 use crate::settings::Settings;
 use crate::times::{Micros, Timestamp};
 
