--- a/src/allowance.rs
+++ b/src/allowance.rs
@@ -1,66 +1,83 @@
-//! How many launches beyond commands' first a node may still make: a count over the last window of time, the
-//! strict way where it is not exact. What has been counted is kept in a bounded number of slices.
+//! Retry budget of a node: counts the launches beyond each command's first over a sliding window. Where the count is
+//! not exact it errs on the strict side. The counts are kept in a bounded number of time slices.
 
 use crate::settings::RetryBudget;
 use crate::times::{Micros, Timestamp};
 use std::collections::VecDeque;
 
-/// A slice that the window's edge cuts counts for its launches and not for its commands: at most one in
-/// sixty-four commands is lost by it, and no more than twice as many slices are kept at any rate.
+/// Slices per window. A slice that the start of the window cuts counts with its launches but without its commands.
+/// That leaves out at most one in 64 commands, and never more than twice as many slices are kept.
 const SLICES: u64 = 64;
 
-/// Where none is stated: half of the commands may be launched again, those of twenty seconds in store for a
-/// lost zone. With more to spare at once a fleet that starts dials itself full.
-pub(crate) const UNSTATED: RetryBudget =
+/// Budget for settings that state none: half of the commands may be launched again, and the commands of twenty
+/// seconds count, as a reserve for the loss of a zone. With more launches to spare at once, the dials of a starting
+/// fleet would fill its backends.
+pub(crate) const DEFAULT_RETRY_BUDGET: RetryBudget =
     RetryBudget { spare_launches: 2.0, launches_per_command: 0.5, window: Micros::from_millis(20_000) };
 
+/// Recent commands and further launches of this node.
 #[derive(Default)]
-pub(crate) struct Allowance {
+pub(crate) struct RetryAllowance {
     slices: VecDeque<Slice>,
-    /// Until then another process of this node holds what is spare.
-    none_spare: Timestamp,
+    /// Until then another process of this node has the use of the spare launches.
+    no_spare_until: Timestamp,
 }
 
+/// Commands and further launches between two times.
 struct Slice {
-    first: Timestamp,
-    last: Timestamp,
-    taken: u32,
-    further: u32,
+    first_at: Timestamp,
+    last_at: Timestamp,
+    commands: u32,
+    extra_launches: u32,
 }
 
-impl Allowance {
-    /// A command has come, or a launch beyond a command's first is made.
-    pub(crate) fn count(&mut self, now: Timestamp, budget: RetryBudget, further: bool) {
-        let long = Micros(budget.window.0 / SLICES);
-        if self.slices.back().is_none_or(|s| now.since(s.first) >= long) {
-            self.slices.push_back(Slice { first: now, last: now, taken: 0, further: 0 });
+impl RetryAllowance {
+    /// Counts a new command, or a launch beyond a command's first (`is_extra`).
+    pub(crate) fn record(&mut self, now: Timestamp, budget: RetryBudget, is_extra: bool) {
+        let slice_length = Micros(budget.window.0 / SLICES);
+        if self.slices.back().is_none_or(|slice| now.since(slice.first_at) >= slice_length) {
+            self.slices.push_back(Slice { first_at: now, last_at: now, commands: 0, extra_launches: 0 });
         }
         if self.slices.len() as u64 > 2 * SLICES {
             self.slices.pop_front();
         }
-        let slice = self.slices.back_mut().expect("one has just been pushed");
-        slice.last = now;
-        *(if further { &mut slice.further } else { &mut slice.taken }) += 1;
+        let slice = self.slices.back_mut().expect("a slice has just been pushed");
+        slice.last_at = now;
+        *(if is_extra { &mut slice.extra_launches } else { &mut slice.commands }) += 1;
     }
 
-    /// The launches beyond commands' first that count in the window that ends now, and how many may.
-    pub(crate) fn stands(&self, now: Timestamp, budget: RetryBudget) -> (f64, f64) {
-        let from = now - budget.window;
-        let taken: u32 = self.slices.iter().filter(|s| s.first > from).map(|s| s.taken).sum();
-        let further: u32 = self.slices.iter().filter(|s| s.last >= from).map(|s| s.further).sum();
-        let spare = if now < self.none_spare { 0.0 } else { budget.spare_launches };
-        (f64::from(further), spare + budget.launches_per_command * f64::from(taken))
+    /// The further launches that count in the window that ends now, and how many are allowed.
+    pub(crate) fn usage(&self, now: Timestamp, budget: RetryBudget) -> (f64, f64) {
+        let window_start = now - budget.window;
+        let commands: u32 = self
+            .slices
+            .iter()
+            .filter(|slice| slice.first_at > window_start)
+            .map(|slice| slice.commands)
+            .sum();
+        let extra_launches: u32 = self
+            .slices
+            .iter()
+            .filter(|slice| slice.last_at >= window_start)
+            .map(|slice| slice.extra_launches)
+            .sum();
+        let spare_launches = if now < self.no_spare_until { 0.0 } else { budget.spare_launches };
+        (f64::from(extra_launches), spare_launches + budget.launches_per_command * f64::from(commands))
     }
 
-    /// When the first of the launches that count now no longer does.
-    pub(crate) fn eases(&self, now: Timestamp, budget: RetryBudget) -> Timestamp {
-        let counts = |s: &&Slice| s.further > 0 && s.last >= now - budget.window;
-        self.slices.iter().find(counts).map_or(Timestamp(u64::MAX), |s| s.last + budget.window + Micros(1))
+    /// When the oldest of the counted launches leaves the window.
+    pub(crate) fn next_free_at(&self, now: Timestamp, budget: RetryBudget) -> Timestamp {
+        let is_counted = |slice: &&Slice| slice.extra_launches > 0 && slice.last_at >= now - budget.window;
+        self.slices
+            .iter()
+            .find(is_counted)
+            .map_or(Timestamp(u64::MAX), |slice| slice.last_at + budget.window + Micros(1))
     }
 
-    /// Two processes are one node while both run: the later one has nothing spare until the launches that the
-    /// other made no longer count. Each has what its own commands bring it.
-    pub(crate) fn beside(&mut self, now: Timestamp, other: bool, budget: RetryBudget) {
-        self.none_spare = if other { Timestamp(u64::MAX) } else { now + budget.window + Micros(1) };
+    /// Sets whether the node's previous process still runs. While both run they share one budget: the later process
+    /// has no spare launches until those of the earlier one have left the window. Each may use what its own commands
+    /// add.
+    pub(crate) fn set_predecessor_running(&mut self, now: Timestamp, is_running: bool, budget: RetryBudget) {
+        self.no_spare_until = if is_running { Timestamp(u64::MAX) } else { now + budget.window + Micros(1) };
     }
 }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,1269 +1,1549 @@
-//! All decisions of one node: distributed Join-Idle-Queue without token withdrawals (docs/design.md).
-//! `place`, `after`, `wait` say what becomes of a command; facts come in by `list`, `report`, `dropped`, and
-//! what the node wants besides goes out by `errand`. Nothing here blocks, reads a clock or touches a socket.
-
-use crate::allowance::{Allowance, UNSTATED};
-use crate::backend::{Backend, Row};
+//! Load-balancing decisions of one node: distributed Join-Idle-Queue without withdrawal of tokens (docs/design.md).
+//!
+//! The caller asks `decide`, `on_launch_outcome` and `wakeup_delay` what to do with a command, passes in events (list
+//! updates, load reports, clients that have gone) and carries out what `next_action` returns. Nothing here blocks,
+//! reads a clock or touches a socket.
+
+use crate::allowance::{RetryAllowance, DEFAULT_RETRY_BUDGET};
+use crate::backend::{Backend, ProfileStats};
 pub use crate::backend_list::{BackendState, ListEntry, ListUpdateKind};
-use crate::command::{Bounds, Command, Held, Launch, LaunchState, Outcome, MOST_LAUNCHES};
+use crate::command::{Command, Launch, LaunchBounds, LaunchState, Outcome, QueuedCommand, MAX_LAUNCHES};
 pub use crate::decision::{Action, Decision};
 use crate::ids::{BackendId, BackendTypeId, CommandHandle};
 use crate::list_calls::ListCalls;
 use crate::portion;
-use crate::random::Chance;
+use crate::random::Rng;
 use crate::settings::{DedupScope, Idempotency, Profile, RetryBudget, Settings};
 use crate::times::{Micros, Timestamp};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// State and decisions of one node. Work is counted in standard microseconds: the time that a backend of average
+/// speed takes for it.
 #[derive(Default)]
 pub struct Balancer {
-    terms: Settings,
-    chance: Chance,
+    settings: Settings,
+    rng: Rng,
     backends: Vec<Backend>,
-    index: BTreeMap<BackendId, usize>,
-    /// By the operators' word, whatever the list says.
-    left_out: BTreeSet<BackendId>,
-    /// By rank, from this node's own place on: the first `reach` are met.
-    ready: Vec<usize>,
-    reach: usize,
-    /// Of those, how many it keeps to while they have room.
-    near: usize,
-    /// Commands of late, halved in four seconds.
-    met: f64,
-    met_at: Timestamp,
-    /// Work that each backend met has done for it of late, fading as they do.
-    done: f64,
-    pool: Vec<usize>,
-    rows: Vec<Row>,
-    /// The usual work over all profiles.
-    usual: f64,
-    answers: f64,
-    kind_pace: BTreeMap<BackendTypeId, f64>,
-    /// Commands held, the next one to go last.
-    held: Vec<Held>,
-    errands: Vec<Action>,
-    order: u64,
-    launched_at: Timestamp,
-    margin: f64,
-    /// What may still be launched beyond commands' first.
-    allowance: Allowance,
-    pressure: f64,
-    /// Of the work that comes, the share let in: the dearest.
-    open: f64,
-    /// What launches take of their goal time, of late.
-    fill: f64,
-    /// What came of late, by value, cost and key.
-    recent: [(f64, f64, u64); RECENT],
-    /// Commands of others that backends hold, by the reports of late.
-    crowd: f64,
-    /// The share of failures that half of the backends met have at least.
-    common: f64,
-    /// Shares of late: reports belied, told full, dials failed, lost on connections just used, on idle ones.
-    belied: f64,
-    fulls: f64,
-    dials: f64,
-    spoilt: f64,
-    idled: f64,
-    /// For how long a connection is taken to outlast having nothing sent on it.
-    lasts: f64,
-    probes: f64,
-    probe_trip: f64,
+    /// Index into `backends` by id.
+    backend_indices: BTreeMap<BackendId, usize>,
+    /// Backends that operators have put in maintenance, whatever the list says of them.
+    in_maintenance: BTreeSet<BackendId>,
+    /// Indices of the ready backends in hash order, rotated to this node's start position. The node considers only
+    /// the first `subset_size` of them.
+    ready_backends: Vec<usize>,
+    subset_size: usize,
+    /// Number of healthy backends of the subset that the node keeps to while they have room.
+    preferred_size: usize,
+    /// Number of commands received, decaying with a half-life of four seconds.
+    decayed_arrivals: f64,
+    /// When the decaying sums were last updated.
+    decayed_at: Timestamp,
+    /// Work that each backend of the subset has done for this node, decaying with the same half-life.
+    decayed_work_per_backend: f64,
+    /// Buffer of `choose_backend`, kept to reuse its allocation.
+    candidates: Vec<usize>,
+    /// Learned statistics by profile index.
+    profile_stats: Vec<ProfileStats>,
+    /// Mean work of a command over all profiles.
+    mean_work: f64,
+    answer_count: f64,
+    /// Mean time per unit of work by backend type: the first estimate for a new backend.
+    time_per_work_by_type: BTreeMap<BackendTypeId, f64>,
+    /// Commands that wait for a backend; the last element is launched next.
+    queue: Vec<QueuedCommand>,
+    /// Actions for the caller; the last one pushed is carried out first.
+    actions: Vec<Action>,
+    /// Number of commands received since the start.
+    arrivals_seen: u64,
+    last_launch_at: Timestamp,
+    /// Factor on expected times: about the 0.7 quantile of actual over expected time per unit of work.
+    latency_margin: f64,
+    /// Count of launches beyond each command's first, and how many more are allowed.
+    retry_allowance: RetryAllowance,
+    /// Moving average of the share of commands rejected.
+    rejection_rate: f64,
+    /// Share of the incoming work that is admitted; the most valuable work goes first.
+    admitted_fraction: f64,
+    /// Moving average of the share of their goal time that launches take.
+    goal_time_use: f64,
+    /// Payoff density, expected work and affinity key of recent commands.
+    recent_arrivals: [(f64, f64, u64); RECENT_ARRIVALS],
+    /// Moving average of other nodes' commands in flight at a backend, from reports.
+    mean_peer_in_flight: f64,
+    /// Median over the subset of the share of launches that failed.
+    median_failure_share: f64,
+    /// Moving averages of shares: launches late at a backend reported idle, launches refused as full, failed dials,
+    /// and launches lost on recently used and on idle connections.
+    false_idle_rate: f64,
+    full_rate: f64,
+    dial_failure_rate: f64,
+    used_connection_loss_rate: f64,
+    idle_connection_loss_rate: f64,
+    /// Longest idle time, in microseconds, after which a connection is still trusted to be alive.
+    trusted_idle_us: f64,
+    /// Number of probes that may be sent; each command adds to it by what it may spend on probes.
+    probe_credit: f64,
+    /// Moving average of the round-trip time of probes.
+    probe_round_trip_us: f64,
     list_calls: ListCalls,
-    /// From then on nothing is sent by the list as it is known: news that has not arrived binds this node.
-    list_holds_until: Timestamp,
+    /// After this time nothing is launched by the current list: an update that has not arrived here already binds
+    /// this node.
+    list_usable_until: Timestamp,
 }
 
-/// A process may be held up for so long between its decision and its write.
-const HOLD_UP: Micros = Micros::from_millis(150);
+/// Longest delay of a process between its decision and the write to the socket.
+const MAX_SEND_DELAY: Micros = Micros::from_millis(150);
 
-/// The proposal's expiry and exploring share.
+/// Lifetime of an idle token, and the share of commands that explore. Both are the design proposal's values.
 const TOKEN_EXPIRY: Micros = Micros::from_millis(2000);
-const EXPLORE: f64 = 0.1;
-/// Backends met at the least: a third failing at once still leaves a choice. Half as many again where probes
-/// find the idle one among them; fewer lost where none report.
-const FEWEST: usize = 8;
-/// What a command may spend on probes, of its payoff: a hundredth. At a higher price it buys not even one.
-const FOR_PROBES: f64 = 0.01;
-/// Enough commands to tell dear from cheap, few enough to follow a change.
-const RECENT: usize = 32;
-/// How far one late launch closes the node: four in a row by half.
-const CLOSING: f64 = 0.15;
-/// The share of launches that may be late before the node closes, and the mean part of their goal time that
-/// launches are to take among many nodes: 0.9 of that with a fifth of the share late (docs/assumptions.md).
-const ACCEPTED: f64 = 0.1;
-const MEAN: f64 = 0.23;
-/// So much more where backends say themselves that they are full, to one launch in forty or more: their
-/// queues are bounded, and so is how far times spread. Half of the accepted share is late at that mean.
-const BOUNDED: f64 = 0.4;
-/// Backends probed for a launch: three find an idle one nearly always at two thirds load.
-const ASKED: usize = 3;
-/// Rounds of them while none is found idle: at two thirds load the third leaves one in thirty.
-const ROUNDS: u8 = 5;
-/// In a command's usual time: a held one looks round so often, news lasts so long, a probe is waited for so
-/// much longer than its trip and back. First found in milliseconds, at 75 of them for a command.
-const LOOK: f64 = 0.27;
-const FRESH: f64 = 0.13;
-const ASKING: f64 = 0.033;
-
-/// Answers of a profile before hints are heeded: a slope through fewer is chance.
-const HINTED: f64 = 12.0;
-
-/// The share of failed dials from which on only open connections are used.
-const DIALS_FAIL: f64 = 0.15;
-
-/// Idle for less is as good as in use: nothing on the way forgets so soon. And the share of launches lost on
-/// connections idle for longer that tells of them: two of six; a heavy command may look lost anywhere.
-const BRIEF: Micros = Micros::from_millis(200);
-const IDLED: f64 = 0.3;
-
-/// Places that a key has more for each backend's worth of commands, as their work is about halved where it is
-/// known. While it draws little it has one, or two where reports count what is held.
-const HOT: f64 = 0.75;
-
-/// So long without a launch a node takes its chance.
-const ALONE: Micros = Micros::from_millis(1000);
-
-/// A launch out for so many times what was expected is written off, past its goal time and within it: sooner
-/// where its answer is worth nothing any more, later where a second copy may follow.
-const LOST: [f64; 2] = [6.0, 10.0];
-/// And within the goal time where the first is called off for the second: nothing is doubled.
-const CALLED_OFF: f64 = 7.0;
-
-/// What a command of a profile is taken to need until an answer tells, of its goal time.
-const FIRST_GUESS: f64 = 0.1;
-
-fn first_guess(profile: &Profile) -> f64 {
-    FIRST_GUESS * profile.goal_time.as_f64()
+const EXPLORATION_SHARE: f64 = 0.1;
+/// Smallest number of backends that a node considers: if a third of them fail at once it still has a choice. Half as
+/// many again where probes find the idle one among them; where backends report nothing, a smaller subset loses fewer
+/// commands.
+const MIN_SUBSET_SIZE: usize = 8;
+/// Share of its payoff, one hundredth, that a command may spend on probes. Where a probe costs more, probes are not
+/// used at all.
+const PROBE_SPENDING_SHARE: f64 = 0.01;
+/// Number of recent commands kept: enough to tell valuable from cheap work, few enough to follow a change.
+const RECENT_ARRIVALS: usize = 32;
+/// Share by which one late launch reduces the admitted fraction: four in a row halve it.
+const ADMISSION_STEP: f64 = 0.15;
+/// Share of launches that may be late before admission is reduced, and the mean share of their goal time that
+/// launches may take when many nodes share the fleet: 0.9 of the mean at which a fifth of the accepted share is late
+/// (docs/assumptions.md).
+const ACCEPTED_LATE_SHARE: f64 = 0.1;
+const TARGET_GOAL_TIME_USE: f64 = 0.23;
+/// Increase of that mean, as a share of it, where backends refuse one launch in forty or more as full: their queues
+/// are bounded, which limits the spread of latencies. At the increased mean half of the accepted share is late.
+const BOUNDED_QUEUE_BONUS: f64 = 0.4;
+/// Backends probed in one round: at two thirds load one of three is nearly always idle.
+const PROBES_PER_ROUND: usize = 3;
+/// Rounds of probes while none finds an idle backend: at two thirds load the third round still fails for one command
+/// in thirty.
+const MAX_PROBE_ROUNDS: u8 = 5;
+/// Times in multiples of the mean work of a command: the interval at which a queued command looks for a free backend,
+/// the age up to which a report counts as fresh, and the wait for probes beyond twice their round trip. At a mean
+/// work of 75 ms they are about 20 ms, 10 ms and 2.5 ms.
+const RECHECK_INTERVAL_IN_MEAN_WORK: f64 = 0.27;
+const FRESHNESS_IN_MEAN_WORK: f64 = 0.13;
+const PROBE_WAIT_IN_MEAN_WORK: f64 = 0.033;
+
+/// Answers of a profile before work hints are used: a slope fitted through fewer is chance.
+const MIN_ANSWERS_FOR_HINTS: f64 = 12.0;
+
+/// Share of failed dials above which only open connections are used.
+const DIAL_FAILURE_LIMIT: f64 = 0.15;
+
+/// A connection idle for less than this counts as in use: no device on the path drops connections that soon. Above
+/// the second value, the share of launches lost on connections idle for longer means that idle connections are
+/// dropped. It takes two losses in six, as a single heavy command may look lost on any connection.
+const BRIEF_IDLE_TIME: Micros = Micros::from_millis(200);
+const IDLE_LOSS_LIMIT: f64 = 0.3;
+
+/// Additional places of a hot key per backend's worth of its traffic; fewer than one, as commands need about half the
+/// work where their key is known. A key with little traffic has one place, or two where reports count commands in
+/// flight.
+const HOT_KEY_PLACES_PER_BACKEND: f64 = 0.75;
+
+/// After this time without a launch a node tries a backend even if none seems to have room.
+const FORCED_TRY_INTERVAL: Micros = Micros::from_millis(1000);
+
+/// Multiples of its expected time after which a launch counts as lost: past its goal time, and within it. It is lower
+/// past the goal time, as the answer is worth nothing any more, and higher within it, where a second launch may
+/// follow.
+const LOST_AFTER_EXPECTED_TIMES: [f64; 2] = [6.0, 10.0];
+/// The same within the goal time where the first launch is cancelled before the second one starts, so that no work is
+/// doubled.
+const CANCEL_AFTER_EXPECTED_TIMES: f64 = 7.0;
+
+/// Assumed work of a profile's commands, as a share of its goal time, until the first answer.
+const INITIAL_WORK_PER_GOAL_TIME: f64 = 0.1;
+
+fn initial_work(profile: &Profile) -> f64 {
+    INITIAL_WORK_PER_GOAL_TIME * profile.goal_time.as_f64()
 }
 
 impl Balancer {
-    pub fn new(terms: Settings, seed: u64, now: Timestamp) -> Balancer {
-        let rows: Vec<_> = terms.profiles.iter().map(|profile| Row::new(first_guess(profile))).collect();
-        let usual = rows.iter().map(|row| row.mean).fold(0.0, f64::max);
+    /// A node that starts now. `seed` determines all random draws.
+    pub fn new(settings: Settings, seed: u64, now: Timestamp) -> Balancer {
+        let profile_stats: Vec<_> =
+            settings.profiles.iter().map(|profile| ProfileStats::new(initial_work(profile))).collect();
+        let mean_work = profile_stats.iter().map(|stats| stats.mean_work).fold(0.0, f64::max);
         let mut node = Balancer {
-            terms,
-            chance: Chance::new(seed),
-            reach: FEWEST,
-            near: FEWEST,
-            met_at: now,
-            rows,
-            usual,
-            margin: 1.6,
-            open: 1.0,
-            lasts: f64::INFINITY,
-            list_holds_until: Timestamp(u64::MAX),
+            settings,
+            rng: Rng::new(seed),
+            subset_size: MIN_SUBSET_SIZE,
+            preferred_size: MIN_SUBSET_SIZE,
+            decayed_at: now,
+            profile_stats,
+            mean_work,
+            latency_margin: 1.6,
+            admitted_fraction: 1.0,
+            trusted_idle_us: f64::INFINITY,
+            list_usable_until: Timestamp(u64::MAX),
             ..Balancer::default()
         };
-        node.fill = MEAN;
-        node.list_calls = ListCalls::at_start(&node.terms, now, &mut node.chance);
+        node.goal_time_use = TARGET_GOAL_TIME_USE;
+        node.list_calls = ListCalls::new(&node.settings, now, &mut node.rng);
         node
     }
 
-    /// Where to send this command: a backend, not yet, or never. Also asked when its `wait` is over.
-    pub fn decide(&mut self, now: Timestamp, hand: CommandHandle, command: &mut Command) -> Decision {
+    /// Decides what to do with a command: launch it at a backend, wait, or end it. Also called when its wakeup delay
+    /// is over.
+    pub fn decide(&mut self, now: Timestamp, handle: CommandHandle, command: &mut Command) -> Decision {
         if command.is_closed {
             return Decision::Wait;
         }
-        if !command.seen {
-            self.meet(now, command);
-            if !self.admitted(command) {
+        if !command.is_registered {
+            self.register_arrival(now, command);
+            if !self.is_admitted(command) {
                 return self.reject_or_fail(command);
             }
         }
-        if command.awaited().is_some() {
-            return self.overdue(now, hand, command);
+        if command.awaited_launch().is_some() {
+            return self.on_overdue_launch(now, handle, command);
         }
-        if command.in_flight_count() > 0 && !self.terms.concurrent_launches_allowed {
-            return Decision::Wait; // written off, and asked for by a timer set before
+        if command.in_flight_count() > 0 && !self.settings.concurrent_launches_allowed {
+            return Decision::Wait; // its launch is lost, and a timer set earlier has expired
         }
-        if self.granted_at(now, command) > now {
-            return self.anew(now, hand, command); // held, and what it was held for is spent
+        if self.retry_allowed_at(now, command) > now {
+            return self.relaunch_or_end(now, handle, command); // the retry budget it was queued for has been used
         }
-        if now >= self.list_holds_until {
-            return self.hold(now, hand, command);
+        if now >= self.list_usable_until {
+            return self.queue_or_reject(now, handle, command);
         }
-        let chosen = self.choose(now, command);
-        if self.ask_first(now, hand, command, chosen) {
+        let chosen = self.choose_backend(now, command);
+        if self.probe_first(now, handle, command, chosen) {
             return Decision::Wait;
         }
         match chosen {
-            Some(i) if self.stale(now, i) => {
-                self.backends[i].open = 0;
-                command.look_at = now;
-                self.errands.push(Action::Reevaluate(hand)); // the last pushed goes first
-                self.errands.push(Action::CloseIdleConnections(self.backends[i].listed.backend));
+            Some(backend_index) if self.has_stale_connections(now, backend_index) => {
+                self.backends[backend_index].open_connections = 0;
+                command.reevaluate_at = now;
+                self.actions.push(Action::Reevaluate(handle)); // the last action pushed is carried out first
+                self.actions.push(Action::CloseIdleConnections(self.backends[backend_index].entry.backend));
                 Decision::Wait
             }
-            Some(i) => self.launch(now, command, i),
-            None => self.hold(now, hand, command),
+            Some(backend_index) => self.launch(now, command, backend_index),
+            None => self.queue_or_reject(now, handle, command),
         }
     }
 
-    /// What to do after this outcome of a launch.
+    /// Decides what to do with a command after the outcome of one of its launches.
     pub fn on_launch_outcome(
         &mut self,
         now: Timestamp,
-        hand: CommandHandle,
+        handle: CommandHandle,
         command: &mut Command,
-        n: u8,
+        launch_number: u8,
         outcome: Outcome,
     ) -> Decision {
-        let Some(launch) = command.launch(n).filter(|l| l.state == LaunchState::InFlight) else {
+        let Some(launch) = command.launch(launch_number).filter(|l| l.state == LaunchState::InFlight) else {
             return Decision::Wait;
         };
-        let not_run = outcome.proves_not_run(self.terms.full_may_have_run);
+        let not_run = outcome.proves_not_run(self.settings.full_may_have_run);
         launch.state = if not_run { LaunchState::NotRun } else { LaunchState::MayHaveRun };
         let launch = *launch;
         if command.is_closed || outcome == Outcome::Finished {
-            self.unhold(command); // it may have been held for a second launch
+            self.dequeue(command); // it may be queued for a second launch
         }
-        self.learn(now, command, &launch, outcome);
-        self.wake_next();
-        if command.is_closed || outcome == Outcome::Finished || command.awaited().is_some() {
+        self.learn_from_outcome(now, command, &launch, outcome);
+        self.wake_next_queued();
+        if command.is_closed || outcome == Outcome::Finished || command.awaited_launch().is_some() {
             return Decision::Wait;
         }
-        self.anew(now, hand, command)
+        self.relaunch_or_end(now, handle, command)
     }
 
-    /// The last byte is here of a command whose launch began before it: until now that held no place, as a
-    /// backend begins with the last byte, and slow clients would make it look full and silent.
+    /// Called when the last byte of a command's body arrives after its launch has begun. Only now does the launch
+    /// count as in flight: a backend starts with the last byte, and slow clients would make it look full and silent.
     pub fn on_body_complete(&mut self, now: Timestamp, command: &mut Command) {
         command.on_body_complete(now);
-        if let Some(launch) = command.awaited() {
-            self.backends[self.index[&launch.backend]].occupy(now, launch.expected_work);
+        if let Some(launch) = command.awaited_launch() {
+            self.backends[self.backend_indices[&launch.backend]].add_in_flight(now, launch.expected_work);
         }
     }
 
-    /// What follows when no launch is awaited any more: another one, or the end.
-    fn anew(&mut self, now: Timestamp, hand: CommandHandle, command: &mut Command) -> Decision {
-        let at = self.granted_at(now, command);
-        let need =
-            if at > now { Micros((self.cost(command) * self.margin.sqrt()) as u64) } else { Micros(0) };
-        if at + need < self.goal_end(command) && self.may_launch(at, command) {
-            self.unhold(command);
-            command.rounds = 0;
-            if at <= now {
-                return self.decide(now, hand, command);
+    /// Called when no launch is awaited any more: launches the command again, or ends it.
+    fn relaunch_or_end(&mut self, now: Timestamp, handle: CommandHandle, command: &mut Command) -> Decision {
+        let allowed_at = self.retry_allowed_at(now, command);
+        let reserve = if allowed_at > now {
+            Micros((self.expected_work(command) * self.latency_margin.sqrt()) as u64)
+        } else {
+            Micros(0)
+        };
+        if allowed_at + reserve < self.goal_deadline(command) && self.can_launch(allowed_at, command) {
+            self.dequeue(command);
+            command.probe_rounds = 0;
+            if allowed_at <= now {
+                return self.decide(now, handle, command);
             }
-            command.look_at = at;
+            command.reevaluate_at = allowed_at;
             return Decision::Wait;
         }
         if command.in_flight_count() > 0 {
-            return Decision::Wait; // one that was written off may still be answered
+            return Decision::Wait; // a lost launch may still be answered
         }
         self.reject_or_fail(command)
     }
 
-    /// When a further launch is within the budget: of its second half only dear commands get any.
-    fn granted_at(&self, now: Timestamp, command: &Command) -> Timestamp {
+    /// When the retry budget allows a further launch. Once half of the budget is used, only commands of high payoff
+    /// density get one.
+    fn retry_allowed_at(&self, now: Timestamp, command: &Command) -> Timestamp {
         if command.launch_count() == 0 {
             return now;
         }
-        let budget = self.budget();
-        let (spent, all) = self.allowance.stands(now, budget);
-        let usual = self.recent.iter().map(|r| r.0).sum::<f64>() / RECENT as f64;
-        let granted = spent + 1.0 <= all && (spent < 0.5 * all || command.value >= 0.8 * usual);
-        match granted {
+        let budget = self.retry_budget();
+        let (used, limit) = self.retry_allowance.usage(now, budget);
+        let mean_density = self.recent_arrivals.iter().map(|r| r.0).sum::<f64>() / RECENT_ARRIVALS as f64;
+        let is_allowed =
+            used + 1.0 <= limit && (used < 0.5 * limit || command.payoff_density >= 0.8 * mean_density);
+        match is_allowed {
             true => now,
-            false => self.allowance.eases(now, budget),
+            false => self.retry_allowance.next_free_at(now, budget),
         }
     }
 
-    fn budget(&self) -> RetryBudget {
-        self.terms.retry_budget.unwrap_or(UNSTATED)
+    fn retry_budget(&self) -> RetryBudget {
+        self.settings.retry_budget.unwrap_or(DEFAULT_RETRY_BUDGET)
     }
 
-    /// How long until `place` should be asked again for this command, or `errand` for the node (`None`).
+    /// Time until `decide` should be called again for this command, or `next_action` for the node (`None`).
     pub fn wakeup_delay(&self, now: Timestamp, command: Option<&Command>) -> Option<Micros> {
-        let at = command.map_or(self.list_calls.next_at(), |command| command.look_at);
+        let at = command.map_or(self.list_calls.next_at(), |command| command.reevaluate_at);
         (at < Timestamp(u64::MAX)).then(|| at.since(now))
     }
 
+    /// The client has disconnected: the command leaves the queue and is closed.
     pub fn on_client_gone(&mut self, command: &mut Command) {
-        self.unhold(command);
+        self.dequeue(command);
         command.is_closed = true;
-        command.look_at = Timestamp(u64::MAX);
+        command.reevaluate_at = Timestamp(u64::MAX);
     }
 
+    /// Takes in an update of the backend list, or that a call for the list has failed.
     pub fn apply_list(
         &mut self,
         now: Timestamp,
-        kind: ListUpdateKind,
-        lines: impl Iterator<Item = ListEntry>,
+        update: ListUpdateKind,
+        entries: impl Iterator<Item = ListEntry>,
     ) {
-        if kind.is_failure() {
-            self.list_calls.ended(now, &self.terms, &mut self.chance);
+        if update.is_failure() {
+            self.list_calls.on_call_ended(now, &self.settings, &mut self.rng);
             return;
         }
-        if kind != ListUpdateKind::Cached {
+        if update != ListUpdateKind::Cached {
             self.list_calls.watch_opened();
         }
-        let whole = kind != ListUpdateKind::Delta;
-        self.backends.iter_mut().filter(|_| whole).for_each(|b| b.listed.state = BackendState::Gone);
-        for line in lines {
-            self.line(now, line);
-        }
-        self.arrange();
-    }
-
-    /// News that this node has not heard counts as known to it from then on; none once it has been heard, or while
-    /// discovery is down: then the list serves on. Until the grace is over commands go by the list as it is known, and from
-    /// then on they are held for its answer. Without effect where the list is pushed.
-    pub fn set_list_expiry(&mut self, binds: Option<Timestamp>) {
-        let grace = Micros(self.terms.drain_grace.0.saturating_sub(HOLD_UP.0));
-        let binds = binds.filter(|_| self.terms.list_is_requested);
-        self.list_holds_until = binds.map_or(Timestamp(u64::MAX), |at| at + grace);
-        self.wake_next();
-    }
-
-    /// Leaves a backend out whatever the list says of it, or uses it again: then it is cold, all learned is
-    /// void. Its token comes before all others until it is used, as nothing else need tell of it soon.
-    pub fn set_maintenance(&mut self, now: Timestamp, backend: BackendId, out: bool) {
-        if out {
-            self.left_out.insert(backend);
-            self.errands.push(Action::CloseIdleConnections(backend));
-        } else if self.left_out.remove(&backend) {
-            if let Some(&i) = self.index.get(&backend) {
-                self.line(now, ListEntry { started_at: now, ..self.backends[i].listed });
-                self.backends[i].untried = true;
+        let is_snapshot = update != ListUpdateKind::Delta;
+        self.backends
+            .iter_mut()
+            .filter(|_| is_snapshot)
+            .for_each(|backend| backend.entry.state = BackendState::Gone);
+        for entry in entries {
+            self.apply_entry(now, entry);
+        }
+        self.rebuild_ready_backends();
+    }
+
+    /// From `expires_at` on, an update of the list that has not arrived here counts as known to this node. `None`
+    /// once it has arrived, and while discovery is down: the list then stays in use. Commands are launched by the
+    /// current list until the drain grace after that time is over; from then on they are queued until discovery
+    /// answers. Without effect where the list is pushed.
+    pub fn set_list_expiry(&mut self, expires_at: Option<Timestamp>) {
+        let grace = Micros(self.settings.drain_grace.0.saturating_sub(MAX_SEND_DELAY.0));
+        let expires_at = expires_at.filter(|_| self.settings.list_is_requested);
+        self.list_usable_until = expires_at.map_or(Timestamp(u64::MAX), |expiry| expiry + grace);
+        self.wake_next_queued();
+    }
+
+    /// Takes a backend out of use whatever the list says of it, or returns it to use. A returned backend counts as
+    /// cold and all that was learned of it is discarded. It gets the next command, before any idle token, as nothing
+    /// else may show its state soon.
+    pub fn set_maintenance(&mut self, now: Timestamp, backend: BackendId, in_maintenance: bool) {
+        if in_maintenance {
+            self.in_maintenance.insert(backend);
+            self.actions.push(Action::CloseIdleConnections(backend));
+        } else if self.in_maintenance.remove(&backend) {
+            if let Some(&backend_index) = self.backend_indices.get(&backend) {
+                self.apply_entry(now, ListEntry { started_at: now, ..self.backends[backend_index].entry });
+                self.backends[backend_index].is_untried_after_maintenance = true;
             }
         }
-        self.arrange();
-    }
-
-    /// Until when a launch that has to wait may be written: by the list, the operators, its time, and the
-    /// other launches of its command. Never where that is past.
-    pub fn launch_valid_until(&self, command: &Command, n: u8) -> Timestamp {
-        let (bounds, launch) = (self.bounds(command, Some(n)), command.launches().nth(usize::from(n)));
-        let there = launch.and_then(|launch| self.index.get(&launch.backend)).is_some_and(|&i| self.takes(i));
-        let ends = if command.is_body_incomplete { Timestamp(u64::MAX) } else { command.deadline };
-        let until = bounds.until.min(ends).min(self.list_holds_until);
-        if bounds.launch && there {
+        self.rebuild_ready_backends();
+    }
+
+    /// Until when a delayed launch may still be written to its socket, given the list, maintenance, its deadline and
+    /// the command's other launches. A time in the past means never.
+    pub fn launch_valid_until(&self, command: &Command, launch_number: u8) -> Timestamp {
+        let (bounds, launch) = (
+            self.launch_bounds(command, Some(launch_number)),
+            command.launches().nth(usize::from(launch_number)),
+        );
+        let is_usable = launch
+            .and_then(|launch| self.backend_indices.get(&launch.backend))
+            .is_some_and(|&backend_index| self.is_usable(backend_index));
+        let deadline = if command.is_body_incomplete { Timestamp(u64::MAX) } else { command.deadline };
+        let until = bounds.until.min(deadline).min(self.list_usable_until);
+        if bounds.may_launch && is_usable {
             until
         } else {
             Timestamp(0)
         }
     }
 
+    /// Whether operators have taken this backend out of use.
     pub fn is_in_maintenance(&self, backend: BackendId) -> bool {
-        self.left_out.contains(&backend)
+        self.in_maintenance.contains(&backend)
     }
 
-    fn takes(&self, i: usize) -> bool {
-        let at = &self.backends[i].listed;
-        at.state == BackendState::Ready && !self.is_in_maintenance(at.backend)
+    /// Whether the backend is listed as ready and not in maintenance.
+    fn is_usable(&self, backend_index: usize) -> bool {
+        let entry = &self.backends[backend_index].entry;
+        entry.state == BackendState::Ready && !self.is_in_maintenance(entry.backend)
     }
 
-    fn arrange(&mut self) {
-        let (ready, rest): (Vec<_>, Vec<_>) = (0..self.backends.len()).partition(|&i| self.takes(i));
-        self.ready = ready;
-        rest.into_iter().for_each(|i| self.backends[i].token = None);
+    /// Rebuilds the ordered list of usable backends after the list, maintenance or membership has changed.
+    fn rebuild_ready_backends(&mut self) {
+        let (usable, unusable): (Vec<_>, Vec<_>) =
+            (0..self.backends.len()).partition(|&backend_index| self.is_usable(backend_index));
+        self.ready_backends = usable;
+        unusable.into_iter().for_each(|backend_index| self.backends[backend_index].idle_token = None);
         let backends = &self.backends;
-        self.ready.sort_by_cached_key(|&i| portion::rank(backends[i].listed.name_hash));
-        let start = portion::place(&self.terms, self.ready.len());
-        self.ready.rotate_left(start);
-        self.wake_next();
-    }
-
-    /// Goes by other terms from now on. Profiles keep their places and new ones stand behind them, so that a
-    /// command ends by what it came in under; what is known of backends, and what is out there, stays.
-    pub fn replace_settings(&mut self, terms: Settings) {
-        self.terms = terms;
-        let new = self.terms.profiles.iter().skip(self.rows.len());
-        self.rows.extend(new.map(|profile| Row::new(first_guess(profile))));
-        self.arrange();
-    }
-
-    /// As one of so many nodes that share what all share, at that place among them, from now on.
-    pub fn set_membership(&mut self, nodes: u32, me: u32) {
-        (self.terms.node_count, self.terms.node_index) = (nodes, me);
-        self.arrange();
-    }
-
-    /// Another process of this node runs, the one before, or has ended.
-    pub fn set_predecessor_running(&mut self, now: Timestamp, other: bool) {
-        self.allowance.beside(now, other, self.budget());
-    }
-
-    fn line(&mut self, now: Timestamp, line: ListEntry) {
-        let kind_pace = self.kind_pace.get(&line.backend_type).copied().unwrap_or(1.0);
-        // Many nodes' parts of a cold backend's budget come to less than a command each: their vessels start
-        // filled by a random part of what is lacking, so that their first commands do not come all together.
-        let brim = self.part(now, line.started_at) * self.terms.collapse_window.as_f64();
-        let poured = (self.usual - brim).max(0.0) * self.chance.unit();
-        let fresh = Backend::fresh(now, line, kind_pace, poured);
-        match self.index.get(&line.backend) {
+        self.ready_backends
+            .sort_by_cached_key(|&backend_index| portion::hash_rank(backends[backend_index].entry.name_hash));
+        let start_position = portion::start_position(&self.settings, self.ready_backends.len());
+        self.ready_backends.rotate_left(start_position);
+        self.wake_next_queued();
+    }
+
+    /// Replaces the settings. Profiles keep their index and new ones follow at the end, so that a command finishes
+    /// under the profile it arrived with. What is known of backends and launches in flight is kept.
+    pub fn replace_settings(&mut self, settings: Settings) {
+        self.settings = settings;
+        let new_profiles = self.settings.profiles.iter().skip(self.profile_stats.len());
+        self.profile_stats.extend(new_profiles.map(|profile| ProfileStats::new(initial_work(profile))));
+        self.rebuild_ready_backends();
+    }
+
+    /// Sets how many nodes share the fleet, and this node's index among them.
+    pub fn set_membership(&mut self, node_count: u32, node_index: u32) {
+        (self.settings.node_count, self.settings.node_index) = (node_count, node_index);
+        self.rebuild_ready_backends();
+    }
+
+    /// Sets whether the previous process of this node still runs.
+    pub fn set_predecessor_running(&mut self, now: Timestamp, is_running: bool) {
+        self.retry_allowance.set_predecessor_running(now, is_running, self.retry_budget());
+    }
+
+    /// Takes in one entry of the list.
+    fn apply_entry(&mut self, now: Timestamp, entry: ListEntry) {
+        let time_per_work = self.time_per_work_by_type.get(&entry.backend_type).copied().unwrap_or(1.0);
+        // With many nodes, each node's share of a cold backend's budget may be less than one command. The leaky
+        // bucket therefore starts filled by a random part of the shortfall, so that the first commands of all nodes
+        // do not arrive together.
+        let cold_limit = self.cold_work_rate(now, entry.started_at) * self.settings.collapse_window.as_f64();
+        let cold_level = (self.mean_work - cold_limit).max(0.0) * self.rng.next_unit();
+        let new_backend = Backend::new(now, entry, time_per_work, cold_level);
+        match self.backend_indices.get(&entry.backend) {
             None => {
-                self.index.insert(line.backend, self.backends.len());
-                self.backends.push(fresh);
+                self.backend_indices.insert(entry.backend, self.backends.len());
+                self.backends.push(new_backend);
             }
-            Some(&i) if self.backends[i].listed.started_at < line.started_at => {
-                // It has started anew: all learned is void, but our launches there are still owed outcomes.
-                let (in_flight, pending) = (self.backends[i].in_flight, self.backends[i].pending);
-                self.backends[i] = Backend { in_flight, pending, ..fresh };
+            Some(&backend_index) if self.backends[backend_index].entry.started_at < entry.started_at => {
+                // The backend has restarted: all that was learned of it is void, but launches in flight there still
+                // get an outcome.
+                let (in_flight, pending_work) =
+                    (self.backends[backend_index].in_flight, self.backends[backend_index].pending_work);
+                self.backends[backend_index] = Backend { in_flight, pending_work, ..new_backend };
             }
-            Some(&i) => {
-                let others = self.backends[i].relist(line);
-                self.crowd += 0.01 * f64::from(self.terms.weights_are_live) * (others - self.crowd);
+            Some(&backend_index) => {
+                let peer_in_flight = self.backends[backend_index].update_entry(entry);
+                self.mean_peer_in_flight += 0.01
+                    * f64::from(self.settings.weights_are_live)
+                    * (peer_in_flight - self.mean_peer_in_flight);
             }
         }
     }
 
+    /// Takes in a load report, from a probe (then with its round-trip time) or with an answer. `was_found` is false
+    /// if a probe got no answer; `values` are in the order of the settings' report fields.
     pub fn on_load_report(
         &mut self,
         now: Timestamp,
-        at: BackendId,
-        found: bool,
-        trip: Option<Micros>,
+        backend_id: BackendId,
+        was_found: bool,
+        round_trip: Option<Micros>,
         values: &[f32],
     ) {
-        let Some(&i) = self.index.get(&at) else { return };
-        let sighted = self.sighted();
-        let b = &mut self.backends[i];
-        if let Some(trip) = trip {
-            b.probe_out = None;
-            b.down = !found;
-            self.probe_trip += 0.05 * f64::from(found) * (trip.as_f64() - self.probe_trip);
-        }
-        let value = |at: Option<usize>| at.and_then(|at| values.get(at)).map(|&v| f64::from(v));
-        let queued = value(self.terms.report_queue_index);
-        // Reports carry a little noise: less than half a command is none. Where they tell of those that wait
-        // alone, how busy the cores are stands for those in work.
-        let busy = value(self.terms.report_utilization_index).map_or(0.0, |busy| busy.min(1.0));
-        let counted =
-            value(self.terms.report_in_flight_index).map(|held| held.max(queued.unwrap_or(0.0)).round());
-        let Some(held) = counted.or(queued.map(|queued| queued.round() + busy)) else { return };
-        // A token that has just been minted by the answer that this came with is none.
-        b.token = b.token.filter(|_| held == 0.0 || trip.is_some() || !sighted);
-        b.others = (held - f64::from(b.in_flight)).max(0.0);
-        b.report_at = now;
-        // Some twenty reports: a few seconds of a node that sees little, and no single one tells much.
-        self.crowd += 0.05 * (b.others - self.crowd);
-        if held < 0.1 && b.in_flight == 0 {
-            b.ghost = 0.0;
-            if b.served && b.listed.state == BackendState::Ready && sighted {
-                b.token = Some(now);
+        let Some(&backend_index) = self.backend_indices.get(&backend_id) else { return };
+        let reports_reliable = self.reports_are_reliable();
+        let backend = &mut self.backends[backend_index];
+        if let Some(round_trip) = round_trip {
+            backend.probe_sent_at = None;
+            backend.last_probe_failed = !was_found;
+            self.probe_round_trip_us +=
+                0.05 * f64::from(was_found) * (round_trip.as_f64() - self.probe_round_trip_us);
+        }
+        let value = |index: Option<usize>| index.and_then(|index| values.get(index)).map(|&v| f64::from(v));
+        let queued = value(self.settings.report_queue_index);
+        // Reports are slightly noisy, so less than half a command counts as none. Where they count queued commands
+        // only, the utilization of the cores stands for the commands in progress.
+        let utilization =
+            value(self.settings.report_utilization_index).map_or(0.0, |utilization| utilization.min(1.0));
+        let in_flight = value(self.settings.report_in_flight_index)
+            .map(|commands| commands.max(queued.unwrap_or(0.0)).round());
+        let Some(commands) = in_flight.or(queued.map(|queued| queued.round() + utilization)) else { return };
+        // An idle token that the answer of this same report has just created is void if the report shows commands in
+        // flight.
+        backend.idle_token =
+            backend.idle_token.filter(|_| commands == 0.0 || round_trip.is_some() || !reports_reliable);
+        backend.peer_in_flight = (commands - f64::from(backend.in_flight)).max(0.0);
+        backend.reported_at = now;
+        // Averages over some twenty reports: a few seconds for a node with little traffic, and no single report has
+        // much weight.
+        self.mean_peer_in_flight += 0.05 * (backend.peer_in_flight - self.mean_peer_in_flight);
+        if commands < 0.1 && backend.in_flight == 0 {
+            backend.abandoned_work = 0.0;
+            if backend.has_answered && backend.entry.state == BackendState::Ready && reports_reliable {
+                backend.idle_token = Some(now);
             }
-            self.wake_next();
+            self.wake_next_queued();
         }
     }
 
+    /// The next action for the caller to carry out, if there is one.
     pub fn next_action(&mut self, now: Timestamp) -> Option<Action> {
-        if self.errands.is_empty() && self.list_calls.take_due(now, &self.terms) {
+        if self.actions.is_empty() && self.list_calls.take_due_call(now, &self.settings) {
             return Some(Action::RequestList);
         }
-        self.errands.pop()
-    }
-
-    fn meet(&mut self, now: Timestamp, command: &mut Command) {
-        command.seen = true;
-        self.order += 1;
-        command.order = self.order;
-        // A node meets as many backends as it can send to in half a token's life: spread over hundreds it
-        // would know none of them, while other nodes meet others.
-        let fade = self.fade(now);
-        self.met = 1.0 + self.met * fade;
-        self.done *= fade;
-        self.dials *= fade;
-        self.met_at = now;
-        let rate = self.met * std::f64::consts::LN_2 / 4e6;
-        let fewest = if self.sighted() { FEWEST * 3 / 2 } else { FEWEST };
-        // A key's place is the same everywhere only as far as all meet it: as many then as keep a connection.
-        let life = if self.terms.key_affinity {
-            self.terms.connection_idle_timeout.max(TOKEN_EXPIRY)
+        self.actions.pop()
+    }
+
+    /// Takes in a new command: updates the traffic statistics, the subset of backends and the admitted fraction.
+    fn register_arrival(&mut self, now: Timestamp, command: &mut Command) {
+        command.is_registered = true;
+        self.arrivals_seen += 1;
+        command.arrival_order = self.arrivals_seen;
+        // A node considers as many backends as it can send to in half the lifetime of a token. Spread over hundreds
+        // of backends it would have current knowledge of none of them, while other nodes use other subsets.
+        let decay = self.decay_factor(now);
+        self.decayed_arrivals = 1.0 + self.decayed_arrivals * decay;
+        self.decayed_work_per_backend *= decay;
+        self.dial_failure_rate *= decay;
+        self.decayed_at = now;
+        let arrivals_per_us = self.decayed_arrivals * std::f64::consts::LN_2 / 4e6;
+        let min_size = if self.reports_are_reliable() { MIN_SUBSET_SIZE * 3 / 2 } else { MIN_SUBSET_SIZE };
+        // A key has the same place for all nodes only if all consider the same backends: the subset then grows to as
+        // many as keep a connection open.
+        let token_lifetime = if self.settings.key_affinity {
+            self.settings.connection_idle_timeout.max(TOKEN_EXPIRY)
         } else {
             TOKEN_EXPIRY
         };
-        self.reach = fewest.max((0.5 * rate * life.as_f64()) as usize);
-        self.near = usize::MAX;
-        if self.dear() || self.terms.connection_penalty > 0.0 {
-            // The few that could ask cost more than they gain, and their news is old when the next one comes.
-            self.near = portion::few(&self.terms, self.ready.len(), rate * self.usual);
+        self.subset_size = min_size.max((0.5 * arrivals_per_us * token_lifetime.as_f64()) as usize);
+        self.preferred_size = usize::MAX;
+        if self.probes_are_too_expensive() || self.settings.connection_penalty > 0.0 {
+            // The few commands that could pay for a probe lose more than they gain, and the result is outdated when
+            // the next command arrives.
+            self.preferred_size = portion::preferred_size(
+                &self.settings,
+                self.ready_backends.len(),
+                arrivals_per_us * self.mean_work,
+            );
         } else {
-            self.probes =
-                (self.probes + (FOR_PROBES / self.terms.probe_penalty.max(1e-4)).min(5.0)).min(40.0);
-        }
-        self.allowance.count(now, self.budget(), false);
-        let cost = self.cost(command);
-        let each = if self.terms.payoff_is_per_work { 1.0 } else { cost.max(1.0) };
-        let value = self.profile(command).payoff / each;
-        // A client's repeat has spent part of its goal time somewhere else.
-        command.value = if command.is_client_retry { value * 0.5 } else { value };
-        self.recent[self.order as usize % RECENT] = (command.value, cost.max(1.0), command.affinity_key);
-        // Two nodes go by late launches, many by how much of the goal time all of them take. Some credit, or
-        // single heavy commands would turn away work all the time.
-        let unseen = self.unseen();
-        let apart = MEAN * (1.0 + BOUNDED * (40.0 * self.fulls).min(1.0)) - self.fill;
-        let by_mean = unseen * apart * self.open * self.open;
-        let step = CLOSING * (ACCEPTED * (1.0 - 0.8 * unseen) + by_mean);
-        self.open = (self.open + step).clamp(0.1, 1.4);
-    }
-
-    /// What is left by now of the sums that stand as of the last command.
-    fn fade(&self, now: Timestamp) -> f64 {
-        (-now.since(self.met_at).as_f64() / 4e6).exp2()
-    }
-
-    /// Probes are allowed, and cost too much to go by.
-    fn dear(&self) -> bool {
-        self.terms.probes_allowed && self.terms.probe_penalty > FOR_PROBES
-    }
-
-    /// Whether a command is of the dearest work that comes, as far as the node is open: drawn among equals,
-    /// so that nodes neither close nor open all together.
-    fn admitted(&mut self, command: &Command) -> bool {
-        let draw = self.chance.unit();
-        let (mut dearer, mut all) = (0.0, 0.0);
-        for &(value, cost, _) in &self.recent {
-            all += cost;
-            dearer +=
-                if value > command.value { cost } else { f64::from(value == command.value) * draw * cost };
-        }
-        dearer <= self.open * all
-    }
-
-    /// A launch out past its goal time: the fleet is fuller than this node can see. One out far longer than
-    /// expected is written off: it holds no place any more, and within the goal time its command may move on.
-    fn overdue(&mut self, now: Timestamp, hand: CommandHandle, command: &mut Command) -> Decision {
-        let end = self.goal_end(command);
-        command.look_at = Timestamp(u64::MAX);
-        let Some(out) = command.awaited() else { return Decision::Wait };
-        out.is_lost = now >= out.lost_at;
-        let launch = *out;
+            self.probe_credit = (self.probe_credit
+                + (PROBE_SPENDING_SHARE / self.settings.probe_penalty.max(1e-4)).min(5.0))
+            .min(40.0);
+        }
+        self.retry_allowance.record(now, self.retry_budget(), false);
+        let work = self.expected_work(command);
+        let work_per_payoff = if self.settings.payoff_is_per_work { 1.0 } else { work.max(1.0) };
+        let payoff_density = self.profile_of(command).payoff / work_per_payoff;
+        // A client's retry has spent part of its goal time elsewhere.
+        command.payoff_density = if command.is_client_retry { payoff_density * 0.5 } else { payoff_density };
+        self.recent_arrivals[self.arrivals_seen as usize % RECENT_ARRIVALS] =
+            (command.payoff_density, work.max(1.0), command.affinity_key);
+        // With two nodes admission follows late launches, with many it follows the share of their goal time that all
+        // launches take. Each command adds some credit, or single heavy commands would cause rejections all the time.
+        let unobserved = self.unobserved_share();
+        let distance_to_target = TARGET_GOAL_TIME_USE
+            * (1.0 + BOUNDED_QUEUE_BONUS * (40.0 * self.full_rate).min(1.0))
+            - self.goal_time_use;
+        let mean_correction =
+            unobserved * distance_to_target * self.admitted_fraction * self.admitted_fraction;
+        let step = ADMISSION_STEP * (ACCEPTED_LATE_SHARE * (1.0 - 0.8 * unobserved) + mean_correction);
+        self.admitted_fraction = (self.admitted_fraction + step).clamp(0.1, 1.4);
+    }
+
+    /// Factor by which the decaying sums have shrunk since the last command.
+    fn decay_factor(&self, now: Timestamp) -> f64 {
+        (-now.since(self.decayed_at).as_f64() / 4e6).exp2()
+    }
+
+    /// Whether probes are allowed but cost more than they are worth.
+    fn probes_are_too_expensive(&self) -> bool {
+        self.settings.probes_allowed && self.settings.probe_penalty > PROBE_SPENDING_SHARE
+    }
+
+    /// Whether a command belongs to the most valuable work, as far as that fits the admitted fraction. Ties are
+    /// broken at random, so that nodes do not open and close together.
+    fn is_admitted(&mut self, command: &Command) -> bool {
+        let draw = self.rng.next_unit();
+        let (mut more_valuable_work, mut total_work) = (0.0, 0.0);
+        for &(payoff_density, work, _) in &self.recent_arrivals {
+            total_work += work;
+            more_valuable_work += if payoff_density > command.payoff_density {
+                work
+            } else {
+                f64::from(payoff_density == command.payoff_density) * draw * work
+            };
+        }
+        more_valuable_work <= self.admitted_fraction * total_work
+    }
+
+    /// Handles a command with an awaited launch that is late. Past its goal time it shows that the fleet is fuller
+    /// than this node can see. After a multiple of its expected time it counts as lost: it no longer occupies the
+    /// backend, and within the goal time the command may be launched again.
+    fn on_overdue_launch(
+        &mut self,
+        now: Timestamp,
+        handle: CommandHandle,
+        command: &mut Command,
+    ) -> Decision {
+        let goal_deadline = self.goal_deadline(command);
+        command.reevaluate_at = Timestamp(u64::MAX);
+        let Some(awaited) = command.awaited_launch() else { return Decision::Wait };
+        awaited.is_lost = now >= awaited.lost_at;
+        let launch = *awaited;
         if launch.is_lost {
-            let i = self.index[&launch.backend];
-            self.tell_lost(&launch, true);
-            self.weigh(now, i, 0.0, 1.0);
-            self.backends[i].release(&launch);
-            self.backends[i].haunt(now, launch.expected_work);
-            self.wake_next();
-            if self.terms.concurrent_launches_allowed {
-                return self.anew(now, hand, command);
+            let backend_index = self.backend_indices[&launch.backend];
+            self.record_connection_loss(&launch, true);
+            self.record_evidence(now, backend_index, 0.0, 1.0);
+            self.backends[backend_index].remove_in_flight(&launch);
+            self.backends[backend_index].add_abandoned_work(now, launch.expected_work);
+            self.wake_next_queued();
+            if self.settings.concurrent_launches_allowed {
+                return self.relaunch_or_end(now, handle, command);
             }
-            // Called off first, and launched again only when that is over: never two at once.
-            let last = command.launch_count() - 1;
-            return match self.terms.cancel_supported && now < end && self.may_launch(now, command) {
-                true => Decision::CancelLaunch(last as u8),
+            // The lost launch is cancelled first, and the command is launched again only when that is done: never two
+            // launches at once.
+            let last_number = command.launch_count() - 1;
+            return match self.settings.cancel_supported
+                && now < goal_deadline
+                && self.can_launch(now, command)
+            {
+                true => Decision::CancelLaunch(last_number as u8),
                 false => Decision::Wait,
             };
         }
-        command.look_at = if now < end { end.min(launch.lost_at) } else { launch.lost_at };
-        if now >= end && self.behind(&launch) {
-            self.heed(&launch, 1.0);
-            self.close(1.0 - self.unseen());
+        command.reevaluate_at =
+            if now < goal_deadline { goal_deadline.min(launch.lost_at) } else { launch.lost_at };
+        if now >= goal_deadline && self.reflects_fleet_load(&launch) {
+            self.update_goal_time_use(&launch, 1.0);
+            self.reduce_admission(1.0 - self.unobserved_share());
         }
         Decision::Wait
     }
 
-    /// Whether reports show what others do, and launches to those idle by them have not belied them of late.
-    fn sighted(&self) -> bool {
-        let t = &self.terms;
-        let tells = t.report_in_flight_index.is_some()
-            || t.report_utilization_index.is_some() && t.reports_piggybacked;
-        tells && (t.probes_allowed || t.reports_piggybacked) && self.belied < 0.35
+    /// Whether reports show the load of other nodes, and launches to backends reported idle have rarely been late
+    /// recently.
+    fn reports_are_reliable(&self) -> bool {
+        let settings = &self.settings;
+        let show_load = settings.report_in_flight_index.is_some()
+            || settings.report_utilization_index.is_some() && settings.reports_piggybacked;
+        show_load && (settings.probes_allowed || settings.reports_piggybacked) && self.false_idle_rate < 0.35
     }
 
-    /// Whether reports tell all commands held, and not how full a backend is alone.
-    fn counts(&self) -> bool {
-        self.sighted() && self.terms.report_in_flight_index.is_some()
+    /// Whether reports count all commands in flight, rather than showing only how full a backend is.
+    fn reports_count_in_flight(&self) -> bool {
+        self.reports_are_reliable() && self.settings.report_in_flight_index.is_some()
     }
 
-    /// Whether it can look where it likes: reports that come with answers tell of whom it has just been to.
-    fn asks(&self) -> bool {
-        !self.terms.reports_piggybacked && self.sighted()
+    /// Whether the node can find out about any backend: reports that come with answers only tell of backends it has
+    /// just used.
+    fn can_probe_any(&self) -> bool {
+        !self.settings.reports_piggybacked && self.reports_are_reliable()
     }
 
-    /// Late though sent to an idle backend, as reports had it: that is the command or the backend.
-    fn behind(&self, launch: &Launch) -> bool {
-        !self.counts() || launch.work_ahead > 1.5 * launch.expected_work
+    /// Whether the latency of a launch reflects the load of the fleet. If the backend was reported idle, it reflects
+    /// the command or the backend instead.
+    fn reflects_fleet_load(&self, launch: &Launch) -> bool {
+        !self.reports_count_in_flight() || launch.work_ahead > 1.5 * launch.expected_work
     }
 
-    /// What launches take of their goal time tells how full the fleet is, sooner than the few late ones. It
-    /// spreads about exponentially: a share of them is late when the mean is one over the share's logarithm.
-    fn heed(&mut self, launch: &Launch, part: f64) {
-        self.fill += 0.3 * f64::from(self.behind(launch)) * (part - self.fill);
+    /// The share of their goal time that launches take shows the load of the fleet sooner than the few late ones do.
+    /// Latencies are about exponential: a share `p` of launches is late when the mean is `1 / ln(1 / p)` of the goal
+    /// time.
+    fn update_goal_time_use(&mut self, launch: &Launch, share: f64) {
+        self.goal_time_use +=
+            0.3 * f64::from(self.reflects_fleet_load(launch)) * (share - self.goal_time_use);
     }
 
-    /// How much of what happens to backends this node neither does nor sees: nothing for two nodes.
-    fn unseen(&self) -> f64 {
-        let nodes = if self.counts() { 2 } else { self.terms.node_count.max(2) };
-        1.0 - 2.0 / f64::from(nodes)
+    /// Share of the load on backends that this node neither causes nor sees: 0 for two nodes.
+    fn unobserved_share(&self) -> f64 {
+        let node_count = if self.reports_count_in_flight() { 2 } else { self.settings.node_count.max(2) };
+        1.0 - 2.0 / f64::from(node_count)
     }
 
-    fn close(&mut self, part: f64) {
-        self.open = (self.open * (1.0 - CLOSING * part)).max(0.1);
+    /// Reduces the admitted fraction, by the full step at a weight of 1.
+    fn reduce_admission(&mut self, weight: f64) {
+        self.admitted_fraction = (self.admitted_fraction * (1.0 - ADMISSION_STEP * weight)).max(0.1);
     }
 
-    fn profile(&self, command: &Command) -> &Profile {
-        &self.terms.profiles[usize::from(command.profile.0)]
+    fn profile_of(&self, command: &Command) -> &Profile {
+        &self.settings.profiles[usize::from(command.profile.0)]
     }
 
-    fn row(&self, command: &Command) -> &Row {
-        &self.rows[usize::from(command.profile.0)]
+    fn stats_of(&self, command: &Command) -> &ProfileStats {
+        &self.profile_stats[usize::from(command.profile.0)]
     }
 
-    fn goal_end(&self, command: &Command) -> Timestamp {
-        let profile = self.profile(command);
+    /// When the command's goal time ends, or its deadline if that is earlier.
+    fn goal_deadline(&self, command: &Command) -> Timestamp {
+        let profile = self.profile_of(command);
         (command.arrived_at + profile.goal_time).min(command.deadline)
     }
 
-    /// Expected work in standard microseconds.
-    fn cost(&self, command: &Command) -> f64 {
-        let row = self.row(command);
-        let Some(hint) = command.work_hint.filter(|_| row.answers > HINTED && row.spread > 0.0) else {
-            return row.mean;
+    /// Expected work of a command in standard microseconds.
+    fn expected_work(&self, command: &Command) -> f64 {
+        let stats = self.stats_of(command);
+        let Some(hint) = command
+            .work_hint
+            .filter(|_| stats.answer_count > MIN_ANSWERS_FOR_HINTS && stats.hint_variance > 0.0)
+        else {
+            return stats.mean_work;
         };
-        // Rough hints mislead when taken at their word: they count as far as past work went along with them.
-        let slope = (row.along / row.spread).clamp(0.0, row.mean / row.hint.max(1.0));
-        (row.mean + slope * (hint.as_f64() - row.hint)).clamp(0.2 * row.mean, 4.0 * row.mean)
-    }
-
-    /// The same where too much would have it refused: of a profile that has not been met no more than the usual work.
-    fn least_cost(&self, command: &Command) -> f64 {
-        let met = self.row(command).answers > 0.0;
-        let most = if met { f64::MAX } else { self.usual };
-        self.cost(command).min(most)
-    }
-
-    /// Where this command may still go: everywhere, or for a tagged one that may have run, where and until.
-    fn bounds(&self, command: &Command, but: Option<u8>) -> Bounds {
-        let profile = self.profile(command);
-        let mut bounds =
-            Bounds { launch: true, turn_back: true, until: Timestamp(u64::MAX), zone: None, group: None };
-        let Some(ran) = command.may_have_run(but) else { return bounds };
+        // Hints are rough: they count as far as past work has followed them.
+        let slope = (stats.hint_work_covariance / stats.hint_variance)
+            .clamp(0.0, stats.mean_work / stats.mean_hint.max(1.0));
+        (stats.mean_work + slope * (hint.as_f64() - stats.mean_hint))
+            .clamp(0.2 * stats.mean_work, 4.0 * stats.mean_work)
+    }
+
+    /// Expected work, for use where an overestimate would reject the command: a profile without any answer counts for
+    /// no more than the mean work.
+    fn cautious_expected_work(&self, command: &Command) -> f64 {
+        let has_answers = self.stats_of(command).answer_count > 0.0;
+        let limit = if has_answers { f64::MAX } else { self.mean_work };
+        self.expected_work(command).min(limit)
+    }
+
+    /// Where this command may still be launched and until when. Unrestricted unless an earlier launch may have run
+    /// (leaving out launch `except`).
+    fn launch_bounds(&self, command: &Command, except: Option<u8>) -> LaunchBounds {
+        let profile = self.profile_of(command);
+        let mut bounds = LaunchBounds {
+            may_launch: true,
+            may_reject: true,
+            until: Timestamp(u64::MAX),
+            zone: None,
+            group: None,
+        };
+        let Some(earlier) = command.first_that_may_have_run(except) else { return bounds };
         match (profile.idempotency, profile.dedup_scope) {
             (Idempotency::Repeatable, _) => {}
-            (Idempotency::Once, _) => (bounds.launch, bounds.turn_back) = (false, false),
-            (Idempotency::ByKey, among) => {
-                // A microsecond less: spans are counted from the send on a finer clock.
-                bounds.until = ran.sent_at + profile.dedup_window - Micros(1);
-                bounds.turn_back = among == DedupScope::All;
-                bounds.zone = (among == DedupScope::Zone).then_some(ran.zone);
-                bounds.group = (among == DedupScope::Group).then_some(ran.group);
+            (Idempotency::Once, _) => (bounds.may_launch, bounds.may_reject) = (false, false),
+            (Idempotency::ByKey, scope) => {
+                // One microsecond less, as the backend counts the window from the send on a finer clock.
+                bounds.until = earlier.sent_at + profile.dedup_window - Micros(1);
+                bounds.may_reject = scope == DedupScope::All;
+                bounds.zone = (scope == DedupScope::Zone).then_some(earlier.zone);
+                bounds.group = (scope == DedupScope::Group).then_some(earlier.group);
             }
         }
         bounds
     }
 
-    fn may_launch(&self, now: Timestamp, command: &Command) -> bool {
-        let bounds = self.bounds(command, None);
-        let most = self.terms.max_launches.min(MOST_LAUNCHES);
-        let may = bounds.launch && !command.is_body_consumed && command.launch_count() < most;
-        may && now < bounds.until && now < command.deadline
+    /// Whether the command may be launched at all at this time: by its idempotency, its launch count and its
+    /// deadline.
+    fn can_launch(&self, now: Timestamp, command: &Command) -> bool {
+        let bounds = self.launch_bounds(command, None);
+        let max_launches = self.settings.max_launches.min(MAX_LAUNCHES);
+        let is_allowed =
+            bounds.may_launch && !command.is_body_consumed && command.launch_count() < max_launches;
+        is_allowed && now < bounds.until && now < command.deadline
     }
 
-    /// Time there for a unit of work. What is not known yet is taken from the kind and the warm-up; what was
-    /// learned fades by half each second after the first without an answer, or a backend once slow is never
-    /// tried again.
-    fn pace(&self, now: Timestamp, b: &Backend) -> f64 {
-        let warmth = self.warmth(now, b.listed.started_at);
-        if b.answers < 3 && warmth < 1.0 {
-            // Somewhere between the least it may have by now and all of it.
-            return b.pace / warmth.sqrt();
+    /// Time that the backend takes per unit of work. Before its first answers it follows from the backend type and
+    /// the warm-up. After the first second without an answer from an idle backend the learned value halves every
+    /// second, or a backend that was slow once would never be tried again.
+    fn time_per_work(&self, now: Timestamp, backend: &Backend) -> f64 {
+        let capacity_share = self.warm_capacity_share(now, backend.entry.started_at);
+        if backend.answer_count < 3 && capacity_share < 1.0 {
+            // The geometric mean of the least capacity that it may have by now and its full capacity.
+            return backend.time_per_work / capacity_share.sqrt();
         }
-        let idle = if b.in_flight == 0 { now.since(b.quiet_since).as_f64() / 1e6 } else { 0.0 };
-        b.pace * (1.0 - idle).min(0.0).exp2().max(0.1)
+        let idle_s =
+            if backend.in_flight == 0 { now.since(backend.silent_since).as_f64() / 1e6 } else { 0.0 };
+        backend.time_per_work * (1.0 - idle_s).min(0.0).exp2().max(0.1)
     }
 
-    /// Expected time for work there, with all that is ahead of it.
-    fn expected(&self, now: Timestamp, b: &Backend, cost: f64) -> f64 {
-        // Behind others nothing has faded: only an idle one is worth a try on the chance that it has changed.
-        let pace = self.pace(now, b).max(b.pace);
-        let mut ahead = self.ahead(now, b) * pace;
-        if b.in_flight > 0 {
-            // A silence lasts about as long again as it has lasted.
-            ahead = ahead.max(now.since(b.quiet_since).as_f64());
+    /// Expected time in microseconds for this work there, behind all work that is ahead of it.
+    fn expected_time_us(&self, now: Timestamp, backend: &Backend, work: f64) -> f64 {
+        // Without the decay if commands are ahead: only an idle backend is worth a try in case it has become faster.
+        let time_per_work = self.time_per_work(now, backend).max(backend.time_per_work);
+        let mut wait_us = self.work_ahead(now, backend) * time_per_work;
+        if backend.in_flight > 0 {
+            // A silence is expected to last as long again as it has lasted.
+            wait_us = wait_us.max(now.since(backend.silent_since).as_f64());
         }
-        ahead + cost * pace
+        wait_us + work * time_per_work
     }
 
-    fn ahead(&self, now: Timestamp, b: &Backend) -> f64 {
-        b.pending + b.ghost_left(now).max(self.others(now, b) * self.usual)
+    /// Work in front of a new launch: own launches in flight, and abandoned work or the commands of other nodes.
+    fn work_ahead(&self, now: Timestamp, backend: &Backend) -> f64 {
+        backend.pending_work
+            + backend.abandoned_work_left(now).max(self.peer_in_flight(now, backend) * self.mean_work)
     }
 
-    /// Commands of others there: by its last report, and the longer ago that was, by what is usual.
-    fn others(&self, now: Timestamp, b: &Backend) -> f64 {
-        if !self.sighted() {
+    /// Estimated commands of other nodes in flight at the backend: its last report, decaying towards the mean by half
+    /// in the time of one command.
+    fn peer_in_flight(&self, now: Timestamp, backend: &Backend) -> f64 {
+        if !self.reports_are_reliable() {
             return 0.0;
         }
-        let halves = now.since(b.report_at).as_f64() / (self.usual * b.pace);
-        self.crowd + (b.others - self.crowd) * (-halves).exp2()
+        let half_lives = now.since(backend.reported_at).as_f64() / (self.mean_work * backend.time_per_work);
+        self.mean_peer_in_flight + (backend.peer_in_flight - self.mean_peer_in_flight) * (-half_lives).exp2()
     }
 
-    fn choose(&mut self, now: Timestamp, command: &Command) -> Option<usize> {
-        if !self.may_launch(now, command) {
+    /// Chooses a backend with room for the command, if there is one.
+    fn choose_backend(&mut self, now: Timestamp, command: &Command) -> Option<usize> {
+        if !self.can_launch(now, command) {
             return None;
         }
-        let first = command.launch_count() == 0;
-        // What cannot be sent again is no means to try the unknown.
-        let explore = self.chance.unit() < EXPLORE && self.profile(command).idempotency != Idempotency::Once;
-        let ready = std::mem::take(&mut self.ready);
-        let mut pool = std::mem::take(&mut self.pool);
-        pool.clear();
-        let mut hopeful = false;
-        // A tagged command that may have run is bound to a group that this node may never meet otherwise.
-        let reach = if first { self.reach.min(ready.len()) } else { ready.len() };
-        self.common = self.common_share(&ready[..reach]);
-        // Where new connections fail the open ones are all there is: each dial more is work for the backends.
-        let open_only = self.dials > DIALS_FAIL
-            && !explore
-            && ready[..reach].iter().any(|&i| self.connected(now, i) || self.backends[i].in_flight > 0);
-        let mut near = self.near;
-        for &i in &ready[..reach] {
-            if near == 0 && !pool.is_empty() {
+        let is_first_launch = command.launch_count() == 0;
+        // A command that cannot be launched twice does not explore.
+        let explores = self.rng.next_unit() < EXPLORATION_SHARE
+            && self.profile_of(command).idempotency != Idempotency::Once;
+        let ready_backends = std::mem::take(&mut self.ready_backends);
+        let mut candidates = std::mem::take(&mut self.candidates);
+        candidates.clear();
+        let mut any_healthy_left = false;
+        // A by-key command that may have run is bound to a zone or group of backends, which may lie outside this
+        // node's subset.
+        let subset_size =
+            if is_first_launch { self.subset_size.min(ready_backends.len()) } else { ready_backends.len() };
+        self.median_failure_share = self.median_failure_share_of(&ready_backends[..subset_size]);
+        // Where dials fail, only open connections are left: every further dial would add to the load of the backends.
+        let open_connections_only = self.dial_failure_rate > DIAL_FAILURE_LIMIT
+            && !explores
+            && ready_backends[..subset_size].iter().any(|&backend_index| {
+                self.has_usable_connection(now, backend_index) || self.backends[backend_index].in_flight > 0
+            });
+        let mut preferred_left = self.preferred_size;
+        for &backend_index in &ready_backends[..subset_size] {
+            if preferred_left == 0 && !candidates.is_empty() {
                 break;
             }
-            if open_only && !self.connected(now, i) {
+            if open_connections_only && !self.has_usable_connection(now, backend_index) {
                 continue;
             }
-            let willing = self.willing(now, i, command);
-            near = near.saturating_sub(usize::from(willing));
-            // Whom it has been to is no hope for it.
-            hopeful |= willing && !command.launches().any(|l| l.backend == self.backends[i].listed.backend);
-            if willing && self.room(now, i, command) {
-                pool.push(i);
+            let is_healthy = self.passes_health_check(now, backend_index, command);
+            preferred_left = preferred_left.saturating_sub(usize::from(is_healthy));
+            // A backend that already had a launch of this command does not count.
+            any_healthy_left |= is_healthy
+                && !command.launches().any(|l| l.backend == self.backends[backend_index].entry.backend);
+            if is_healthy && self.has_room(now, backend_index, command) {
+                candidates.push(backend_index);
             }
         }
-        if !hopeful && !open_only {
-            // When all look bad, all are as good as any.
-            pool.extend(ready[..reach].iter().copied().filter(|&i| self.room(now, i, command)));
-        }
-        if pool.is_empty()
-            && now.since(self.launched_at) > ALONE
-            && ready[..reach].iter().all(|&i| self.backends[i].in_flight == 0)
+        if !any_healthy_left && !open_connections_only {
+            // If all backends look unhealthy, any of them is as good as the others.
+            candidates.extend(
+                ready_backends[..subset_size]
+                    .iter()
+                    .copied()
+                    .filter(|&backend_index| self.has_room(now, backend_index, command)),
+            );
+        }
+        if candidates.is_empty()
+            && now.since(self.last_launch_at) > FORCED_TRY_INTERVAL
+            && ready_backends[..subset_size]
+                .iter()
+                .all(|&backend_index| self.backends[backend_index].in_flight == 0)
         {
-            // With nothing out nothing more is learned: what it believes would keep this node shut for good.
-            pool.extend(ready[..reach].iter().copied().filter(|&i| self.bears_a_try(now, i, command)));
-        }
-        if pool.is_empty() && first && self.is_due_again(now, command) {
-            self.rows[usize::from(command.profile.0)].learn_anew();
-            let idle = |i: &usize| self.idle(now, &self.backends[*i]) && self.bears_a_try(now, *i, command);
-            pool.extend(ready[..reach].iter().copied().filter(idle));
+            // With nothing in flight nothing more is learned, and the current estimates could block this node
+            // forever.
+            candidates.extend(
+                ready_backends[..subset_size]
+                    .iter()
+                    .copied()
+                    .filter(|&backend_index| self.can_be_tried(now, backend_index, command)),
+            );
+        }
+        if candidates.is_empty() && is_first_launch && self.is_retest_due(now, command) {
+            self.profile_stats[usize::from(command.profile.0)].discount_history();
+            let is_idle_candidate = |backend_index: &usize| {
+                self.is_idle(now, &self.backends[*backend_index])
+                    && self.can_be_tried(now, *backend_index, command)
+            };
+            candidates.extend(ready_backends[..subset_size].iter().copied().filter(is_idle_candidate));
         }
-        if self.terms.key_affinity && command.affinity_key != 0 && !(explore && self.counts()) {
-            self.keep_warm(command, &mut pool, ready.len());
+        if self.settings.key_affinity
+            && command.affinity_key != 0
+            && !(explores && self.reports_count_in_flight())
+        {
+            self.keep_warm_for_key(command, &mut candidates, ready_backends.len());
         }
-        let mut best = None;
-        if first && !explore {
-            best = self.oldest_token(now, &pool);
+        let mut chosen = None;
+        if is_first_launch && !explores {
+            chosen = self.oldest_idle_token(now, &candidates);
         }
-        if best.is_none() && !pool.is_empty() {
-            if command.asked > Timestamp(0) && pool.iter().any(|&i| self.fresh(now, i)) {
-                pool.retain(|&i| self.fresh(now, i));
+        if chosen.is_none() && !candidates.is_empty() {
+            if command.probing_until > Timestamp(0)
+                && candidates.iter().any(|&backend_index| self.is_fresh(now, backend_index))
+            {
+                candidates.retain(|&backend_index| self.is_fresh(now, backend_index));
             }
-            // Two at random, or those asked for this command, who were drawn so.
-            if command.asked == Timestamp(0) {
-                let draws = [self.chance.draw(), self.chance.draw()];
-                let two = draws.map(|draw| pool[draw as usize % pool.len()]);
-                pool.clear();
-                pool.extend(two);
+            // Two random choices; backends probed for this command have been drawn at random already.
+            if command.probing_until == Timestamp(0) {
+                let draws = [self.rng.next_u64(), self.rng.next_u64()];
+                let picks = draws.map(|draw| candidates[draw as usize % candidates.len()]);
+                candidates.clear();
+                candidates.extend(picks);
             }
-            // What a report shows of others counts as our own would.
-            best = pool.iter().copied().min_by_key(|&i| {
-                let b = &self.backends[i];
-                (b.in_flight + self.others(now, b).round() as u32, self.step(b))
+            // Commands of other nodes known from reports count like own launches.
+            chosen = candidates.iter().copied().min_by_key(|&backend_index| {
+                let backend = &self.backends[backend_index];
+                (
+                    backend.in_flight + self.peer_in_flight(now, backend).round() as u32,
+                    self.speed_step(backend),
+                )
             });
         }
-        self.ready = ready;
-        self.pool = pool;
-        best
-    }
-
-    /// Those of a pool where the command's key is likely to have been met: the first in an order that all
-    /// nodes share. A key that draws much has as many places as its traffic needs.
-    fn keep_warm(&self, command: &Command, pool: &mut Vec<usize>, all: usize) {
-        let alike = self.recent.iter().filter(|(_, _, key)| *key == command.affinity_key).count();
-        let drawn = alike.saturating_sub(1) as f64 / RECENT as f64;
-        let at = |i: &usize| &self.backends[*i].listed;
-        pool.sort_by_cached_key(|i| portion::key_rank(at(i).name_hash, at(i).weight, command.affinity_key));
-        let places = if self.counts() { 2 } else { 1 };
-        pool.truncate(places + (drawn * HOT * all as f64) as usize);
-    }
-
-    /// Speed in coarse steps, so that like backends stay alike and age decides among their tokens.
-    fn step(&self, b: &Backend) -> i64 {
-        let far = b.listed.zone.0 != self.terms.zone;
-        // A crossing counts as its price in units of a tenth of a command's time.
-        let dear = if far { 1.0 + 10.0 * self.terms.cross_zone_penalty } else { 1.0 };
-        (4.0 * (b.pace * dear).log2()).round() as i64
-    }
-
-    fn oldest_token(&self, now: Timestamp, pool: &[usize]) -> Option<usize> {
-        let held = pool.iter().copied().filter(|&i| {
-            let b = &self.backends[i];
-            let idle = |at| now.since(at) < TOKEN_EXPIRY && (at >= b.report_at || b.others == 0.0);
-            b.untried || b.token.is_some_and(idle)
+        self.ready_backends = ready_backends;
+        self.candidates = candidates;
+        chosen
+    }
+
+    /// Reduces the candidates to those that have probably seen the command's key: the first in a rendezvous order
+    /// that all nodes share. A key with much traffic gets as many places as that needs.
+    fn keep_warm_for_key(&self, command: &Command, candidates: &mut Vec<usize>, ready_count: usize) {
+        let same_key = self.recent_arrivals.iter().filter(|(_, _, key)| *key == command.affinity_key).count();
+        let key_share = same_key.saturating_sub(1) as f64 / RECENT_ARRIVALS as f64;
+        let entry = |backend_index: &usize| &self.backends[*backend_index].entry;
+        candidates.sort_by_cached_key(|backend_index| {
+            portion::key_rank(
+                entry(backend_index).name_hash,
+                entry(backend_index).weight,
+                command.affinity_key,
+            )
         });
-        let at = |i: usize| &self.backends[i];
-        held.min_by_key(|&i| (!at(i).untried, self.step(at(i)), at(i).token))
-    }
-
-    fn connected(&self, now: Timestamp, i: usize) -> bool {
-        let b = &self.backends[i];
-        let least = self.lasts.min(self.terms.connection_idle_timeout.as_f64());
-        b.open > 0 && (b.in_flight > 0 || now.since(b.used_at).as_f64() < least)
+        let places = if self.reports_count_in_flight() { 2 } else { 1 };
+        candidates.truncate(places + (key_share * HOT_KEY_PLACES_PER_BACKEND * ready_count as f64) as usize);
     }
 
-    /// Whether the connections there have been idle for too long to be trusted, and not for so long as to be
-    /// closed already. Where new ones fail they are all there is.
-    fn stale(&self, now: Timestamp, i: usize) -> bool {
-        let (b, sure) = (&self.backends[i], self.connected(now, i) || self.dials > DIALS_FAIL);
-        !sure && b.open > 0 && now.since(b.used_at) < self.terms.connection_idle_timeout
+    /// Speed in coarse steps, so that similar backends compare as equal and the age of their tokens decides.
+    fn speed_step(&self, backend: &Backend) -> i64 {
+        let is_remote = backend.entry.zone.0 != self.settings.zone;
+        // Crossing zones counts as its penalty in units of a tenth of a command's time.
+        let penalty_factor = if is_remote { 1.0 + 10.0 * self.settings.cross_zone_penalty } else { 1.0 };
+        (4.0 * (backend.time_per_work * penalty_factor).log2()).round() as i64
     }
 
-    /// Where launches on connections idle for long are lost, and few on those just used, something drops idle
-    /// ones: half that time is trusted, and twice as much after seventy answers, so that it is tried again.
-    fn tell_lost(&mut self, launch: &Launch, lost: bool) {
-        let known = lost && self.backends[self.index[&launch.backend]].bad >= 0.3; // it is gone, or hangs
-        let share = if launch.connection_idle < BRIEF { &mut self.spoilt } else { &mut self.idled };
-        *share += 0.2 * f64::from(!known) * (f64::from(lost) - *share);
-        if self.spoilt > 0.5 * IDLED {
-            self.lasts = f64::INFINITY; // it is not the connections
-        } else if lost && !known && launch.connection_idle >= BRIEF && self.idled > IDLED + 2.0 * self.spoilt
+    /// The candidate with the oldest valid idle token among the fastest; a backend back from maintenance comes first.
+    fn oldest_idle_token(&self, now: Timestamp, candidates: &[usize]) -> Option<usize> {
+        let with_token = candidates.iter().copied().filter(|&backend_index| {
+            let backend = &self.backends[backend_index];
+            let is_valid = |at| {
+                now.since(at) < TOKEN_EXPIRY && (at >= backend.reported_at || backend.peer_in_flight == 0.0)
+            };
+            backend.is_untried_after_maintenance || backend.idle_token.is_some_and(is_valid)
+        });
+        let backend = |backend_index: usize| &self.backends[backend_index];
+        with_token.min_by_key(|&backend_index| {
+            (
+                !backend(backend_index).is_untried_after_maintenance,
+                self.speed_step(backend(backend_index)),
+                backend(backend_index).idle_token,
+            )
+        })
+    }
+
+    /// Whether a connection to the backend is open and has not been idle for too long.
+    fn has_usable_connection(&self, now: Timestamp, backend_index: usize) -> bool {
+        let backend = &self.backends[backend_index];
+        let idle_limit_us = self.trusted_idle_us.min(self.settings.connection_idle_timeout.as_f64());
+        backend.open_connections > 0
+            && (backend.in_flight > 0 || now.since(backend.connection_used_at).as_f64() < idle_limit_us)
+    }
+
+    /// Whether the open connections there have been idle for too long to be trusted, but not long enough to have been
+    /// closed by the timeout. Where dials fail they are used all the same.
+    fn has_stale_connections(&self, now: Timestamp, backend_index: usize) -> bool {
+        let (backend, is_trusted) = (
+            &self.backends[backend_index],
+            self.has_usable_connection(now, backend_index) || self.dial_failure_rate > DIAL_FAILURE_LIMIT,
+        );
+        !is_trusted
+            && backend.open_connections > 0
+            && now.since(backend.connection_used_at) < self.settings.connection_idle_timeout
+    }
+
+    /// If launches on long-idle connections are lost, but few on recently used ones, something on the path drops idle
+    /// connections. Half of the idle time is trusted from then on. Every answer raises that by a hundredth, so that
+    /// it doubles within seventy answers and longer idle times are tried again.
+    fn record_connection_loss(&mut self, launch: &Launch, is_lost: bool) {
+        // Then the backend is gone or hangs, and the loss says nothing about the connection.
+        let backend_failed = is_lost && self.backends[self.backend_indices[&launch.backend]].failures >= 0.3;
+        let loss_rate = if launch.connection_idle < BRIEF_IDLE_TIME {
+            &mut self.used_connection_loss_rate
+        } else {
+            &mut self.idle_connection_loss_rate
+        };
+        *loss_rate += 0.2 * f64::from(!backend_failed) * (f64::from(is_lost) - *loss_rate);
+        if self.used_connection_loss_rate > 0.5 * IDLE_LOSS_LIMIT {
+            self.trusted_idle_us = f64::INFINITY; // the cause is not idle connections
+        } else if is_lost
+            && !backend_failed
+            && launch.connection_idle >= BRIEF_IDLE_TIME
+            && self.idle_connection_loss_rate > IDLE_LOSS_LIMIT + 2.0 * self.used_connection_loss_rate
         {
-            self.lasts = self.lasts.min(0.5 * launch.connection_idle.as_f64());
-        } else if !lost {
-            self.lasts *= 1.01;
+            self.trusted_idle_us = self.trusted_idle_us.min(0.5 * launch.connection_idle.as_f64());
+        } else if !is_lost {
+            self.trusted_idle_us *= 1.01;
         }
     }
 
-    /// Whether it may go there at all: not where it was, and within what its profile allows.
-    fn allowed(&self, i: usize, command: &Command) -> bool {
-        let (at, bounds) = (&self.backends[i].listed, self.bounds(command, None));
-        !command.launches().any(|l| l.backend == at.backend)
-            && bounds.zone.is_none_or(|z| z == at.zone)
-            && bounds.group.is_none_or(|g| g == at.group)
+    /// Whether the command may go there at all: not to a backend that already had a launch of it, and only within its
+    /// launch bounds.
+    fn is_allowed(&self, backend_index: usize, command: &Command) -> bool {
+        let (entry, bounds) = (&self.backends[backend_index].entry, self.launch_bounds(command, None));
+        !command.launches().any(|l| l.backend == entry.backend)
+            && bounds.zone.is_none_or(|z| z == entry.zone)
+            && bounds.group.is_none_or(|g| g == entry.group)
     }
 
-    fn room(&self, now: Timestamp, i: usize, command: &Command) -> bool {
-        let b = &self.backends[i];
-        if f64::from(b.in_flight) + 1.0 > b.cap.floor() || !self.allowed(i, command) {
+    /// Whether the backend is expected to answer the command within its goal time and within its own limits.
+    fn has_room(&self, now: Timestamp, backend_index: usize, command: &Command) -> bool {
+        let backend = &self.backends[backend_index];
+        if f64::from(backend.in_flight) + 1.0 > backend.concurrency_limit.floor()
+            || !self.is_allowed(backend_index, command)
+        {
             return false;
         }
-        let cost = self.cost(command);
-        let left = self.goal_end(command).since(now).as_f64();
-        // With nothing ahead there is no better place for it: only a backend late as a rule is left out.
-        let idle = self.idle(now, b);
-        // With many nodes an own count of zero is no sign of idleness: most of the margin then, from two on.
-        let fits = if idle {
-            let doubt = self.margin.powf(0.7 - 1.4 / f64::from(self.terms.node_count.max(2)));
-            let row = self.row(command);
-            // Only an answer tells what a profile needs, so one that has had none is tried.
-            row.answers == 0.0 || row.mean * self.pace(now, b) * doubt <= left
+        let work = self.expected_work(command);
+        let time_left_us = self.goal_deadline(command).since(now).as_f64();
+        // No place is better than an idle backend, so it is excluded only if it is too slow as a rule.
+        let is_idle = self.is_idle(now, backend);
+        // With many nodes, no own launches in flight is weak evidence of an idle backend. The margin's exponent grows
+        // from 0 at two nodes to 0.7.
+        let fits = if is_idle {
+            let doubt_margin =
+                self.latency_margin.powf(0.7 - 1.4 / f64::from(self.settings.node_count.max(2)));
+            let stats = self.stats_of(command);
+            // Only an answer shows how much work a profile needs, so one without any answer is tried.
+            stats.answer_count == 0.0
+                || stats.mean_work * self.time_per_work(now, backend) * doubt_margin <= time_left_us
         } else {
-            self.expected(now, b, cost) * self.margin <= left
+            self.expected_time_us(now, backend, work) * self.latency_margin <= time_left_us
         };
-        fits && self.pour(now, b, cost).is_some()
-    }
-
-    /// Whether it may go there though there is no room by what is known: nothing speaks against the backend itself.
-    fn bears_a_try(&self, now: Timestamp, i: usize, command: &Command) -> bool {
-        let b = &self.backends[i];
-        b.bad < 0.3 && self.allowed(i, command) && self.pour(now, b, self.cost(command)).is_some()
-    }
-
-    /// Whether nothing is ahead there, for all that is known of it.
-    fn idle(&self, now: Timestamp, b: &Backend) -> bool {
-        b.in_flight == 0 && b.ghost_left(now) == 0.0 && self.others(now, b) < 0.5
-    }
-
-    /// Whether a profile is taken to need more than its goal time wherever it is sent, and has been sent nowhere for that
-    /// long: what was learned of it may be old, and only another answer can tell.
-    fn is_due_again(&self, now: Timestamp, command: &Command) -> bool {
-        let row = self.row(command);
-        let goal = self.profile(command).goal_time;
-        row.mean * self.margin > goal.as_f64() && now.since(row.launched_at) >= goal
-    }
-
-    /// The share of its capacity that a backend has at least, so long after its start.
-    fn warmth(&self, now: Timestamp, started: Timestamp) -> f64 {
-        if started == Timestamp(0) {
-            return 1.0; // the list's word for a long time ago
-        }
-        let start = self.terms.initial_capacity.max(0.01);
-        let share = now.since(started).as_f64() / self.terms.warm_up_time.as_f64().max(1.0);
-        (start + (1.0 - start) * share).min(1.0)
-    }
-
-    /// How many nodes meet a backend, ourselves among them.
-    fn sharers(&self) -> f64 {
-        let part = self.reach.min(self.near) as f64 / self.ready.len().max(1) as f64;
-        (f64::from(self.terms.node_count) * part.min(1.0)).max(1.0)
-    }
-
-    /// Our part of what goes to a backend: as one of like nodes that meet it, or by what has been done for us
-    /// of late if that is more: most nodes carry little, some far more, and no fleet does more than it can.
-    fn share(&self, now: Timestamp) -> f64 {
-        (1.0 / self.sharers()).max(self.done * self.fade(now) * std::f64::consts::LN_2 / 4e6)
-    }
-
-    /// Our part of what a cold backend can take in a microsecond beyond what it gets done: the vessel full
-    /// and what drains of it meanwhile come to less than all.
-    fn part(&self, now: Timestamp, started: Timestamp) -> f64 {
-        0.47 * (self.terms.collapse_load_multiple - 1.0).max(0.1)
-            * self.warmth(now, started)
-            * self.share(now)
-    }
-
-    /// What a cold backend was given and has not done, as a vessel that drains in the stated span: its level
-    /// after this work, or nothing if that would be too much.
-    fn pour(&self, now: Timestamp, b: &Backend, cost: f64) -> Option<f64> {
-        let rate = self.part(now, b.listed.started_at);
-        let level = (b.poured - rate * now.since(b.poured_at).as_f64()).max(0.0) + cost;
-        let brim = rate * self.terms.collapse_window.as_f64();
-        let warm = self.warmth(now, b.listed.started_at) >= 1.0;
-        (warm || level <= brim || level <= cost).then_some(level)
-    }
-
-    /// Whether a backend gets work: drawn, when in doubt, from the posterior of its chance of success.
-    fn willing(&mut self, now: Timestamp, i: usize, command: &Command) -> bool {
-        self.weigh(now, i, 0.0, 0.0);
-        let trip = self.probe_trip;
-        let b = &self.backends[i];
-        // A probe out for many times its usual trip tells of a stalled process long before it fails.
-        if b.down || b.probe_out.is_some_and(|at| now.since(at).as_f64() > 4.0 * trip + 4000.0) {
+        fits && self.cold_level_after(now, backend, work).is_some()
+    }
+
+    /// Whether the backend may be tried although it seems to have no room: nothing speaks against the backend itself.
+    fn can_be_tried(&self, now: Timestamp, backend_index: usize, command: &Command) -> bool {
+        let backend = &self.backends[backend_index];
+        backend.failures < 0.3
+            && self.is_allowed(backend_index, command)
+            && self.cold_level_after(now, backend, self.expected_work(command)).is_some()
+    }
+
+    /// Whether nothing is known to be ahead of a new launch there.
+    fn is_idle(&self, now: Timestamp, backend: &Backend) -> bool {
+        backend.in_flight == 0
+            && backend.abandoned_work_left(now) == 0.0
+            && self.peer_in_flight(now, backend) < 0.5
+    }
+
+    /// Whether the profile is expected to exceed its goal time everywhere and has not been launched for that long.
+    /// The estimate may be outdated, and only another answer can correct it.
+    fn is_retest_due(&self, now: Timestamp, command: &Command) -> bool {
+        let stats = self.stats_of(command);
+        let goal_time = self.profile_of(command).goal_time;
+        stats.mean_work * self.latency_margin > goal_time.as_f64()
+            && now.since(stats.last_launch_at) >= goal_time
+    }
+
+    /// Least share of its capacity that a backend has, by the time since its start.
+    fn warm_capacity_share(&self, now: Timestamp, started_at: Timestamp) -> f64 {
+        if started_at == Timestamp(0) {
+            return 1.0; // the list gives 0 for a start long ago
+        }
+        let initial = self.settings.initial_capacity.max(0.01);
+        let elapsed_share = now.since(started_at).as_f64() / self.settings.warm_up_time.as_f64().max(1.0);
+        (initial + (1.0 - initial) * elapsed_share).min(1.0)
+    }
+
+    /// Number of nodes that use a backend, including this one.
+    fn nodes_per_backend(&self) -> f64 {
+        let subset_share =
+            self.subset_size.min(self.preferred_size) as f64 / self.ready_backends.len().max(1) as f64;
+        (f64::from(self.settings.node_count) * subset_share.min(1.0)).max(1.0)
+    }
+
+    /// This node's share of the load on a backend: one of the nodes that use it, or what backends have done for it
+    /// recently if that is more. Most nodes carry little load and some far more, and together they cannot exceed what
+    /// the fleet does.
+    fn own_share(&self, now: Timestamp) -> f64 {
+        (1.0 / self.nodes_per_backend())
+            .max(self.decayed_work_per_backend * self.decay_factor(now) * std::f64::consts::LN_2 / 4e6)
+    }
+
+    /// This node's share of the work per microsecond that a cold backend can take beyond its capacity. The factor
+    /// 0.47 keeps a full bucket plus what drains from it meanwhile below the whole.
+    fn cold_work_rate(&self, now: Timestamp, started_at: Timestamp) -> f64 {
+        0.47 * (self.settings.collapse_load_multiple - 1.0).max(0.1)
+            * self.warm_capacity_share(now, started_at)
+            * self.own_share(now)
+    }
+
+    /// Leaky bucket of the work that a cold backend was given and has not done, which drains within the collapse
+    /// window: its level after this work, or `None` if that is too much.
+    fn cold_level_after(&self, now: Timestamp, backend: &Backend, work: f64) -> Option<f64> {
+        let rate = self.cold_work_rate(now, backend.entry.started_at);
+        let level = (backend.cold_level - rate * now.since(backend.cold_level_at).as_f64()).max(0.0) + work;
+        let limit = rate * self.settings.collapse_window.as_f64();
+        let is_warm = self.warm_capacity_share(now, backend.entry.started_at) >= 1.0;
+        (is_warm || level <= limit || level <= work).then_some(level)
+    }
+
+    /// Whether the backend counts as healthy for this command. When in doubt, a draw from the posterior distribution
+    /// of its success rate decides (Thompson sampling).
+    fn passes_health_check(&mut self, now: Timestamp, backend_index: usize, command: &Command) -> bool {
+        self.record_evidence(now, backend_index, 0.0, 0.0);
+        let round_trip_us = self.probe_round_trip_us;
+        let backend = &self.backends[backend_index];
+        // A probe without an answer after a multiple of its usual round trip shows a stalled process long before it
+        // fails.
+        if backend.last_probe_failed
+            || backend.probe_sent_at.is_some_and(|at| now.since(at).as_f64() > 4.0 * round_trip_us + 4000.0)
+        {
             return false;
         }
-        if b.bad < 0.3 {
+        if backend.failures < 0.3 {
             return true;
         }
-        if self.profile(command).idempotency == Idempotency::Once {
-            // Beyond doubt is who has no more of them than chance gives each.
-            let usual = self.common * (b.good + b.bad);
-            return b.bad < 0.3 + usual + usual.sqrt();
-        }
-        // The chance drawn must be 0.8 of what half of all reach: it is above x if fewer than `a` of
-        // `a + b - 1` draws fall under x.
-        let least = 0.8 * (1.0 - self.common);
-        let (a, n) = (1 + b.good.round() as u32, 1 + (b.good.round() + b.bad.round()) as u32);
-        let under = (0..n).filter(|_| self.chance.unit() < least).count() as u32;
-        under < a
-    }
-
-    /// What half of those met have of failures tells of the way there or of all, and of no one backend.
-    fn common_share(&self, met: &[usize]) -> f64 {
-        if met.iter().all(|&i| self.backends[i].bad < 0.3) {
+        if self.profile_of(command).idempotency == Idempotency::Once {
+            // A command that cannot be launched twice goes only to backends with no more failures than chance
+            // explains.
+            let expected_failures = self.median_failure_share * (backend.successes + backend.failures);
+            return backend.failures < 0.3 + expected_failures + expected_failures.sqrt();
+        }
+        // The draw has to reach 0.8 of the median success rate. A draw from Beta(a, b) exceeds x if fewer than `a` of
+        // `a + b - 1` uniform draws fall below x.
+        let min_success_chance = 0.8 * (1.0 - self.median_failure_share);
+        let (alpha, draw_count) = (
+            1 + backend.successes.round() as u32,
+            1 + (backend.successes.round() + backend.failures.round()) as u32,
+        );
+        let draws_below =
+            (0..draw_count).filter(|_| self.rng.next_unit() < min_success_chance).count() as u32;
+        draws_below < alpha
+    }
+
+    /// Median over the subset of the share of failures. A share that half of the backends reach is due to the network
+    /// or to the fleet, not to a single backend.
+    fn median_failure_share_of(&self, subset: &[usize]) -> f64 {
+        if subset.iter().all(|&backend_index| self.backends[backend_index].failures < 0.3) {
             return 0.0;
         }
-        let share = |b: &Backend| b.bad / (b.good + b.bad + 1.0);
-        let mut shares: Vec<f64> = met.iter().map(|&i| share(&self.backends[i])).collect();
-        let middle = (shares.len() - 1) / 2;
-        *shares.select_nth_unstable_by(middle, f64::total_cmp).1
-    }
-
-    fn weigh(&mut self, now: Timestamp, i: usize, good: f64, bad: f64) {
-        // Evidence halves in three seconds, and past eight good outcomes the older of both kinds counts less.
-        // Where many nodes meet a backend, each tries it again the later: together as often as three.
-        if self.backends[i].bad > 0.0 {
-            let half = 3e6 * (self.sharers() / 3.0).clamp(1.0, 10.0);
-            let b = &mut self.backends[i];
-            let fade = (-now.since(b.weighed_at).as_f64() / half).exp2();
-            b.good *= fade;
-            b.bad *= fade;
-        }
-        let b = &mut self.backends[i];
-        b.weighed_at = now;
-        let over = ((b.good + good) / 8.0).max(1.0);
-        (b.good, b.bad) = ((b.good + good) / over, ((b.bad + bad) / over).min(8.0));
-    }
-
-    fn launch(&mut self, now: Timestamp, command: &mut Command, i: usize) -> Decision {
-        let held = command.waiting;
-        self.unhold(command);
-        let cost = self.cost(command);
-        let ahead = self.ahead(now, &self.backends[i]);
-        let level = self.pour(now, &self.backends[i], cost).unwrap_or(0.0);
-        let due = self.expected(now, &self.backends[i], cost.max(self.usual));
-        let within = if self.terms.concurrent_launches_allowed { LOST[1] } else { CALLED_OFF };
-        let lost = [LOST[0], within].map(|times| now + Micros((times * due) as u64));
-        let lost_at = self.goal_end(command).max(lost[0]).min(lost[1]);
-        let dialled = !self.connected(now, i);
-        let there = &self.backends[i];
-        let idle = if dialled || there.in_flight > 0 { Micros(0) } else { now.since(there.used_at) };
+        let failure_share =
+            |backend: &Backend| backend.failures / (backend.successes + backend.failures + 1.0);
+        let mut failure_shares: Vec<f64> =
+            subset.iter().map(|&backend_index| failure_share(&self.backends[backend_index])).collect();
+        let middle = (failure_shares.len() - 1) / 2;
+        *failure_shares.select_nth_unstable_by(middle, f64::total_cmp).1
+    }
+
+    /// Adds successes and failures to the evidence on a backend.
+    fn record_evidence(&mut self, now: Timestamp, backend_index: usize, successes: f64, failures: f64) {
+        // Evidence has a half-life of three seconds, and beyond eight successes older outcomes of both kinds count
+        // less. Where many nodes use a backend, each of them retries it later, so that together they retry it as
+        // often as three nodes would.
+        if self.backends[backend_index].failures > 0.0 {
+            let half_life_us = 3e6 * (self.nodes_per_backend() / 3.0).clamp(1.0, 10.0);
+            let backend = &mut self.backends[backend_index];
+            let decay = (-now.since(backend.evidence_at).as_f64() / half_life_us).exp2();
+            backend.successes *= decay;
+            backend.failures *= decay;
+        }
+        let backend = &mut self.backends[backend_index];
+        backend.evidence_at = now;
+        let scale = ((backend.successes + successes) / 8.0).max(1.0);
+        (backend.successes, backend.failures) =
+            ((backend.successes + successes) / scale, ((backend.failures + failures) / scale).min(8.0));
+    }
+
+    /// Launches the command at a backend and accounts for it.
+    fn launch(&mut self, now: Timestamp, command: &mut Command, backend_index: usize) -> Decision {
+        let was_queued = command.is_queued;
+        self.dequeue(command);
+        let work = self.expected_work(command);
+        let work_ahead = self.work_ahead(now, &self.backends[backend_index]);
+        let cold_level = self.cold_level_after(now, &self.backends[backend_index], work).unwrap_or(0.0);
+        let expected_us = self.expected_time_us(now, &self.backends[backend_index], work.max(self.mean_work));
+        let multiple_within_goal = if self.settings.concurrent_launches_allowed {
+            LOST_AFTER_EXPECTED_TIMES[1]
+        } else {
+            CANCEL_AFTER_EXPECTED_TIMES
+        };
+        let lost_limits = [LOST_AFTER_EXPECTED_TIMES[0], multiple_within_goal]
+            .map(|multiple| now + Micros((multiple * expected_us) as u64));
+        let lost_at = self.goal_deadline(command).max(lost_limits[0]).min(lost_limits[1]);
+        let is_new_connection = !self.has_usable_connection(now, backend_index);
+        let target = &self.backends[backend_index];
+        let connection_idle = if is_new_connection || target.in_flight > 0 {
+            Micros(0)
+        } else {
+            now.since(target.connection_used_at)
+        };
         if command.launch_count() > 0 {
-            self.allowance.count(now, self.budget(), true);
+            self.retry_allowance.record(now, self.retry_budget(), true);
         }
-        let b = &mut self.backends[i];
-        b.open = if dialled { 0 } else { b.open - 1 };
-        (b.token, b.untried) = (None, false);
+        let backend = &mut self.backends[backend_index];
+        backend.open_connections = if is_new_connection { 0 } else { backend.open_connections - 1 };
+        (backend.idle_token, backend.is_untried_after_maintenance) = (None, false);
         if !command.is_body_incomplete {
-            b.occupy(now, cost);
-        }
-        b.poured = level;
-        b.poured_at = now;
-        self.launched_at = now;
-        self.rows[usize::from(command.profile.0)].launched_at = now;
-        command.add(Launch {
-            backend: b.listed.backend,
-            zone: b.listed.zone,
-            group: b.listed.group,
+            backend.add_in_flight(now, work);
+        }
+        backend.cold_level = cold_level;
+        backend.cold_level_at = now;
+        self.last_launch_at = now;
+        self.profile_stats[usize::from(command.profile.0)].last_launch_at = now;
+        command.add_launch(Launch {
+            backend: backend.entry.backend,
+            zone: backend.entry.zone,
+            group: backend.entry.group,
             sent_at: now,
             state: LaunchState::InFlight,
-            expected_work: cost,
-            work_ahead: ahead + cost,
-            depth: b.in_flight,
+            expected_work: work,
+            work_ahead: work_ahead + work,
+            depth: backend.in_flight,
             lost_at,
             is_lost: command.is_body_incomplete,
-            is_new_connection: dialled,
-            connection_idle: idle,
+            is_new_connection,
+            connection_idle,
         });
-        command.look_at = self.goal_end(command).min(lost_at).max(now);
-        if held {
-            self.wake_next();
+        command.reevaluate_at = self.goal_deadline(command).min(lost_at).max(now);
+        if was_queued {
+            self.wake_next_queued();
         }
-        self.pressure *= 0.98;
-        Decision::Launch(self.backends[i].listed.backend)
+        self.rejection_rate *= 0.98;
+        Decision::Launch(self.backends[backend_index].entry.backend)
     }
 
-    /// Where other nodes send too and probes are allowed, a launch that is not to an idle backend by fresh
-    /// news asks first: some are probed and the command is held for the trip, a hundredth of its time.
-    /// While none has room it asks again and again, later each time. True while it is to wait.
-    fn ask_first(
+    /// Whether the command has to wait for probes. Where other nodes use the backends too and probes are allowed, a
+    /// launch that is not to a backend freshly known to be idle sends probes first, and the command is queued for
+    /// their round trip, a hundredth of its time. While no backend has room it probes again, each time with a longer
+    /// wait.
+    fn probe_first(
         &mut self,
         now: Timestamp,
-        hand: CommandHandle,
+        handle: CommandHandle,
         command: &mut Command,
         chosen: Option<usize>,
     ) -> bool {
-        let idle = chosen.is_some_and(|i| {
-            let b = &self.backends[i];
-            self.fresh(now, i) && b.in_flight == 0 && b.others == 0.0
+        let is_known_idle = chosen.is_some_and(|backend_index| {
+            let backend = &self.backends[backend_index];
+            self.is_fresh(now, backend_index) && backend.in_flight == 0 && backend.peer_in_flight == 0.0
         });
-        if !self.asks() || self.terms.node_count < 2 || idle || self.ready.is_empty() {
+        if !self.can_probe_any()
+            || self.settings.node_count < 2
+            || is_known_idle
+            || self.ready_backends.is_empty()
+        {
             return false;
         }
-        let more = command.rounds < ROUNDS || chosen.is_none();
-        if now >= command.asked && more && self.probes >= ASKED as f64 && self.may_launch(now, command) {
-            let trip = (ASKING * self.usual + 2.0 * self.probe_trip) as u64;
-            let trip = Micros(trip << command.rounds.saturating_sub(2).min(3));
-            if now + trip >= self.goal_end(command) {
+        let may_probe_again = command.probe_rounds < MAX_PROBE_ROUNDS || chosen.is_none();
+        if now >= command.probing_until
+            && may_probe_again
+            && self.probe_credit >= PROBES_PER_ROUND as f64
+            && self.can_launch(now, command)
+        {
+            let wait = (PROBE_WAIT_IN_MEAN_WORK * self.mean_work + 2.0 * self.probe_round_trip_us) as u64;
+            let wait = Micros(wait << command.probe_rounds.saturating_sub(2).min(3));
+            if now + wait >= self.goal_deadline(command) {
                 return false;
             }
-            command.asked = now + trip;
-            command.rounds += 1;
-            let first = chosen.unwrap_or_else(|| self.met_one());
-            self.probe_some(now, first);
-            self.insert(now + trip, hand, command);
-        }
-        now < command.asked
-    }
-
-    /// Whether what is known of a backend is news: a report, or an answer that left it to itself.
-    fn fresh(&self, now: Timestamp, i: usize) -> bool {
-        let b = &self.backends[i];
-        now.since(b.report_at.max(b.token.unwrap_or(Timestamp(0)))).as_f64() <= FRESH * self.usual
-    }
-
-    fn met_one(&mut self) -> usize {
-        self.ready[self.chance.draw() as usize % self.ready.len().min(self.reach)]
-    }
-
-    /// Probes a few of those met, this one first, and none of whom there is news or a probe out already.
-    fn probe_some(&mut self, now: Timestamp, mut next: usize) {
-        let mut left = ASKED;
-        for _ in 0..4 * ASKED {
-            if left > 0 && self.backends[next].probe_out.is_none() && !self.fresh(now, next) {
-                left -= 1;
-                self.probes = (self.probes - 1.0).max(0.0);
-                self.backends[next].probe_out = Some(now);
-                self.errands.push(Action::Probe(self.backends[next].listed.backend));
+            command.probing_until = now + wait;
+            command.probe_rounds += 1;
+            let first_probed = chosen.unwrap_or_else(|| self.random_in_subset());
+            self.send_probes(now, first_probed);
+            self.enqueue(now + wait, handle, command);
+        }
+        now < command.probing_until
+    }
+
+    /// Whether the knowledge of a backend is recent: a load report, or an answer that left it idle.
+    fn is_fresh(&self, now: Timestamp, backend_index: usize) -> bool {
+        let backend = &self.backends[backend_index];
+        now.since(backend.reported_at.max(backend.idle_token.unwrap_or(Timestamp(0)))).as_f64()
+            <= FRESHNESS_IN_MEAN_WORK * self.mean_work
+    }
+
+    /// A random backend of the subset.
+    fn random_in_subset(&mut self) -> usize {
+        self.ready_backends[self.rng.next_u64() as usize % self.ready_backends.len().min(self.subset_size)]
+    }
+
+    /// Probes some backends of the subset, this one first. Skips those that are freshly known or being probed
+    /// already.
+    fn send_probes(&mut self, now: Timestamp, mut backend_index: usize) {
+        let mut probes_left = PROBES_PER_ROUND;
+        for _ in 0..4 * PROBES_PER_ROUND {
+            if probes_left > 0
+                && self.backends[backend_index].probe_sent_at.is_none()
+                && !self.is_fresh(now, backend_index)
+            {
+                probes_left -= 1;
+                self.probe_credit = (self.probe_credit - 1.0).max(0.0);
+                self.backends[backend_index].probe_sent_at = Some(now);
+                self.actions.push(Action::Probe(self.backends[backend_index].entry.backend));
             }
-            next = self.met_one();
+            backend_index = self.random_in_subset();
         }
     }
 
-    /// Own launches that end in a microsecond, by what each backend's answers take and how likely they come.
-    fn rate(&self, now: Timestamp) -> f64 {
-        let met = self.ready.iter().take(self.reach).map(|&i| &self.backends[i]);
-        let likely = |b: &Backend| (1.0 + b.good) / (1.0 + b.good + b.bad) * b.cap.floor();
-        let each = |b: &Backend| likely(b) / (b.pace * (self.usual + self.ahead(now, b) - b.pending));
-        met.filter(|b| !b.down).map(each).sum()
+    /// Estimated own launches that complete per microsecond, from each backend's time per answer and success rate.
+    fn completion_rate(&self, now: Timestamp) -> f64 {
+        let subset = self
+            .ready_backends
+            .iter()
+            .take(self.subset_size)
+            .map(|&backend_index| &self.backends[backend_index]);
+        let likely_slots = |backend: &Backend| {
+            (1.0 + backend.successes) / (1.0 + backend.successes + backend.failures)
+                * backend.concurrency_limit.floor()
+        };
+        let backend_rate = |backend: &Backend| {
+            likely_slots(backend)
+                / (backend.time_per_work
+                    * (self.mean_work + self.work_ahead(now, backend) - backend.pending_work))
+        };
+        subset.filter(|backend| !backend.last_probe_failed).map(backend_rate).sum()
     }
 
-    fn hold(&mut self, now: Timestamp, hand: CommandHandle, command: &mut Command) -> Decision {
-        if !self.may_launch(now, command) {
+    /// Queues the command if it can probably start in time, or ends it.
+    fn queue_or_reject(&mut self, now: Timestamp, handle: CommandHandle, command: &mut Command) -> Decision {
+        if !self.can_launch(now, command) {
             return self.reject_or_fail(command);
         }
-        let ahead = self.held.len() - self.standing(command);
-        // A held command starts with nothing ahead of it: it needs less than one sent to stand behind others.
-        let need = Micros((self.least_cost(command) * self.margin.sqrt()) as u64);
-        let latest = (self.goal_end(command) - need).min(self.bounds(command, None).until);
-        let wait = Micros(((ahead + 1) as f64 / self.rate(now).max(1e-9)) as u64);
-        if command.waiting {
-            if now < latest && now + wait.scaled(0.5) < latest {
-                // Own answers are rare among many nodes: what has come free must be looked for.
-                let look = now + Micros((LOOK * self.usual) as u64);
-                command.look_at = if self.terms.probes_allowed { latest.min(look) } else { latest };
+        let queued_ahead = self.queue.len() - self.queue_position(command);
+        // A queued command starts with nothing ahead of it, so it needs less time than one launched behind others.
+        let min_time = Micros((self.cautious_expected_work(command) * self.latency_margin.sqrt()) as u64);
+        let latest_start =
+            (self.goal_deadline(command) - min_time).min(self.launch_bounds(command, None).until);
+        let wait = Micros(((queued_ahead + 1) as f64 / self.completion_rate(now).max(1e-9)) as u64);
+        if command.is_queued {
+            if now < latest_start && now + wait.scaled(0.5) < latest_start {
+                // With many nodes own answers are rare, so a queued command has to look for free backends by itself.
+                let recheck_at = now + Micros((RECHECK_INTERVAL_IN_MEAN_WORK * self.mean_work) as u64);
+                command.reevaluate_at =
+                    if self.settings.probes_allowed { latest_start.min(recheck_at) } else { latest_start };
                 return Decision::Wait;
             }
-            if now < self.list_holds_until {
-                self.close(1.0);
+            if now < self.list_usable_until {
+                self.reduce_admission(1.0);
             }
             return self.reject_or_fail(command);
         }
-        if now + wait >= latest {
+        if now + wait >= latest_start {
             return self.reject_or_fail(command);
         }
-        self.insert(latest, hand, command);
-        // Whoever is pushed out of time by this one is told at once.
-        if let Some(last) = self.held.first() {
-            let wait = Micros((self.held.len() as f64 * 0.5 / self.rate(now).max(1e-9)) as u64);
-            if now + wait >= last.latest {
-                self.errands.push(Action::Reevaluate(last.hand));
+        self.enqueue(latest_start, handle, command);
+        // If the new command leaves the last one in the queue too little time, that one is decided at once.
+        if let Some(last_queued) = self.queue.first() {
+            let wait = Micros((self.queue.len() as f64 * 0.5 / self.completion_rate(now).max(1e-9)) as u64);
+            if now + wait >= last_queued.latest_start {
+                self.actions.push(Action::Reevaluate(last_queued.handle));
             }
         }
         Decision::Wait
     }
 
-    fn wake_next(&mut self) {
-        if let Some(next) = self.held.last() {
-            self.errands.push(Action::Reevaluate(next.hand));
+    /// Has the first command of the queue reevaluated.
+    fn wake_next_queued(&mut self) {
+        if let Some(next) = self.queue.last() {
+            self.actions.push(Action::Reevaluate(next.handle));
         }
     }
 
-    /// Where a command stands among the held, or would.
-    fn standing(&self, command: &Command) -> usize {
-        let rank = (command.value, Reverse(command.order));
-        self.held.partition_point(|h| (h.value, Reverse(h.order)) < rank)
+    /// Index in the queue of the command, or the one it would get: by payoff density, then by arrival.
+    fn queue_position(&self, command: &Command) -> usize {
+        let position_key = (command.payoff_density, Reverse(command.arrival_order));
+        self.queue
+            .partition_point(|queued| (queued.payoff_density, Reverse(queued.arrival_order)) < position_key)
     }
 
-    fn insert(&mut self, latest: Timestamp, hand: CommandHandle, command: &mut Command) {
-        command.look_at = latest;
-        if !command.waiting {
-            command.waiting = true;
-            let at = self.standing(command);
-            self.held.insert(at, Held { value: command.value, order: command.order, hand, latest });
+    /// Adds the command to the queue, unless it is queued already.
+    fn enqueue(&mut self, latest_start: Timestamp, handle: CommandHandle, command: &mut Command) {
+        command.reevaluate_at = latest_start;
+        if !command.is_queued {
+            command.is_queued = true;
+            let position = self.queue_position(command);
+            self.queue.insert(
+                position,
+                QueuedCommand {
+                    payoff_density: command.payoff_density,
+                    arrival_order: command.arrival_order,
+                    handle,
+                    latest_start,
+                },
+            );
         }
     }
 
-    fn unhold(&mut self, command: &mut Command) {
-        if command.waiting {
-            command.waiting = false;
-            let at = self.standing(command);
-            debug_assert_eq!(self.held[at].order, command.order);
-            self.held.remove(at);
+    fn dequeue(&mut self, command: &mut Command) {
+        if command.is_queued {
+            command.is_queued = false;
+            let position = self.queue_position(command);
+            debug_assert_eq!(self.queue[position].arrival_order, command.arrival_order);
+            self.queue.remove(position);
         }
     }
 
-    /// Ends a command without an answer of a backend's: turned back where that is harmless.
+    /// Ends a command without a backend's answer: rejects it if the client may safely retry, or else fails it.
     pub fn reject_or_fail(&mut self, command: &mut Command) -> Decision {
-        self.unhold(command);
+        self.dequeue(command);
         command.is_closed = true;
-        command.look_at = Timestamp(u64::MAX);
-        if !self.bounds(command, None).turn_back {
+        command.reevaluate_at = Timestamp(u64::MAX);
+        if !self.launch_bounds(command, None).may_reject {
             return Decision::Fail;
         }
-        self.pressure = 0.98 * self.pressure + 0.02;
-        // The more is being turned back, the later to come, and never all together.
-        let spread = 0.5 + 0.5 * self.chance.unit();
-        Decision::Reject(self.terms.max_retry_after.scaled((0.1 + 2.0 * self.pressure).min(1.0) * spread))
+        self.rejection_rate = 0.98 * self.rejection_rate + 0.02;
+        // The more commands are rejected, the longer the retry-after. The jitter keeps clients from returning
+        // together.
+        let jitter = 0.5 + 0.5 * self.rng.next_unit();
+        Decision::Reject(
+            self.settings.max_retry_after.scaled((0.1 + 2.0 * self.rejection_rate).min(1.0) * jitter),
+        )
     }
 
-    fn learn(&mut self, now: Timestamp, command: &Command, launch: &Launch, outcome: Outcome) {
-        let Some(&i) = self.index.get(&launch.backend) else { return };
-        let took = now.since(launch.sent_at).as_f64();
+    /// Updates all estimates from the outcome of a launch.
+    fn learn_from_outcome(&mut self, now: Timestamp, command: &Command, launch: &Launch, outcome: Outcome) {
+        let Some(&backend_index) = self.backend_indices.get(&launch.backend) else { return };
+        let took_us = now.since(launch.sent_at).as_f64();
         if matches!(outcome, Outcome::TimedOut | Outcome::ConnectionLost) {
-            // A connection that has lost its way swallows whatever is sent on it next: a new one is cheap.
-            self.errands.push(Action::CloseIdleConnections(launch.backend));
-            self.backends[i].open = 0;
+            // A connection that the peer has lost swallows whatever is sent on it next, and a new one is cheap.
+            self.actions.push(Action::CloseIdleConnections(launch.backend));
+            self.backends[backend_index].open_connections = 0;
             if !launch.is_lost {
-                self.tell_lost(launch, true);
+                self.record_connection_loss(launch, true);
             }
         }
-        self.fulls += 0.01 * (f64::from(outcome == Outcome::Full) - self.fulls);
-        let failed = f64::from(outcome == Outcome::ConnectFailed);
-        self.dials += 0.25 * f64::from(launch.is_new_connection) * (failed - self.dials);
+        self.full_rate += 0.01 * (f64::from(outcome == Outcome::Full) - self.full_rate);
+        let dial_failed = f64::from(outcome == Outcome::ConnectFailed);
+        self.dial_failure_rate +=
+            0.25 * f64::from(launch.is_new_connection) * (dial_failed - self.dial_failure_rate);
         if matches!(outcome, Outcome::Finished | Outcome::Errored | Outcome::Full) {
-            let b = &mut self.backends[i];
-            (b.open, b.used_at) = (b.open + 1, now);
-            self.tell_lost(launch, false);
-        }
-        let goal = self.profile(command).goal_time.as_f64();
-        let alone = launch.work_ahead <= 1.5 * launch.expected_work && outcome != Outcome::Cancelled;
-        let late = f64::from(took > goal || outcome == Outcome::Full);
-        self.belied += 0.1 * f64::from(alone) * (late - self.belied);
-        let b = &self.backends[i];
-        // A time-out tells of the backend only if it was silent throughout, and for long: some clients
-        // give up within a usual answer's time, and a heavy command takes long anywhere.
-        let silent = b.quiet_since <= launch.sent_at && took > 4.0 * launch.work_ahead * b.pace;
-        let bad = match outcome {
-            // Counted when it was written off.
+            let backend = &mut self.backends[backend_index];
+            (backend.open_connections, backend.connection_used_at) = (backend.open_connections + 1, now);
+            self.record_connection_loss(launch, false);
+        }
+        let goal_us = self.profile_of(command).goal_time.as_f64();
+        let ran_alone = launch.work_ahead <= 1.5 * launch.expected_work && outcome != Outcome::Cancelled;
+        let is_late = f64::from(took_us > goal_us || outcome == Outcome::Full);
+        self.false_idle_rate += 0.1 * f64::from(ran_alone) * (is_late - self.false_idle_rate);
+        let backend = &self.backends[backend_index];
+        // A timeout counts against the backend only if it was silent all the time and for long: some clients give up
+        // within a usual answer time, and a heavy command takes long everywhere.
+        let was_silent = backend.silent_since <= launch.sent_at
+            && took_us > 4.0 * launch.work_ahead * backend.time_per_work;
+        let failures = match outcome {
+            // It was counted when the launch was declared lost.
             Outcome::TimedOut | Outcome::ConnectionLost if launch.is_lost => 0.0,
-            Outcome::TimedOut if !silent => 0.0,
+            Outcome::TimedOut if !was_silent => 0.0,
             Outcome::Finished | Outcome::Full | Outcome::Cancelled | Outcome::NotSent => 0.0,
             Outcome::ConnectFailed => 2.0,
             Outcome::Errored | Outcome::TimedOut | Outcome::ConnectionLost => 1.0,
         };
-        let finished = outcome == Outcome::Finished;
-        self.weigh(now, i, if finished { 1.0 } else { 0.0 }, bad);
-        let b = &mut self.backends[i];
-        let before = launch.sent_at < b.listed.started_at;
+        let is_finished = outcome == Outcome::Finished;
+        self.record_evidence(now, backend_index, if is_finished { 1.0 } else { 0.0 }, failures);
+        let backend = &mut self.backends[backend_index];
+        let sent_before_restart = launch.sent_at < backend.entry.started_at;
         if !launch.is_lost {
-            b.release(launch);
+            backend.remove_in_flight(launch);
         }
-        if outcome == Outcome::Full && self.terms.probes_allowed {
-            // As good as a report: there is more than it can do in time.
-            b.others = goal / self.rows[usize::from(command.profile.0)].mean.max(1.0);
-            b.report_at = now;
+        if outcome == Outcome::Full && self.settings.probes_allowed {
+            // As good as a load report: the backend has more work than it can do within the goal time.
+            backend.peer_in_flight =
+                goal_us / self.profile_stats[usize::from(command.profile.0)].mean_work.max(1.0);
+            backend.reported_at = now;
         }
-        if matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) && !before && !launch.is_lost {
-            b.haunt(now, launch.expected_work);
-            if took > launch.work_ahead * b.pace {
-                b.pace += 0.1 * (took / launch.work_ahead.max(1.0) - b.pace).min(3.0 * b.pace);
+        if matches!(outcome, Outcome::TimedOut | Outcome::Cancelled)
+            && !sent_before_restart
+            && !launch.is_lost
+        {
+            backend.add_abandoned_work(now, launch.expected_work);
+            if took_us > launch.work_ahead * backend.time_per_work {
+                backend.time_per_work += 0.1
+                    * (took_us / launch.work_ahead.max(1.0) - backend.time_per_work)
+                        .min(3.0 * backend.time_per_work);
             }
         }
-        if !finished || before {
+        if !is_finished || sent_before_restart {
             return;
         }
-        if took < goal {
-            let half = f64::from(self.sighted() && !self.counts());
-            let own = half * (launch.expected_work * self.backends[i].pace).min(0.8 * goal);
-            self.heed(launch, (took - own).max(0.0) / (goal - own));
-        }
-        let b = &mut self.backends[i];
-        b.quiet_since = now;
-        b.down = false;
-        b.served = true;
-        // What it has done it could bear.
-        b.poured = (b.poured - launch.expected_work).max(0.0);
-        b.ghost *= f64::from(launch.sent_at <= b.ghost_at);
-        if b.in_flight == 0 && b.listed.state == BackendState::Ready {
-            b.token = (b.ghost_left(now) == 0.0).then_some(now);
-        }
-        b.answers += 1;
-        self.done += launch.expected_work / self.reach.min(self.near).min(self.ready.len()).max(1) as f64;
-        if launch.is_new_connection && self.terms.reports_piggybacked {
-            return; // how long the handshake took tells nothing of the work
-        }
-        let part = took * launch.expected_work / launch.work_ahead.max(1.0);
-        // A single heavy command must not make a backend look slow: nothing counts for more than four times.
-        self.answers += 1.0;
-        let most = if self.answers > 1.0 { 4.0 * self.usual } else { f64::MAX };
-        self.usual += (1.0 / self.answers).max(0.02) * (part.min(most) - self.usual);
-        let row = &mut self.rows[usize::from(command.profile.0)];
-        if !row.learn(part, self.usual, command.work_hint.map(|hint| hint.as_f64())) {
+        if took_us < goal_us {
+            let excludes_own_time = f64::from(self.reports_are_reliable() && !self.reports_count_in_flight());
+            let own_time_us = excludes_own_time
+                * (launch.expected_work * self.backends[backend_index].time_per_work).min(0.8 * goal_us);
+            self.update_goal_time_use(launch, (took_us - own_time_us).max(0.0) / (goal_us - own_time_us));
+        }
+        let backend = &mut self.backends[backend_index];
+        backend.silent_since = now;
+        backend.last_probe_failed = false;
+        backend.has_answered = true;
+        // Work that it has finished did not overload it.
+        backend.cold_level = (backend.cold_level - launch.expected_work).max(0.0);
+        backend.abandoned_work *= f64::from(launch.sent_at <= backend.abandoned_at);
+        if backend.in_flight == 0 && backend.entry.state == BackendState::Ready {
+            backend.idle_token = (backend.abandoned_work_left(now) == 0.0).then_some(now);
+        }
+        backend.answer_count += 1;
+        self.decayed_work_per_backend += launch.expected_work
+            / self.subset_size.min(self.preferred_size).min(self.ready_backends.len()).max(1) as f64;
+        if launch.is_new_connection && self.settings.reports_piggybacked {
+            return; // the handshake time says nothing about the work
+        }
+        let work = took_us * launch.expected_work / launch.work_ahead.max(1.0);
+        // A single heavy command must not make a backend look slow: no answer counts for more than four times the
+        // mean.
+        self.answer_count += 1.0;
+        let limit = if self.answer_count > 1.0 { 4.0 * self.mean_work } else { f64::MAX };
+        self.mean_work += (1.0 / self.answer_count).max(0.02) * (work.min(limit) - self.mean_work);
+        let stats = &mut self.profile_stats[usize::from(command.profile.0)];
+        if !stats.add_answer(work, self.mean_work, command.work_hint.map(|hint| hint.as_f64())) {
             return;
         }
-        let seen = took / launch.work_ahead;
-        let over = seen / b.pace;
-        let weight = (1.0 / f64::from(b.answers + 1)).max(0.1);
-        b.pace += weight * (seen.min(4.0 * b.pace) - b.pace);
-        b.pace = b.pace.clamp(0.02, 50.0);
-        // The margin follows the quantile of how far answers overrun what was expected of them.
-        self.margin += if over > self.margin { 0.05 * 0.7 } else { -0.05 * 0.3 };
-        self.margin = self.margin.clamp(1.0, 4.0);
-        let b = &mut self.backends[i];
-        // The cap grows while answers from a full backend come as soon as from an idle one.
+        let observed = took_us / launch.work_ahead;
+        let overrun = observed / backend.time_per_work;
+        let weight = (1.0 / f64::from(backend.answer_count + 1)).max(0.1);
+        backend.time_per_work += weight * (observed.min(4.0 * backend.time_per_work) - backend.time_per_work);
+        backend.time_per_work = backend.time_per_work.clamp(0.02, 50.0);
+        // Tracks the 0.7 quantile of actual over expected time.
+        self.latency_margin += if overrun > self.latency_margin { 0.05 * 0.7 } else { -0.05 * 0.3 };
+        self.latency_margin = self.latency_margin.clamp(1.0, 4.0);
+        let backend = &mut self.backends[backend_index];
+        // The concurrency limit grows while a backend at its limit answers as fast as an idle one.
         if launch.depth == 1 {
-            b.solo += 0.1 * (took / launch.expected_work - b.solo);
-        }
-        if f64::from(launch.depth) >= b.cap.floor() {
-            let quick = took <= 1.2 * b.solo * launch.expected_work;
-            b.cap = if quick { b.cap + 0.05 } else { (b.cap - 0.25).max(1.0) };
+            backend.time_per_work_alone +=
+                0.1 * (took_us / launch.expected_work - backend.time_per_work_alone);
+        }
+        if f64::from(launch.depth) >= backend.concurrency_limit.floor() {
+            let is_fast = took_us <= 1.2 * backend.time_per_work_alone * launch.expected_work;
+            backend.concurrency_limit = if is_fast {
+                backend.concurrency_limit + 0.05
+            } else {
+                (backend.concurrency_limit - 0.25).max(1.0)
+            };
         }
-        let pace = b.pace;
-        let kind = self.kind_pace.entry(b.listed.backend_type).or_insert(1.0);
-        *kind += 0.02 * (pace - *kind);
+        let time_per_work = backend.time_per_work;
+        let type_mean = self.time_per_work_by_type.entry(backend.entry.backend_type).or_insert(1.0);
+        *type_mean += 0.02 * (time_per_work - *type_mean);
     }
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Every kind of id is a type of its own. Ids tell nothing beyond identity.
+//! Id types, one for each kind of thing. An id stands for its identity only.
 
 macro_rules! ids {
     ($($name:ident($inner:ty);)*) => {$(
@@ -14,5 +14,6 @@
     BackendTypeId(u8);
     GroupId(u16);
     ProfileId(u16);
+    // The index under which the caller keeps a command, chosen by the caller.
     CommandHandle(u32);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! Load balancing decisions for fleets of HTTP servers. No I/O: see `decide` for the three calls.
+//! Load-balancing decisions for fleets of HTTP servers, without any I/O. The entry point is `decide::Balancer`.
 #![forbid(unsafe_code)]
 
 mod allowance;
--- a/src/portion.rs
+++ b/src/portion.rs
@@ -1,39 +1,42 @@
-//! A node's portion of what all nodes share: which of the backends it keeps to, where it can learn of the
-//! others only dearly.
+//! Which of the shared backends a node keeps to where learning about the others is expensive.
 //!
-//! All nodes hold the backends in one order and start in it at places evenly apart: each then has as many
-//! as any other. A node that keeps to few does much of their work itself, and so knows how busy they are.
+//! All nodes sort the backends in the same order and start in it at evenly spaced positions, so that each backend has
+//! as many nodes as any other. A node that keeps to few backends does much of their work itself and so knows how busy
+//! they are.
 
 use crate::settings::Settings;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{BuildHasher, BuildHasherDefault};
 
-/// The part of a backend's time that a node's own load is to be: with seven nodes at each, the less busy of
-/// few by own counts is late half as often as one of all at random; fewer gain no more (docs/fleet.md).
-const SHARE: f64 = 0.1;
-/// Nodes that keep to a backend at the least, and backends to a node: one more may fail and leave a choice.
-const NODES: f64 = 4.0;
-const FEWEST: f64 = 3.0;
+/// Target share of a backend's time that one node's load takes. With seven nodes per backend, the less busy of a few
+/// backends by own counts is late half as often as a random one of all; fewer backends bring no further gain
+/// (docs/fleet.md).
+const OWN_LOAD_PER_BACKEND: f64 = 0.1;
+/// Smallest number of nodes per backend, and of backends per node: after the failure of one there is still a choice.
+const MIN_NODES_PER_BACKEND: f64 = 4.0;
+const MIN_BACKENDS_PER_NODE: f64 = 3.0;
 
-/// A backend's place in the order, by what says the same of it at every node.
-pub(crate) fn rank(mark: u64) -> u64 {
-    BuildHasherDefault::<DefaultHasher>::default().hash_one(mark)
+/// A backend's position in the common order, from a hash of its name that is the same at every node.
+pub(crate) fn hash_rank(name_hash: u64) -> u64 {
+    BuildHasherDefault::<DefaultHasher>::default().hash_one(name_hash)
 }
 
-/// The same for a key, in whose order each backend stands first for as many keys as it is large.
-pub(crate) fn key_rank(mark: u64, size: f64, key: u64) -> u64 {
-    let draw = (rank(rank(mark) ^ key) >> 11) as f64 + 1.0;
-    (-(draw / (1u64 << 53) as f64).ln() / size.max(1e-3) * 1e9) as u64
+/// A backend's position in the order for a key (weighted rendezvous hashing): each backend is first for a number of
+/// keys in proportion to its weight.
+pub(crate) fn key_rank(name_hash: u64, weight: f64, key: u64) -> u64 {
+    let draw = (hash_rank(hash_rank(name_hash) ^ key) >> 11) as f64 + 1.0;
+    (-(draw / (1u64 << 53) as f64).ln() / weight.max(1e-3) * 1e9) as u64
 }
 
-/// Where in the order of so many backends this node starts.
-pub(crate) fn place(terms: &Settings, backends: usize) -> usize {
-    let nodes = terms.node_count.max(1) as usize;
-    terms.node_index as usize % nodes * backends / nodes
+/// Index in the common order at which this node starts.
+pub(crate) fn start_position(settings: &Settings, backend_count: usize) -> usize {
+    let node_count = settings.node_count.max(1) as usize;
+    settings.node_index as usize % node_count * backend_count / node_count
 }
 
-/// How many of them it keeps to, with so much work coming in a unit of time.
-pub(crate) fn few(terms: &Settings, backends: usize, load: f64) -> usize {
-    let each = NODES * backends as f64 / f64::from(terms.node_count.max(1));
-    (load / SHARE).max(each).max(FEWEST).ceil() as usize
+/// Number of backends that this node keeps to. `load` is its work per unit of time, in units of what one backend
+/// does.
+pub(crate) fn preferred_size(settings: &Settings, backend_count: usize, load: f64) -> usize {
+    let fair_share = MIN_NODES_PER_BACKEND * backend_count as f64 / f64::from(settings.node_count.max(1));
+    (load / OWN_LOAD_PER_BACKEND).max(fair_share).max(MIN_BACKENDS_PER_NODE).ceil() as usize
 }
--- a/src/times.rs
+++ b/src/times.rs
@@ -1,15 +1,17 @@
-//! Whole microseconds: a moment on the caller's clock, and a span between two.
+//! Times in whole microseconds.
 
 use std::ops::{Add, Sub};
 
+/// Microseconds on the caller's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(pub u64);
 
+/// A duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Micros(pub u64);
 
 impl Timestamp {
-    /// The span from an earlier moment; nothing if it is not earlier.
+    /// The time since an earlier timestamp; zero if that one is not earlier.
     pub fn since(self, earlier: Timestamp) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -541,7 +541,7 @@
         ),
         (
             "/guarantees",
-            "extraWindow is nothing",
+            "extraWindow must be greater than zero",
             json!({"spareAttempts": 3, "repeatRatio": 0, "extraWindow": 0}),
         ),
         (
