--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,4 +1,4 @@
-//! Instances of the decision module, their commands in hand and their timers. Nothing is decided here.
+//! Hosts instances of the decision module with their commands and timers. It takes no decisions itself.
 
 use crate::wire::{entry_chunks, report_at, u16_at, u32_at, u64_at, Batch, Reply};
 use slab::Slab;
@@ -13,24 +13,28 @@
 
 type Map<K, V> = HashMap<K, V, BuildHasherDefault<DefaultHasher>>;
 
-/// The timer that is the node's own and no command's.
-const UPKEEP: u64 = u64::MAX;
+/// Token of the timer that belongs to the node rather than to a command.
+const NODE_TIMER: u64 = u64::MAX;
 
-struct InHand {
+/// A command in progress.
+struct CommandEntry {
     command: Command,
-    /// The moment of its last timer.
-    armed: Option<Timestamp>,
+    /// When its last timer expires.
+    armed_for: Option<Timestamp>,
 }
 
+/// One simulated node.
 struct Instance {
     number: u32,
-    node: Balancer,
-    profiles: usize,
-    hands: Slab<InHand>,
-    by_id: Map<u32, usize>,
-    armed: Option<Timestamp>,
+    balancer: Balancer,
+    profile_count: usize,
+    commands: Slab<CommandEntry>,
+    /// Slot in `commands` by command id.
+    slot_by_id: Map<u32, usize>,
+    armed_for: Option<Timestamp>,
 }
 
+/// All simulated nodes by number.
 #[derive(Default)]
 pub struct Host {
     instances: Map<u32, Instance>,
@@ -54,7 +58,7 @@
     })
 }
 
-fn listed(entry: &[u8]) -> Result<ListEntry, String> {
+fn list_entry(entry: &[u8]) -> Result<ListEntry, String> {
     Ok(ListEntry {
         name_hash: u64::from(u32_at(entry, 0)),
         weight: f64::from(f32::from_bits(u32_at(entry, 10))),
@@ -73,15 +77,16 @@
 }
 
 impl Host {
+    /// Handles all events of a batch, with the actions of a node after its last event in a row.
     pub fn batch(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), String> {
         let now = Timestamp(batch.nanos() / 1000);
-        let mut last = None;
+        let mut current = None;
         for event in batch.events() {
             let number = u32_at(event, 1);
-            if last.is_some_and(|l| l != number) {
-                self.upkeep(last, now, reply);
+            if current.is_some_and(|current_number| current_number != number) {
+                self.run_actions(current, now, reply);
             }
-            last = Some(number);
+            current = Some(number);
             match event[0] {
                 10 => self.start(number, now, event, batch, reply)?,
                 100 => drop(self.instances.remove(&number)),
@@ -92,13 +97,13 @@
                 },
             }
         }
-        self.upkeep(last, now, reply);
+        self.run_actions(current, now, reply);
         Ok(())
     }
 
-    fn upkeep(&mut self, number: Option<u32>, now: Timestamp, reply: &mut Reply) {
+    fn run_actions(&mut self, number: Option<u32>, now: Timestamp, reply: &mut Reply) {
         if let Some(instance) = number.and_then(|n| self.instances.get_mut(&n)) {
-            instance.upkeep(now, reply);
+            instance.run_actions(now, reply);
         }
     }
 
@@ -111,11 +116,14 @@
         reply: &mut Reply,
     ) -> Result<(), String> {
         match Settings::from_json(batch.bytes(event, 13, "params")?) {
-            Ok(terms) => {
-                let profiles = terms.profiles.len();
-                let node = Balancer::new(terms, u64_at(event, 5), now);
-                let (hands, by_id) = (Slab::new(), Map::default());
-                self.instances.insert(number, Instance { number, node, profiles, hands, by_id, armed: None });
+            Ok(settings) => {
+                let profile_count = settings.profiles.len();
+                let balancer = Balancer::new(settings, u64_at(event, 5), now);
+                let (commands, slot_by_id) = (Slab::new(), Map::default());
+                self.instances.insert(
+                    number,
+                    Instance { number, balancer, profile_count, commands, slot_by_id, armed_for: None },
+                );
             }
             Err(text) => reply.text(100, number, &text),
         }
@@ -133,7 +141,7 @@
     ) -> Result<(), String> {
         match event[0] {
             20 => {
-                let kind = match event[5] {
+                let update = match event[5] {
                     0 => ListUpdateKind::Delta,
                     1 => ListUpdateKind::Snapshot,
                     2 => ListUpdateKind::Cached,
@@ -142,52 +150,56 @@
                 };
                 let entries = batch.entries(event, 10, "members")?;
                 for entry in entry_chunks(entries) {
-                    listed(entry)?;
+                    list_entry(entry)?;
                 }
-                self.node.apply_list(now, kind, entry_chunks(entries).filter_map(|e| listed(e).ok()));
+                self.balancer.apply_list(
+                    now,
+                    update,
+                    entry_chunks(entries).filter_map(|e| list_entry(e).ok()),
+                );
             }
             30 => self.command(now, event, reply)?,
-            // No profile here streams its answer: its start changes nothing.
+            // Answers are not streamed in any profile here, so the start of one changes nothing.
             40 => {}
             50 => {
                 let (values, count) = report_at(event, 25)?;
                 let backend = BackendId(u32_at(event, 10));
                 let outcome = outcome(u16_at(event, 14))?;
-                if let Some(&key) = self.by_id.get(&u32_at(event, 5)) {
-                    let command = &mut self.hands[key].command;
+                if let Some(&slot) = self.slot_by_id.get(&u32_at(event, 5)) {
+                    let command = &mut self.commands[slot].command;
                     command.is_closed |= event[24] != 0;
-                    let say = self.node.on_launch_outcome(
+                    let say = self.balancer.on_launch_outcome(
                         now,
-                        CommandHandle(key as u32),
+                        CommandHandle(slot as u32),
                         command,
                         event[9],
                         outcome,
                     );
-                    self.say(now, key, say, reply);
+                    self.carry_out(now, slot, say, reply);
                 }
-                self.node.on_load_report(now, backend, true, None, &values[..count]);
+                self.balancer.on_load_report(now, backend, true, None, &values[..count]);
             }
             60 => {
-                if let Some(&key) = self.by_id.get(&u32_at(event, 5)) {
-                    self.node.on_client_gone(&mut self.hands[key].command);
-                    self.settle(now, key, reply);
+                if let Some(&slot) = self.slot_by_id.get(&u32_at(event, 5)) {
+                    self.balancer.on_client_gone(&mut self.commands[slot].command);
+                    self.finish_or_arm(now, slot, reply);
                 }
             }
             70 => {
                 let token = u64_at(event, 5);
-                let key = (token >> 32) as usize;
-                if token == UPKEEP {
-                    self.armed = None;
-                } else if self.hands.get(key).is_some_and(|h| h.command.id.0 == token as u32) {
-                    self.again(now, key, reply);
+                let slot = (token >> 32) as usize;
+                if token == NODE_TIMER {
+                    self.armed_for = None;
+                } else if self.commands.get(slot).is_some_and(|h| h.command.id.0 == token as u32) {
+                    self.decide_again(now, slot, reply);
                 }
             }
             80 => {
                 let (values, count) = report_at(event, 19)?;
-                let found = u16_at(event, 5) == 100;
-                let trip = micros(u64_at(event, 11));
+                let was_found = u16_at(event, 5) == 100;
+                let round_trip = micros(u64_at(event, 11));
                 let backend = BackendId(u32_at(event, 7));
-                self.node.on_load_report(now, backend, found, Some(trip), &values[..count]);
+                self.balancer.on_load_report(now, backend, was_found, Some(round_trip), &values[..count]);
             }
             90 => {}
             other => return Err(format!("code: unknown event {other}")),
@@ -197,57 +209,60 @@
 
     fn command(&mut self, now: Timestamp, event: &[u8], reply: &mut Reply) -> Result<(), String> {
         let profile = u16_at(event, 9);
-        if usize::from(profile) >= self.profiles {
+        if usize::from(profile) >= self.profile_count {
             return Err(format!("band: there is no profile {profile}"));
         }
         let id = CommandId(u32_at(event, 5));
         let mut command = Command::new(id, ProfileId(profile), now, micros(u64_at(event, 23)));
-        let attrs = u16_at(event, 39);
-        command.work_hint = (attrs & 1 != 0).then(|| micros(u64_at(event, 31)));
-        command.is_client_retry = attrs & 2 != 0;
+        let flags = u16_at(event, 39);
+        command.work_hint = (flags & 1 != 0).then(|| micros(u64_at(event, 31)));
+        command.is_client_retry = flags & 2 != 0;
         command.affinity_key = u64_at(event, 15);
-        let key = self.hands.insert(InHand { command, armed: None });
-        self.by_id.insert(id.0, key);
-        self.again(now, key, reply);
+        let slot = self.commands.insert(CommandEntry { command, armed_for: None });
+        self.slot_by_id.insert(id.0, slot);
+        self.decide_again(now, slot, reply);
         Ok(())
     }
 
-    fn again(&mut self, now: Timestamp, key: usize, reply: &mut Reply) {
-        let say = self.node.decide(now, CommandHandle(key as u32), &mut self.hands[key].command);
-        self.say(now, key, say, reply);
+    fn decide_again(&mut self, now: Timestamp, slot: usize, reply: &mut Reply) {
+        let decision =
+            self.balancer.decide(now, CommandHandle(slot as u32), &mut self.commands[slot].command);
+        self.carry_out(now, slot, decision, reply);
     }
 
-    fn say(&mut self, now: Timestamp, key: usize, say: Decision, reply: &mut Reply) {
-        let id = self.hands[key].command.id.0.to_be_bytes();
-        match say {
+    /// Writes a decision to the reply.
+    fn carry_out(&mut self, now: Timestamp, slot: usize, decision: Decision, reply: &mut Reply) {
+        let id = self.commands[slot].command.id.0.to_be_bytes();
+        match decision {
             Decision::Launch(backend) => reply.action(10, self.number, &[&id, &backend.0.to_be_bytes()]),
             Decision::Wait => {}
             Decision::Reject(span) => reply.action(20, self.number, &[&id, &(span.0 * 1000).to_be_bytes()]),
             Decision::Fail => reply.action(30, self.number, &[&id]),
             Decision::CancelLaunch(launch) => reply.action(40, self.number, &[&id, &[launch]]),
         }
-        self.settle(now, key, reply);
+        self.finish_or_arm(now, slot, reply);
     }
 
-    /// Lets go of a command that is over, or sets its next timer.
-    fn settle(&mut self, now: Timestamp, key: usize, reply: &mut Reply) {
-        let hand = &mut self.hands[key];
-        if hand.command.is_closed && hand.command.in_flight_count() == 0 {
-            self.by_id.remove(&hand.command.id.0);
-            self.hands.remove(key);
+    /// Removes a command that has ended, or sets its next timer.
+    fn finish_or_arm(&mut self, now: Timestamp, slot: usize, reply: &mut Reply) {
+        let entry = &mut self.commands[slot];
+        if entry.command.is_closed && entry.command.in_flight_count() == 0 {
+            self.slot_by_id.remove(&entry.command.id.0);
+            self.commands.remove(slot);
             return;
         }
-        if let Some(span) = self.node.wakeup_delay(now, Some(&hand.command)) {
-            if hand.armed != Some(now + span) {
-                hand.armed = Some(now + span);
-                let token = (key as u64) << 32 | u64::from(hand.command.id.0);
-                timer(self.number, span, token, reply);
+        if let Some(delay) = self.balancer.wakeup_delay(now, Some(&entry.command)) {
+            if entry.armed_for != Some(now + delay) {
+                entry.armed_for = Some(now + delay);
+                let token = (slot as u64) << 32 | u64::from(entry.command.id.0);
+                timer(self.number, delay, token, reply);
             }
         }
     }
 
-    fn upkeep(&mut self, now: Timestamp, reply: &mut Reply) {
-        while let Some(errand) = self.node.next_action(now) {
+    /// Writes the balancer's actions to the reply and sets the node's timer.
+    fn run_actions(&mut self, now: Timestamp, reply: &mut Reply) {
+        while let Some(errand) = self.balancer.next_action(now) {
             match errand {
                 Action::Probe(backend) => reply.action(60, self.number, &[&backend.0.to_be_bytes()]),
                 Action::CloseIdleConnections(backend) => {
@@ -255,22 +270,22 @@
                 }
                 Action::RequestList => reply.action(110, self.number, &[&[1]]),
                 Action::Reevaluate(hand) => {
-                    if self.hands.contains(hand.0 as usize) {
-                        self.again(now, hand.0 as usize, reply);
+                    if self.commands.contains(hand.0 as usize) {
+                        self.decide_again(now, hand.0 as usize, reply);
                     }
                 }
             }
         }
-        if let Some(span) = self.node.wakeup_delay(now, None) {
-            if self.armed.is_none_or(|at| now + span < at) {
-                self.armed = Some(now + span);
-                timer(self.number, span, UPKEEP, reply);
+        if let Some(span) = self.balancer.wakeup_delay(now, None) {
+            if self.armed_for.is_none_or(|at| now + span < at) {
+                self.armed_for = Some(now + span);
+                timer(self.number, span, NODE_TIMER, reply);
             }
         }
     }
 }
 
-fn timer(instance: u32, span: Micros, token: u64, reply: &mut Reply) {
-    let nanos = (span.0 * 1000).max(1);
+fn timer(instance: u32, delay: Micros, token: u64, reply: &mut Reply) {
+    let nanos = (delay.0 * 1000).max(1);
     reply.action(50, instance, &[&nanos.to_be_bytes(), &token.to_be_bytes()]);
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! yarrowfront's decisions on the simulator's wire: batches in on standard input, replies on standard output.
+//! Serves yarrowfront's decisions over the simulator's protocol: batches on standard input, replies on standard
+//! output.
 #![forbid(unsafe_code)]
 
 mod host;
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -1275,7 +1275,7 @@
 fn idle_connections_that_would_be_lost_are_closed_before_use() {
     #[derive(Clone, Copy, Debug, PartialEq)]
     enum Fault {
-        NoFault,
+        NoLoss,
         IdleDropped,
         OneDead,
         AnswersLost,
@@ -1283,7 +1283,7 @@
     use Fault::*;
     // The fault, and the expected launches lost and connections closed in the second half of 200 commands.
     for (fault, lost_range, closed_range) in [
-        (NoFault, 0..=0, 0..=0),
+        (NoLoss, 0..=0, 0..=0),
         (IdleDropped, 0..=8, 20..=100),
         (OneDead, 0..=20, 0..=0),
         (AnswersLost, 8..=40, 0..=6),
@@ -1309,7 +1309,7 @@
             bench.advance(20);
             let idle = used.insert(at, bench.now).map_or(Micros(0), |then| bench.now.since(then));
             let is_lost = match fault {
-                NoFault => false,
+                NoLoss => false,
                 IdleDropped => idle > Micros::from_millis(600),
                 OneDead => at == BackendId(1),
                 AnswersLost => n % 4 == 1,
