--- a/crates/sites/src/admission.rs
+++ b/crates/sites/src/admission.rs
@@ -1,7 +1,9 @@
-//! All of it at one node: what is known of each site, what is let in here, and how this site comes back.
+//! Site-loss handling at one node: the state of each site, which commands are admitted, and how this node's own site
+//! returns.
 //!
-//! What it promises: while every site is whole, or no loss is known, everything is let in; who is turned back is told a
-//! time to come back that others are not told too; what was let in once is counted once, however it ends.
+//! Guarantees: while every site is healthy, or no loss is known, every command is admitted. A rejected client gets a
+//! retry-after of its own, so that clients do not return together. An admitted command is counted exactly once,
+//! however it ends.
 
 use crate::detection::{DetectionTimes, Evidence, OperatorOverride, SiteDetector, SiteState, StateReason};
 use crate::failover::{AdmissionGate, ClientOrigin, SecondCounts};
@@ -10,34 +12,35 @@
 use std::collections::BTreeMap;
 use yarrowfront::times::{Micros, Timestamp};
 
-/// Of this site's backends so many just started: it comes back as a whole, and not by a deploy.
-const COLD: f64 = 0.5;
-/// The least time that anybody is told to stay away.
-const LEAST: Micros = Micros::from_millis(500);
-/// A second's length, between two steps of what is let in.
-const SECOND: Micros = Micros::from_millis(1000);
+/// Share of this site's backends that must have just started for it to count as a return of the whole site rather
+/// than a deploy.
+const COLD_RETURN_SHARE: f64 = 0.5;
+/// Shortest retry-after given to a client.
+const MIN_RETRY_AFTER: Micros = Micros::from_millis(500);
+/// Interval of the counts from which the admitted shares are updated.
+const COUNT_INTERVAL: Micros = Micros::from_millis(1000);
 
-/// Whether a command may come in.
+/// Whether a command is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     Admitted,
-    /// To come back after that time; the deployment may not let it be told.
+    /// Rejected, to be retried after this time. The deployment's settings may not allow a retry-after to be sent.
     Rejected(Micros),
 }
 
-/// What a look finds, site by site in the plan's order.
+/// What was observed at one time; evidence is in the plan's order of sites.
 #[derive(Clone, Debug, Default)]
 pub struct SiteObservations {
     pub evidence: Vec<Evidence>,
-    /// Nodes of this site that share its clients, this one among them.
+    /// Nodes of this site that share its clients, including this one.
     pub site_nodes: u32,
-    /// This node has just begun, in a fleet whose other sites have been there for longer.
+    /// This node has just started, while nodes of other sites have run for longer.
     pub is_new_node: bool,
-    /// Of this site's listed backends, the share that has just started.
+    /// Share of this site's listed backends that have just started.
     pub cold_share: f64,
 }
 
-/// A site's state is another one.
+/// The state of a site has changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SiteStateChange {
     pub site: SiteId,
@@ -46,127 +49,134 @@
     pub evidence: Evidence,
 }
 
+/// Detectors, admission gate and return ramp of one node.
 #[derive(Clone, Debug)]
 pub struct SiteAdmission {
     pub plan: Plan,
-    own: SiteId,
-    sites: Vec<SiteDetector>,
+    own_site: SiteId,
+    detectors: Vec<SiteDetector>,
     gate: AdmissionGate,
-    coming: ReturnRamp,
-    beside: u32,
+    return_ramp: ReturnRamp,
+    site_nodes: u32,
+    /// Credit of each client origin (true: displaced) and profile; one credit admits one command.
     credits: BTreeMap<(bool, ProfileId), f64>,
-    second: SecondCounts,
-    second_at: Timestamp,
-    turned_back: u64,
-    /// Since when something has been in force: clients that were here before are own ones.
+    current_second: SecondCounts,
+    second_started_at: Timestamp,
+    /// Commands rejected since the start.
+    rejected: u64,
+    /// Since when admission has been limited. Clients whose connections are older than that are local.
     pub limiting_since: Option<Timestamp>,
 }
 
 impl SiteAdmission {
-    /// At a node of that site.
-    pub fn new(now: Timestamp, plan: Plan, own: SiteId, times: DetectionTimes) -> SiteAdmission {
-        let sites = plan.site_ids().map(|_| SiteDetector::new(now, times)).collect();
-        let gate = AdmissionGate::new(&plan, plan.usable_capacity(own));
-        let (credits, second, turned_back, since) = Default::default();
-        let coming = ReturnRamp::healthy(now);
+    /// For a node of `own_site`.
+    pub fn new(now: Timestamp, plan: Plan, own_site: SiteId, times: DetectionTimes) -> SiteAdmission {
+        let detectors = plan.site_ids().map(|_| SiteDetector::new(now, times)).collect();
+        let gate = AdmissionGate::new(&plan, plan.usable_capacity(own_site));
+        let (credits, current_second, rejected, limiting_since) = Default::default();
+        let return_ramp = ReturnRamp::healthy(now);
         SiteAdmission {
             plan,
-            own,
-            sites,
+            own_site,
+            detectors,
             gate,
-            coming,
-            beside: 1,
+            return_ramp,
+            site_nodes: 1,
             credits,
-            second,
-            second_at: now,
-            turned_back,
-            limiting_since: since,
+            current_second,
+            second_started_at: now,
+            rejected,
+            limiting_since,
         }
     }
 
-    /// Goes by another plan of the same sites and profiles; what is known stays.
+    /// Replaces the plan by one with the same sites and profiles; what was learned is kept.
     pub fn replace_plan(&mut self, plan: Plan) -> Result<(), String> {
         let names = |plan: &Plan| -> (Vec<String>, Vec<String>) {
             let sites = plan.sites.iter().map(|site| site.name.clone()).collect();
             (sites, plan.profiles.iter().map(|profile| profile.name.clone()).collect())
         };
         if names(&plan) != names(&self.plan) {
-            return Err("sites: other sites or profiles take a restart".to_owned());
+            return Err("sites: a change of the sites or profiles needs a restart".to_owned());
         }
         self.plan = plan;
         Ok(())
     }
 
+    /// What is known of a site.
     pub fn detector(&self, site: SiteId) -> &SiteDetector {
-        &self.sites[site.0]
+        &self.detectors[site.0]
     }
 
     pub fn own_site(&self) -> SiteId {
-        self.own
+        self.own_site
     }
 
-    /// Whether a loss or a return is going on, so that not everything is let in.
+    /// Whether a loss or a return is in progress, so that not all commands are admitted.
     pub fn is_limiting(&self) -> bool {
-        let elsewhere = self.plan.site_ids().filter(|site| *site != self.own);
-        let mut away = elsewhere.map(|site| self.sites[site.0].state);
-        away.any(|state| !state.accepts_new_commands() || state == SiteState::Returning)
-            || self.coming.load_share() < 1.0
+        let other_sites = self.plan.site_ids().filter(|site| *site != self.own_site);
+        let mut states = other_sites.map(|site| self.detectors[site.0].state);
+        states.any(|state| !state.accepts_new_commands() || state == SiteState::Returning)
+            || self.return_ramp.load_share() < 1.0
     }
 
-    /// What is let in of a profile's commands, as a share.
-    pub fn admitted_share(&self, whose: ClientOrigin, profile: ProfileId) -> f64 {
-        self.gate.admitted_share(whose, profile)
+    /// Share of a profile's commands that is admitted.
+    pub fn admitted_share(&self, origin: ClientOrigin, profile: ProfileId) -> f64 {
+        self.gate.admitted_share(origin, profile)
     }
 
-    /// What is taken for this node's room, in standard commands a second, and how much of it is open on a return.
+    /// Estimated capacity of this node in standard commands per second, and the share of its load that is open during
+    /// a return.
     pub fn capacity(&self) -> (f64, f64) {
-        (self.gate.capacity, self.coming.load_share())
+        (self.gate.capacity, self.return_ramp.load_share())
     }
 
+    /// Commands rejected since the start.
     pub fn rejected_count(&self) -> u64 {
-        self.turned_back
+        self.rejected
     }
 
-    pub fn set_override(&mut self, now: Timestamp, site: SiteId, word: OperatorOverride) {
-        self.sites[site.0].set_override(now, word);
+    /// Sets or clears an operator's override of a site's state.
+    pub fn set_override(&mut self, now: Timestamp, site: SiteId, operator_override: OperatorOverride) {
+        self.detectors[site.0].set_override(now, operator_override);
     }
 
-    /// Takes in a look. What has changed is returned, for the log.
-    pub fn observe(&mut self, now: Timestamp, look: &SiteObservations) -> Vec<SiteStateChange> {
+    /// Takes in observations and returns the changes of state, for the log.
+    pub fn observe(&mut self, now: Timestamp, observations: &SiteObservations) -> Vec<SiteStateChange> {
         let mut changes = Vec::new();
-        for (place, evidence) in look.evidence.iter().enumerate().take(self.sites.len()) {
-            let site = SiteId(place);
-            if site == self.own {
+        for (site_index, evidence) in observations.evidence.iter().enumerate().take(self.detectors.len()) {
+            let site = SiteId(site_index);
+            if site == self.own_site {
                 continue;
             }
-            let knowing = &mut self.sites[place];
-            // How a return is paced is the returned site's own business: it is through when that says so, by answering.
-            if knowing.state == SiteState::Returning {
-                knowing.on_return_complete();
+            let detector = &mut self.detectors[site_index];
+            // A returning site paces its own return, which for other sites is complete when it answers.
+            if detector.state == SiteState::Returning {
+                detector.on_return_complete();
             }
-            if knowing.observe(now, evidence) {
+            if detector.observe(now, evidence) {
                 changes.push(SiteStateChange {
                     site,
-                    state: knowing.state,
-                    reason: knowing.reason,
+                    state: detector.state,
+                    reason: detector.reason,
                     evidence: *evidence,
                 });
             }
         }
-        // A site whose backends have all just started comes back cold, and its clients come at once.
-        // In a deploy its nodes stay, and when all sites begin there is nobody who carried the load.
-        if look.is_new_node
-            && look.cold_share >= COLD
-            && self.coming.load_share() >= 1.0
-            && self.coming.failed_returns() == 0
+        // A site whose backends have all just started returns cold, while its clients come at once. In a deploy its
+        // nodes stay, and when all sites start together none has carried the load of another.
+        if observations.is_new_node
+            && observations.cold_share >= COLD_RETURN_SHARE
+            && self.return_ramp.load_share() >= 1.0
+            && self.return_ramp.losses() == 0
         {
-            self.coming.start_cold(now);
+            self.return_ramp.start_cold(now);
         }
-        if look.cold_share < COLD && self.coming.load_share() >= 1.0 {
-            self.coming.reset_backoff();
+        if observations.cold_share < COLD_RETURN_SHARE && self.return_ramp.load_share() >= 1.0 {
+            self.return_ramp.reset_backoff();
         }
-        self.beside = look.site_nodes.max(1);
-        self.tick(now);
+        self.site_nodes = observations.site_nodes.max(1);
+        self.finish_second(now);
         self.limiting_since = match self.is_limiting() {
             true => self.limiting_since.or(Some(now)),
             false => None,
@@ -174,59 +184,63 @@
         changes
     }
 
-    fn tick(&mut self, now: Timestamp) {
-        let span = now.since(self.second_at);
-        if span < SECOND {
+    /// Closes the counts of the current second and updates the admitted shares from them.
+    fn finish_second(&mut self, now: Timestamp) {
+        let elapsed = now.since(self.second_started_at);
+        if elapsed < COUNT_INTERVAL {
             return;
         }
-        self.second_at = now;
-        let mut second = std::mem::take(&mut self.second);
-        let per = 1e6 / span.as_f64();
-        let all = second.requested.iter_mut().chain([
-            &mut second.admitted,
-            &mut second.ended,
-            &mut second.within_goal,
+        self.second_started_at = now;
+        let mut counts = std::mem::take(&mut self.current_second);
+        let per_second = 1e6 / elapsed.as_f64();
+        let rates = counts.requested.iter_mut().chain([
+            &mut counts.admitted,
+            &mut counts.ended,
+            &mut counts.within_goal,
         ]);
-        all.flat_map(BTreeMap::values_mut).for_each(|count| *count *= per);
-        let sum = |of: &BTreeMap<ProfileId, f64>| of.values().sum::<f64>();
-        let (answered, good) = (sum(&second.ended) / per, sum(&second.within_goal) / per);
-        self.coming.on_answers(now, answered, good);
-        let share = self.coming.load_share().max(0.01);
-        self.gate.set_planned_capacity(self.plan.usable_capacity(self.own) / f64::from(self.beside) * share);
-        self.gate.on_second(&self.plan, &second, self.is_limiting());
+        rates.flat_map(BTreeMap::values_mut).for_each(|count| *count *= per_second);
+        let total = |of: &BTreeMap<ProfileId, f64>| of.values().sum::<f64>();
+        let (answered, within_goal) =
+            (total(&counts.ended) / per_second, total(&counts.within_goal) / per_second);
+        self.return_ramp.on_answers(now, answered, within_goal);
+        let load_share = self.return_ramp.load_share().max(0.01);
+        self.gate.set_planned_capacity(
+            self.plan.usable_capacity(self.own_site) / f64::from(self.site_nodes) * load_share,
+        );
+        self.gate.on_second(&self.plan, &counts, self.is_limiting());
     }
 
-    /// A command asks to come in. `longest` is the longest time that may be told, none for not at all.
-    pub fn admit(&mut self, whose: ClientOrigin, profile: ProfileId, longest: Micros) -> Admission {
-        let guest = whose == ClientOrigin::Displaced;
-        *self.second.requested[usize::from(guest)].entry(profile).or_default() += 1.0;
+    /// Decides on a command. `max_retry_after` is the longest retry-after that may be sent; zero if none may be.
+    pub fn admit(&mut self, origin: ClientOrigin, profile: ProfileId, max_retry_after: Micros) -> Admission {
+        let is_displaced = origin == ClientOrigin::Displaced;
+        *self.current_second.requested[usize::from(is_displaced)].entry(profile).or_default() += 1.0;
         if self.is_limiting() {
-            let credit = self.credits.entry((guest, profile)).or_insert(1.0);
-            *credit = (*credit + self.gate.admitted_share(whose, profile)).min(2.0);
+            let credit = self.credits.entry((is_displaced, profile)).or_insert(1.0);
+            *credit = (*credit + self.gate.admitted_share(origin, profile)).min(2.0);
             if *credit < 1.0 {
-                self.turned_back += 1;
-                return Admission::Rejected(self.come_back(longest));
+                self.rejected += 1;
+                return Admission::Rejected(self.retry_after(max_retry_after));
             }
             *credit -= 1.0;
         }
-        *self.second.admitted.entry(profile).or_default() += 1.0;
+        *self.current_second.admitted.entry(profile).or_default() += 1.0;
         Admission::Admitted
     }
 
-    /// Evenly over the time that may be told, each a place of its own: by steps of the golden part.
-    fn come_back(&self, longest: Micros) -> Micros {
-        if longest <= LEAST {
-            return longest;
+    /// Retry-afters evenly spread over the allowed range, no two alike: steps of the golden ratio.
+    fn retry_after(&self, max_retry_after: Micros) -> Micros {
+        if max_retry_after <= MIN_RETRY_AFTER {
+            return max_retry_after;
         }
-        let part = (self.turned_back as f64 * 0.618_033_988_749_895).fract();
-        Micros(LEAST.0 + ((longest.0 - LEAST.0) as f64 * part) as u64)
+        let position = (self.rejected as f64 * 0.618_033_988_749_895).fract();
+        Micros(MIN_RETRY_AFTER.0 + ((max_retry_after.0 - MIN_RETRY_AFTER.0) as f64 * position) as u64)
     }
 
-    /// A command that was let in has its end; whether with its answer, and that within its goal time.
-    pub fn on_command_end(&mut self, profile: ProfileId, in_goal: bool) {
-        *self.second.ended.entry(profile).or_default() += 1.0;
-        if in_goal {
-            *self.second.within_goal.entry(profile).or_default() += 1.0;
+    /// Counts the end of an admitted command, and whether it was answered within its goal time.
+    pub fn on_command_end(&mut self, profile: ProfileId, within_goal: bool) {
+        *self.current_second.ended.entry(profile).or_default() += 1.0;
+        if within_goal {
+            *self.current_second.within_goal.entry(profile).or_default() += 1.0;
         }
     }
 }
--- a/crates/sites/src/detection.rs
+++ b/crates/sites/src/detection.rs
@@ -1,21 +1,23 @@
-//! What a node knows of another site: whole, impaired, lost, out of reach from here, returning, and by which evidence.
+//! State of another site as this node knows it (healthy, impaired, lost, unreachable from here, returning) and the
+//! evidence for it.
 //!
-//! What it promises: no single kind of evidence makes a loss; what explains itself otherwise (a discovery outage, a list that
-//! empties itself, this node's own isolation, a deploy, an overload) is none; a state changes only when its evidence has
-//! held for its time, and from every state there is a way to `Whole`; memory is the same whatever comes.
+//! Guarantees: no single kind of evidence makes a site lost. Evidence with another explanation does not count (a
+//! discovery outage, a list that empties, this node's own isolation, a deploy, an overload). The state changes only
+//! after its evidence has held for a time, every state leads back to `Healthy`, and memory use is constant.
 
 use yarrowfront::times::{Micros, Timestamp};
 
+/// State of a site, as seen from this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SiteState {
     Healthy,
-    /// It serves, and less than it should.
+    /// It serves, but less than it should.
     Impaired,
-    /// Nothing of it is there for anybody.
+    /// No node can reach any of it.
     Lost,
-    /// Nothing of it is there for this node; for others it may be.
+    /// This node cannot reach any of it; other nodes may.
     Unreachable,
-    /// It is there again, cold.
+    /// It can be reached again, and is cold.
     Returning,
 }
 
@@ -30,49 +32,49 @@
         }
     }
 
-    /// Whether anything new may go there.
+    /// Whether new commands may go there.
     pub fn accepts_new_commands(self) -> bool {
         !matches!(self, SiteState::Lost | SiteState::Unreachable)
     }
 }
 
-/// What a look finds of one site. Counts of a second or two; none where there is nothing to tell.
+/// Evidence on one site from one observation. Counts cover one or two seconds; `None` where nothing is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Evidence {
-    /// Of the site's nodes that were ever there: how many the view takes to be here. None without a view.
+    /// Nodes of the site that the membership view has alive, and all that it has ever had. `None` without a view.
     pub live_nodes: Option<(u32, u32)>,
-    /// This node sees no majority of the fleet, or nobody: what it thinks of others says nothing.
+    /// This node sees no majority of the fleet, or no other node, so its own view of others does not count.
     pub node_is_isolated: bool,
-    /// Of the site's backends that were listed before: how many are listed ready now, and how old the list is.
+    /// Backends of the site that are listed as ready now, and all that were listed before; and the age of the list.
     pub ready_backends: Option<(u32, u32)>,
     pub list_age: Micros,
-    /// All sites' backends are gone from the list at once.
+    /// The backends of all sites have disappeared from the list at once.
     pub list_is_empty: bool,
-    /// This node's own launches and dials there: answered in any way, and without any answer (refused, reset, silent).
+    /// This node's launches and dials there: with any answer, and without (refused, reset or silent).
     pub answered: u32,
     pub unanswered: u32,
-    /// The same to all other sites together.
+    /// The same for all other sites together: answered and unanswered.
     pub other_sites: (u32, u32),
-    /// Of what was answered: late, or full.
+    /// Answers that were late, or refused as full.
     pub slow_answers: u32,
 }
 
-/// Why a state is taken, for operators.
+/// Reason for a state, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateReason {
     Answers,
-    /// Nodes, list and own launches: two of the three say so, and none the contrary.
+    /// Of nodes, list and launches, two speak for a loss and none against it.
     NodesAndLaunches,
     NodesAndList,
     ListAndLaunches,
-    /// Its nodes are not seen and nothing is answered, but discovery still lists it: the way is cut.
+    /// Its nodes are not seen and nothing is answered, but discovery still lists it: the network path is cut.
     PathCut,
-    /// This node is the one that is cut off.
+    /// This node itself is cut off.
     Isolated,
     /// Part of it is gone, or answers late.
     Partial,
     Operator,
-    /// Nothing says anything of it.
+    /// There is no evidence.
     NoEvidence,
 }
 
@@ -92,23 +94,23 @@
     }
 }
 
-/// How long evidence has to hold.
+/// How long evidence has to hold before the state follows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DetectionTimes {
     pub lost: Micros,
     pub impaired: Micros,
-    /// Until a lost one that answers again is returning, and a returning one whole.
+    /// Until a lost site that answers again is returning, and until a returning site is healthy.
     pub returning: Micros,
     pub healthy: Micros,
-    /// A list older than this says nothing.
+    /// A list older than this is no evidence.
     pub max_list_age: Micros,
-    /// What an operator has declared is older news after this.
+    /// Time after which an operator's override expires.
     pub override_lifetime: Micros,
 }
 
 impl Default for DetectionTimes {
-    /// A loss is known two seconds after its evidence: shorter than clients take to move, longer than a node's stall. Back
-    /// and whole by a site that flaps every eight seconds: it stays lost.
+    /// A loss is known after two seconds of evidence: less than clients take to move, more than a node's stall. The
+    /// times to return keep a site that flaps every eight seconds lost.
     fn default() -> DetectionTimes {
         DetectionTimes {
             lost: Micros::from_millis(2000),
@@ -121,107 +123,117 @@
     }
 }
 
-/// What an operator may say of a site.
+/// An operator's override of a site's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorOverride {
     Lost,
-    /// It is not to come back yet.
+    /// A lost site stays lost.
     HoldLost,
-    /// It may, whatever was said before.
+    /// Removes the override.
     Clear,
 }
 
+/// State of one other site, with the evidence that led to it.
 #[derive(Clone, Debug)]
 pub struct SiteDetector {
     times: DetectionTimes,
     pub state: SiteState,
     pub reason: StateReason,
     pub since: Timestamp,
-    /// What the evidence has said, without a break since.
-    says: (SiteState, Timestamp),
-    declared: Option<(OperatorOverride, Timestamp)>,
-    /// Returned in full: told by whoever paces it.
-    warm: bool,
+    /// What the evidence says, and since when without interruption.
+    assessed: (SiteState, Timestamp),
+    operator_override: Option<(OperatorOverride, Timestamp)>,
+    /// Its whole load has been opened, as reported by the pacing side.
+    is_return_complete: bool,
 }
 
 impl SiteDetector {
     pub fn new(now: Timestamp, times: DetectionTimes) -> SiteDetector {
-        let (state, why) = (SiteState::Healthy, StateReason::NoEvidence);
+        let (state, reason) = (SiteState::Healthy, StateReason::NoEvidence);
         SiteDetector {
             times,
             state,
-            reason: why,
+            reason,
             since: now,
-            says: (state, now),
-            declared: None,
-            warm: false,
+            assessed: (state, now),
+            operator_override: None,
+            is_return_complete: false,
         }
     }
 
-    pub fn set_override(&mut self, now: Timestamp, word: OperatorOverride) {
-        self.declared = (word != OperatorOverride::Clear).then_some((word, now));
+    pub fn set_override(&mut self, now: Timestamp, operator_override: OperatorOverride) {
+        self.operator_override =
+            (operator_override != OperatorOverride::Clear).then_some((operator_override, now));
     }
 
-    /// The return is through: all of its share is open.
+    /// Called when the return is complete: all of its load is open.
     pub fn on_return_complete(&mut self) {
-        self.warm = true;
+        self.is_return_complete = true;
     }
 
-    /// What the evidence alone says.
-    pub fn assess(&self, found: &Evidence) -> (SiteState, StateReason) {
-        let all_dead = found.unanswered >= 3 && found.answered == 0;
-        let answers = found.answered > 0 && found.answered >= found.unanswered;
-        let no_nodes = found.live_nodes.is_some_and(|(here, known)| known > 0 && here == 0);
-        let nodes = found.live_nodes.is_some_and(|(here, _)| here > 0);
-        let fresh = found.list_age < self.times.max_list_age && !found.list_is_empty;
-        let unlisted = fresh && found.ready_backends.is_some_and(|(ready, known)| known > 0 && ready == 0);
-        let listed = fresh && found.ready_backends.is_some_and(|(ready, _)| ready > 0);
-        let others_dead = found.other_sites.1 >= 3 && found.other_sites.0 == 0;
-        if answers {
-            // Whatever else is said: it serves.
-            let less = |part: (u32, u32)| part.0 * 3 < part.1 * 2;
-            let part = found.live_nodes.is_some_and(less)
-                || fresh && found.ready_backends.is_some_and(less)
-                || found.unanswered * 3 > found.answered
-                || found.slow_answers * 2 > found.answered;
-            return if part {
+    /// State and reason by the evidence alone.
+    pub fn assess(&self, evidence: &Evidence) -> (SiteState, StateReason) {
+        let none_answered = evidence.unanswered >= 3 && evidence.answered == 0;
+        let is_answering = evidence.answered > 0 && evidence.answered >= evidence.unanswered;
+        let no_live_nodes = evidence.live_nodes.is_some_and(|(here, known)| known > 0 && here == 0);
+        let has_live_nodes = evidence.live_nodes.is_some_and(|(here, _)| here > 0);
+        let list_is_usable = evidence.list_age < self.times.max_list_age && !evidence.list_is_empty;
+        let no_ready_backends =
+            list_is_usable && evidence.ready_backends.is_some_and(|(ready, known)| known > 0 && ready == 0);
+        let has_ready_backends =
+            list_is_usable && evidence.ready_backends.is_some_and(|(ready, _)| ready > 0);
+        let others_unanswered = evidence.other_sites.1 >= 3 && evidence.other_sites.0 == 0;
+        if is_answering {
+            // The site answers, so it serves, whatever else the evidence says.
+            let below_two_thirds = |counts: (u32, u32)| counts.0 * 3 < counts.1 * 2;
+            let is_partial = evidence.live_nodes.is_some_and(below_two_thirds)
+                || list_is_usable && evidence.ready_backends.is_some_and(below_two_thirds)
+                || evidence.unanswered * 3 > evidence.answered
+                || evidence.slow_answers * 2 > evidence.answered;
+            return if is_partial {
                 (SiteState::Impaired, StateReason::Partial)
             } else {
                 (SiteState::Healthy, StateReason::Answers)
             };
         }
         match () {
-            // Its own troubles are no others'.
-            () if found.node_is_isolated && (all_dead || no_nodes) => {
+            // This node's own problems are not the other site's.
+            () if evidence.node_is_isolated && (none_answered || no_live_nodes) => {
                 (SiteState::Unreachable, StateReason::Isolated)
             }
-            () if others_dead && all_dead => (SiteState::Unreachable, StateReason::Isolated),
-            () if no_nodes && all_dead && listed => (SiteState::Unreachable, StateReason::PathCut),
-            () if no_nodes && all_dead => (SiteState::Lost, StateReason::NodesAndLaunches),
-            () if no_nodes && unlisted => (SiteState::Lost, StateReason::NodesAndList),
-            () if unlisted && all_dead => (SiteState::Lost, StateReason::ListAndLaunches),
-            // Its nodes live and its backends are gone, or the other way round.
-            () if all_dead && nodes => (SiteState::Impaired, StateReason::Partial),
-            () if no_nodes && listed => (SiteState::Impaired, StateReason::Partial),
+            () if others_unanswered && none_answered => (SiteState::Unreachable, StateReason::Isolated),
+            () if no_live_nodes && none_answered && has_ready_backends => {
+                (SiteState::Unreachable, StateReason::PathCut)
+            }
+            () if no_live_nodes && none_answered => (SiteState::Lost, StateReason::NodesAndLaunches),
+            () if no_live_nodes && no_ready_backends => (SiteState::Lost, StateReason::NodesAndList),
+            () if no_ready_backends && none_answered => (SiteState::Lost, StateReason::ListAndLaunches),
+            // Its nodes are alive and its backends are gone, or the other way round.
+            () if none_answered && has_live_nodes => (SiteState::Impaired, StateReason::Partial),
+            () if no_live_nodes && has_ready_backends => (SiteState::Impaired, StateReason::Partial),
             () if self.state.accepts_new_commands() => (self.state, StateReason::NoEvidence),
-            // Nothing is sent to a lost one: what stands against it has to be gone before it is tried.
-            () if no_nodes || unlisted || all_dead => (self.state, self.reason),
-            () if nodes || listed => (SiteState::Healthy, StateReason::Answers),
+            // Nothing is sent to a lost site, so the evidence against it has to disappear before it is tried again.
+            () if no_live_nodes || no_ready_backends || none_answered => (self.state, self.reason),
+            () if has_live_nodes || has_ready_backends => (SiteState::Healthy, StateReason::Answers),
             () => (self.state, StateReason::NoEvidence),
         }
     }
 
-    /// Takes in what a look finds; whether the state is another one now.
-    pub fn observe(&mut self, now: Timestamp, found: &Evidence) -> bool {
-        if self.declared.is_some_and(|(_, at)| now.since(at) >= self.times.override_lifetime) {
-            self.declared = None;
+    /// Takes in evidence; returns whether the state has changed.
+    pub fn observe(&mut self, now: Timestamp, evidence: &Evidence) -> bool {
+        if self.operator_override.is_some_and(|(_, at)| now.since(at) >= self.times.override_lifetime) {
+            self.operator_override = None;
         }
-        let (says, why) = self.assess(found);
-        if self.says.0 != says {
-            self.says = (says, now);
+        let (assessed, reason) = self.assess(evidence);
+        if self.assessed.0 != assessed {
+            self.assessed = (assessed, now);
         }
-        let held = now.since(self.says.1);
-        let new = match (self.state, says, self.declared.map(|(word, _)| word)) {
+        let held_for = now.since(self.assessed.1);
+        let next = match (
+            self.state,
+            assessed,
+            self.operator_override.map(|(operator_override, _)| operator_override),
+        ) {
             (_, _, Some(OperatorOverride::Lost)) => (SiteState::Lost, StateReason::Operator),
             (state @ (SiteState::Lost | SiteState::Unreachable), _, Some(OperatorOverride::HoldLost)) => {
                 (state, StateReason::Operator)
@@ -230,36 +242,38 @@
                 (SiteState::Lost, StateReason::Operator)
             }
             (SiteState::Lost | SiteState::Unreachable, SiteState::Healthy | SiteState::Impaired, _)
-                if held >= self.times.returning =>
+                if held_for >= self.times.returning =>
             {
-                (SiteState::Returning, why)
+                (SiteState::Returning, reason)
             }
             (SiteState::Lost, SiteState::Unreachable, _) | (SiteState::Unreachable, SiteState::Lost, _)
-                if held >= self.times.lost =>
+                if held_for >= self.times.lost =>
             {
-                (says, why)
+                (assessed, reason)
             }
             (SiteState::Lost | SiteState::Unreachable, _, _) => (self.state, self.reason),
-            (_, SiteState::Lost | SiteState::Unreachable, _) if held >= self.times.lost => (says, why),
+            (_, SiteState::Lost | SiteState::Unreachable, _) if held_for >= self.times.lost => {
+                (assessed, reason)
+            }
             (SiteState::Returning, SiteState::Healthy | SiteState::Impaired, _) => {
-                match self.warm && now.since(self.since) >= self.times.healthy {
-                    true => (says, why),
+                match self.is_return_complete && now.since(self.since) >= self.times.healthy {
+                    true => (assessed, reason),
                     false => (SiteState::Returning, self.reason),
                 }
             }
             (SiteState::Healthy, SiteState::Impaired, _) | (SiteState::Impaired, SiteState::Healthy, _)
-                if held >= self.times.impaired =>
+                if held_for >= self.times.impaired =>
             {
-                (says, why)
+                (assessed, reason)
             }
             _ => (self.state, self.reason),
         };
-        let changed = new.0 != self.state;
-        if changed {
+        let has_changed = next.0 != self.state;
+        if has_changed {
             self.since = now;
-            self.warm = false;
+            self.is_return_complete = false;
         }
-        (self.state, self.reason) = new;
-        changed
+        (self.state, self.reason) = next;
+        has_changed
     }
 }
--- a/crates/sites/src/main.rs
+++ b/crates/sites/src/main.rs
@@ -1,4 +1,4 @@
-//! `yarrowfront-sites`: looks at a plan for the loss of sites.
+//! `yarrowfront-sites`: checks a plan for the loss of sites.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -9,22 +9,22 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(version, about = "Looks at a plan for the loss of yarrowfront's sites")]
+#[command(version, about = "Checks a plan for the loss of yarrowfront's sites")]
 struct Arguments {
     #[command(subcommand)]
-    what: Command,
+    command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Reads the plan, and tells of each loss of one site what it comes to. Ends with 1 where the plan is bad.
+    /// Reads the plan and summarises the loss of each single site. Exits with 1 if the plan is invalid.
     Check { plan: PathBuf },
-    /// Where everything goes, for each loss of one site, and of two where that is asked for.
+    /// Prints where load goes after the loss of each single site, and optionally of each pair.
     Table {
         plan: PathBuf,
         #[arg(long)]
         pairs: bool,
-        /// At the usual hour in place of the highest.
+        /// Use the usual demand instead of the highest.
         #[arg(long)]
         usual: bool,
     },
@@ -32,7 +32,7 @@
 
 fn read(path: &Path) -> Result<Plan, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Plan::from_toml(&text).map_err(|why| format!("{}: {why}", path.display()))
+    Plan::from_toml(&text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
 fn losses(plan: &Plan, pairs: bool) -> Vec<BTreeSet<SiteId>> {
@@ -51,44 +51,46 @@
     lost.iter().map(|site| plan.site(*site).name.as_str()).collect::<Vec<_>>().join(" and ")
 }
 
-/// All that is asked, as a part of what the sites that are left may be given.
-fn load(plan: &Plan, lost: &BTreeSet<SiteId>, hour: LoadLevel) -> f64 {
+/// Total demand as a share of the usable capacity of the remaining sites.
+fn load(plan: &Plan, lost: &BTreeSet<SiteId>, load_level: LoadLevel) -> f64 {
     let work = |site: SiteId| -> f64 {
-        plan.profile_ids().map(|profile| plan.demand(site, profile, hour) * plan.profile(profile).work).sum()
+        plan.profile_ids()
+            .map(|profile| plan.demand(site, profile, load_level) * plan.profile(profile).work)
+            .sum()
     };
-    let room: f64 =
+    let capacity: f64 =
         plan.site_ids().filter(|site| !lost.contains(site)).map(|site| plan.usable_capacity(site)).sum();
-    plan.site_ids().map(work).sum::<f64>() / room
+    plan.site_ids().map(work).sum::<f64>() / capacity
 }
 
 fn check(plan: &Plan) {
-    for hour in [LoadLevel::Usual, LoadLevel::Peak] {
-        let when = if hour == LoadLevel::Usual { "usual" } else { "highest" };
+    for load_level in [LoadLevel::Usual, LoadLevel::Peak] {
+        let level_name = if load_level == LoadLevel::Usual { "usual" } else { "highest" };
         for lost in losses(plan, false) {
-            let found = plan_failover(plan, &lost, hour);
-            let refused = |profile| {
-                let share = found.rejected_share(profile);
+            let failover = plan_failover(plan, &lost, load_level);
+            let rejected = |profile| {
+                let share = failover.rejected_share(profile);
                 (share > 0.001).then(|| format!("{:.0}% of `{}`", share * 100.0, plan.profile(profile).name))
             };
-            let refused: Vec<String> = plan.profile_ids().filter_map(refused).collect();
-            let refused = if refused.is_empty() { "nothing".to_owned() } else { refused.join(", ") };
+            let rejected: Vec<String> = plan.profile_ids().filter_map(rejected).collect();
+            let rejected = if rejected.is_empty() { "nothing".to_owned() } else { rejected.join(", ") };
             println!(
-                "{when} hour, loss of {}: {:.0}% of what is left; refuses {refused}; serves {:.1}% of the payoff, {:.1}% of the best",
+                "{level_name} demand, loss of {}: {:.0}% of the remaining capacity; rejects {rejected}; serves {:.1}% of the payoff, {:.1}% of the optimum",
                 names(plan, &lost),
-                load(plan, &lost, hour) * 100.0,
-                found.served_payoff / found.requested_payoff.max(1e-9) * 100.0,
-                found.served_payoff / max_payoff(plan, &lost, hour).max(1e-9) * 100.0,
+                load(plan, &lost, load_level) * 100.0,
+                failover.served_payoff / failover.requested_payoff.max(1e-9) * 100.0,
+                failover.served_payoff / max_payoff(plan, &lost, load_level).max(1e-9) * 100.0,
             );
         }
     }
 }
 
-fn table(plan: &Plan, pairs: bool, hour: LoadLevel) {
-    println!("| lost | from | profile | to | commands a second |");
+fn table(plan: &Plan, pairs: bool, load_level: LoadLevel) {
+    println!("| lost | from | profile | to | commands per second |");
     println!("| --- | --- | --- | --- | --- |");
     for lost in losses(plan, pairs) {
-        let found = plan_failover(plan, &lost, hour);
-        for ((from, to, profile), rate) in found.routed.iter().filter(|((from, to, _), _)| from != to) {
+        let failover = plan_failover(plan, &lost, load_level);
+        for ((from, to, profile), rate) in failover.routed.iter().filter(|((from, to, _), _)| from != to) {
             let name = |site: SiteId| &plan.site(site).name;
             let (from, to) = (name(*from), name(*to));
             println!(
@@ -97,25 +99,25 @@
                 plan.profile(*profile).name
             );
         }
-        for ((from, profile), rate) in &found.rejected {
+        for ((from, profile), rate) in &failover.rejected {
             let (from, profile) = (&plan.site(*from).name, &plan.profile(*profile).name);
-            println!("| {} | {from} | {profile} | refused | {rate:.1} |", names(plan, &lost));
+            println!("| {} | {from} | {profile} | rejected | {rate:.1} |", names(plan, &lost));
         }
     }
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().what {
+    let result = match Arguments::parse().command {
         Command::Check { plan } => read(&plan).map(|plan| check(&plan)),
         Command::Table { plan, pairs, usual } => {
-            let hour = if usual { LoadLevel::Usual } else { LoadLevel::Peak };
-            read(&plan).map(|plan| table(&plan, pairs, hour))
+            let load_level = if usual { LoadLevel::Usual } else { LoadLevel::Peak };
+            read(&plan).map(|plan| table(&plan, pairs, load_level))
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("yarrowfront-sites: {why}");
+        Err(error) => {
+            eprintln!("yarrowfront-sites: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/sites/src/return_ramp.rs
+++ b/crates/sites/src/return_ramp.rs
@@ -1,118 +1,134 @@
-//! How a site that is back is let in again: by steps that answers earn, and no faster than whoever carried its load lets go.
+//! Slow start for a site that returns: its load grows by steps that answers earn, no faster than the sites that
+//! carried its load release it.
 //!
-//! What it promises: the share grows only by a step that was earned since the one before; a loss takes it to nothing at
-//! once; each try that fails makes the next wait longer, to a bound, and a whole return forgets that; what is let go
-//! elsewhere is never more than what the returned site has taken.
+//! Guarantees: the share grows only by a step earned since the last one. A loss sets it to zero at once. Each failed
+//! return makes the next wait longer, up to a limit, and a complete return resets that. The share released elsewhere
+//! never exceeds what the returned site has taken.
 
 use yarrowfront::times::{Micros, Timestamp};
 
-/// Of its whole load: the first step, and by how much each is greater than the last.
-const FIRST: f64 = 0.05;
-const GROWTH: f64 = 1.6;
-/// A step is earned by so many answers, so many of them in time, over so long.
-const ANSWERS: f64 = 30.0;
-const GOOD: f64 = 0.95;
-const STEP: Micros = Micros::from_millis(2000);
-/// The wait before the first try, and the longest.
-const WAIT: Micros = Micros::from_millis(2000);
-const LONGEST: Micros = Micros::from_millis(120_000);
+/// Share of its load in the first step, and the growth factor of each further step.
+const FIRST_SHARE: f64 = 0.05;
+const SHARE_GROWTH: f64 = 1.6;
+/// A step needs this many answers, this share of them within the goal time, and this much time.
+const MIN_ANSWERS_PER_STEP: f64 = 30.0;
+const MIN_WITHIN_GOAL_SHARE: f64 = 0.95;
+const STEP_INTERVAL: Micros = Micros::from_millis(2000);
+/// Wait before the first return, and its upper limit.
+const MIN_BACKOFF: Micros = Micros::from_millis(2000);
+const MAX_BACKOFF: Micros = Micros::from_millis(120_000);
 
+/// State of the return of one site.
 #[derive(Clone, Debug)]
 pub struct ReturnRamp {
-    /// Of its whole load, what it is given.
-    share: f64,
+    /// Share of its load that it is given.
+    load_share: f64,
+    /// Start of the current step.
     step_at: Timestamp,
-    /// Of this step: answered, and in time.
+    /// Answers in the current step, in total and within the goal time.
     answered: f64,
-    good: f64,
-    wait: Micros,
-    tries: u32,
-    /// Not before.
-    open_at: Timestamp,
-    away: bool,
+    within_goal: f64,
+    backoff: Micros,
+    /// Losses since the site was last healthy.
+    losses: u32,
+    /// Earliest time for the next return.
+    return_allowed_at: Timestamp,
+    is_lost: bool,
 }
 
 impl ReturnRamp {
-    /// Of a site that is whole.
+    /// For a healthy site.
     pub fn healthy(now: Timestamp) -> ReturnRamp {
-        let (answered, good, tries, away) = (0.0, 0.0, 0, false);
-        ReturnRamp { share: 1.0, step_at: now, answered, good, wait: WAIT, tries, open_at: now, away }
+        let (answered, within_goal, losses, is_lost) = (0.0, 0.0, 0, false);
+        ReturnRamp {
+            load_share: 1.0,
+            step_at: now,
+            answered,
+            within_goal,
+            backoff: MIN_BACKOFF,
+            losses,
+            return_allowed_at: now,
+            is_lost,
+        }
     }
 
+    /// Share of its load that the site is given.
     pub fn load_share(&self) -> f64 {
-        self.share
+        self.load_share
     }
 
-    /// How much of the load those that carried it may let go: what it has taken, and not what it is about to be given.
+    /// Share of the load that other sites may release: what the returned site has taken, not what it is about to be
+    /// given.
     pub fn releasable_share(&self) -> f64 {
-        if self.away {
+        if self.is_lost {
             0.0
-        } else if self.share >= 1.0 {
+        } else if self.load_share >= 1.0 {
             1.0
         } else {
-            self.share / GROWTH
+            self.load_share / SHARE_GROWTH
         }
     }
 
-    /// It is lost, again where it was on its way back.
+    /// The site is lost, possibly during its return.
     pub fn on_lost(&mut self, now: Timestamp) {
-        if !self.away {
-            if self.share < 1.0 {
-                self.wait = Micros((self.wait.0 * 2).min(LONGEST.0));
+        if !self.is_lost {
+            if self.load_share < 1.0 {
+                self.backoff = Micros((self.backoff.0 * 2).min(MAX_BACKOFF.0));
             }
-            self.tries += 1;
+            self.losses += 1;
         }
-        (self.share, self.away) = (0.0, true);
-        self.open_at = now + self.wait;
+        (self.load_share, self.is_lost) = (0.0, true);
+        self.return_allowed_at = now + self.backoff;
     }
 
-    /// A site that begins as one that comes back: nobody carries its load any more by its own word, so it waits for nothing.
+    /// Starts the return of this node's own site, whose nodes have just started. It needs no wait, as by its own account
+    /// no other site carries its load any more.
     pub fn start_cold(&mut self, now: Timestamp) {
-        (self.away, self.share, self.step_at, self.tries) = (false, FIRST, now, 1);
-        (self.answered, self.good) = (0.0, 0.0);
+        (self.is_lost, self.load_share, self.step_at, self.losses) = (false, FIRST_SHARE, now, 1);
+        (self.answered, self.within_goal) = (0.0, 0.0);
     }
 
-    /// It is there again.
+    /// The site can be reached again.
     pub fn on_return(&mut self, now: Timestamp) {
-        if self.away && now >= self.open_at {
-            (self.away, self.share, self.step_at) = (false, FIRST, now);
-            (self.answered, self.good) = (0.0, 0.0);
+        if self.is_lost && now >= self.return_allowed_at {
+            (self.is_lost, self.load_share, self.step_at) = (false, FIRST_SHARE, now);
+            (self.answered, self.within_goal) = (0.0, 0.0);
         }
     }
 
-    /// What came of what it was given. True once its whole load is open.
-    pub fn on_answers(&mut self, now: Timestamp, answered: f64, good: f64) -> bool {
-        if self.away || self.share >= 1.0 {
-            return !self.away;
+    /// Takes in the answers to its load. Returns true once its whole load is open.
+    pub fn on_answers(&mut self, now: Timestamp, answered: f64, within_goal: f64) -> bool {
+        if self.is_lost || self.load_share >= 1.0 {
+            return !self.is_lost;
         }
-        (self.answered, self.good) = (self.answered + answered, self.good + good);
-        if now.since(self.step_at) < STEP || self.answered < ANSWERS {
+        (self.answered, self.within_goal) = (self.answered + answered, self.within_goal + within_goal);
+        if now.since(self.step_at) < STEP_INTERVAL || self.answered < MIN_ANSWERS_PER_STEP {
             return false;
         }
-        match self.good >= self.answered * GOOD {
-            true => self.share = (self.share * GROWTH).min(1.0),
-            // Not lost, and not yet up to it: a step back, to be earned again.
-            false => self.share = (self.share / GROWTH).max(FIRST),
+        match self.within_goal >= self.answered * MIN_WITHIN_GOAL_SHARE {
+            true => self.load_share = (self.load_share * SHARE_GROWTH).min(1.0),
+            // Not lost, but unable to carry this share: back by one step.
+            false => self.load_share = (self.load_share / SHARE_GROWTH).max(FIRST_SHARE),
         }
-        (self.step_at, self.answered, self.good) = (now, 0.0, 0.0);
-        if self.share >= 1.0 {
-            self.wait = WAIT;
+        (self.step_at, self.answered, self.within_goal) = (now, 0.0, 0.0);
+        if self.load_share >= 1.0 {
+            self.backoff = MIN_BACKOFF;
         }
-        self.share >= 1.0
+        self.load_share >= 1.0
     }
 
-    /// Nothing of it is cold any more: what was lost before is forgotten.
+    /// Nothing of the site is cold any more, so earlier losses no longer count.
     pub fn reset_backoff(&mut self) {
-        (self.wait, self.tries) = (WAIT, 0);
+        (self.backoff, self.losses) = (MIN_BACKOFF, 0);
     }
 
-    /// How often it was lost since it was last whole.
-    pub fn failed_returns(&self) -> u32 {
-        self.tries
+    /// Losses since the site was last healthy.
+    pub fn losses(&self) -> u32 {
+        self.losses
     }
 
     /// How long it is kept away after a loss.
     pub fn backoff(&self) -> Micros {
-        self.wait
+        self.backoff
     }
 }
--- a/crates/sites/tests/going.rs
+++ b/crates/sites/tests/going.rs
@@ -1,4 +1,4 @@
-//! Where a lost site's load goes: plans, promises on drawn ones, the best that there is, and a plan that is wrong.
+//! Distribution of a lost site's load: plans, guarantees on random plans, the optimum, and plans that are wrong.
 
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -10,54 +10,55 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 
+/// The plan that is deployed as an example.
 fn example() -> Plan {
     Plan::from_toml(include_str!("../../../deploy/sites.example.toml")).expect("a plan")
 }
 
-/// What is wrong in a plan is named, with its line or its key.
+/// An error in a plan names its line or key.
 #[test]
-fn bad_plans() {
-    let good = include_str!("../../../deploy/sites.example.toml");
+fn errors_in_a_plan_name_the_key() {
+    let valid = include_str!("../../../deploy/sites.example.toml");
     let cases = [
-        (good.replace("capacity = 1000.0", "capacity = -1.0"), "sites[0].capacity"),
-        (good.replace("capacity = 1000.0", "capacty = 1.0"), "line 10"),
-        (good.replacen("name = \"north\"", "name = \"south\"", 1), "sites[1].name"),
-        (good.replacen("floor = 0.2", "floor = 1.2", 1), "profiles[0].floor"),
-        (good.replacen("answer_ms = 60.0", "answer_ms = 600.0", 1), "profiles[0].answer_ms"),
-        (good.replacen("highest = 350.0", "highest = 35.0", 1), "demand[0].highest"),
-        (good.replacen("profile = \"book\"", "profile = \"cook\"", 1), "demand[0].profile"),
-        (good.replace("to = \"north\"", "to = \"south\""), "ways[0].to"),
-        (good.replace("headroom = 0.1", "headroom = 1.0"), "headroom"),
-        (good[..good.find("[[sites]]\nname = \"north\"").expect("sites")].to_owned() + "\n[[profiles]]\nname=\"p\"\nwork=1.0\npayoff=1.0\ngoal_ms=1.0\nanswer_ms=1.0\n[[demand]]\nsite=\"south\"\nprofile=\"p\"\nusual=1.0\nhighest=1.0\n", "sites: there"),
+        (valid.replace("capacity = 1000.0", "capacity = -1.0"), "sites[0].capacity"),
+        (valid.replace("capacity = 1000.0", "capacty = 1.0"), "line 10"),
+        (valid.replacen("name = \"north\"", "name = \"south\"", 1), "sites[1].name"),
+        (valid.replacen("floor = 0.2", "floor = 1.2", 1), "profiles[0].floor"),
+        (valid.replacen("answer_ms = 60.0", "answer_ms = 600.0", 1), "profiles[0].answer_ms"),
+        (valid.replacen("highest = 350.0", "highest = 35.0", 1), "demand[0].highest"),
+        (valid.replacen("profile = \"book\"", "profile = \"cook\"", 1), "demand[0].profile"),
+        (valid.replace("to = \"north\"", "to = \"south\""), "ways[0].to"),
+        (valid.replace("headroom = 0.1", "headroom = 1.0"), "headroom"),
+        (valid[..valid.find("[[sites]]\nname = \"north\"").expect("sites")].to_owned() + "\n[[profiles]]\nname=\"p\"\nwork=1.0\npayoff=1.0\ngoal_ms=1.0\nanswer_ms=1.0\n[[demand]]\nsite=\"south\"\nprofile=\"p\"\nusual=1.0\nhighest=1.0\n", "sites: at least two"),
     ];
     for (text, key) in cases {
-        let why = Plan::from_toml(&text).expect_err(key);
-        assert!(why.contains(key), "{key}: {why}");
+        let error = Plan::from_toml(&text).expect_err(key);
+        assert!(error.contains(key), "{key}: {error}");
     }
 }
 
-/// The loss of the largest site at its highest hour: what is dear goes where it makes its goal time, in unequal parts; what
-/// cannot make it across the way, and what is cheap, is refused; and it comes near to the best that there is.
+/// Loss of the largest site at the highest demand: valuable work goes where it meets its goal time, in unequal parts.
+/// Work that would be late after the round trip, and cheap work, is rejected. The result is close to the optimum.
 #[test]
-fn the_example() {
+fn the_example_plan_comes_close_to_the_optimum() {
     let plan = example();
     let lost = BTreeSet::from([SiteId(0)]);
-    let found = plan_failover(&plan, &lost, LoadLevel::Peak);
-    let goes = |to: usize, profile: usize| {
-        found.routed.get(&(SiteId(0), SiteId(to), ProfileId(profile))).copied().unwrap_or(0.0)
+    let failover = plan_failover(&plan, &lost, LoadLevel::Peak);
+    let routed = |to: usize, profile: usize| {
+        failover.routed.get(&(SiteId(0), SiteId(to), ProfileId(profile))).copied().unwrap_or(0.0)
     };
-    assert!(goes(1, 0) > 0.0 && goes(2, 0) > 0.0 && goes(1, 0) != goes(2, 0), "{found:?}");
-    assert_eq!(goes(2, 1), 0.0, "80 ms there and back leave no time for a fetch");
-    let refused = |profile: usize| found.rejected_share(ProfileId(profile));
-    assert!(refused(2) > refused(1) && refused(1) > refused(0), "{found:?}");
-    assert!(found.served_payoff >= 0.95 * max_payoff(&plan, &lost, LoadLevel::Peak), "{found:?}");
-    // At the usual hour everything but what is too far has a place.
+    assert!(routed(1, 0) > 0.0 && routed(2, 0) > 0.0 && routed(1, 0) != routed(2, 0), "{failover:?}");
+    assert_eq!(routed(2, 1), 0.0, "80 ms there and back leave no time for a fetch");
+    let rejected = |profile: usize| failover.rejected_share(ProfileId(profile));
+    assert!(rejected(2) > rejected(1) && rejected(1) > rejected(0), "{failover:?}");
+    assert!(failover.served_payoff >= 0.95 * max_payoff(&plan, &lost, LoadLevel::Peak), "{failover:?}");
+    // At the usual demand only work that is too far away finds no place.
     let usual = plan_failover(&plan, &lost, LoadLevel::Usual);
     assert!(usual.rejected_share(ProfileId(0)) < 0.01, "{usual:?}");
 }
 
-/// A plan of sites and profiles from numbers.
-fn drawn(sites: &[f64], profiles: &[(f64, f64, f64)], demand: &[f64], ways: &[f64]) -> Plan {
+/// A plan from numbers.
+fn plan_of(sites: &[f64], profiles: &[(f64, f64, f64)], demand: &[f64], ways: &[f64]) -> Plan {
     let mut text = String::from("headroom = 0.1\nown = 0.5\n");
     for (i, capacity) in sites.iter().enumerate() {
         let _ = writeln!(text, "[[sites]]\nname = \"s{i}\"\ncapacity = {capacity:?}");
@@ -81,7 +82,7 @@
     let mut ways = ways.iter().cycle();
     for from in 0..sites.len() {
         for to in from + 1..sites.len() {
-            let ms = ways.next().expect("a way");
+            let ms = ways.next().expect("a path");
             let _ = writeln!(text, "[[ways]]\nfrom = \"s{from}\"\nto = \"s{to}\"\nms = {ms:?}");
         }
     }
@@ -91,95 +92,95 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Whatever the plan: no site has more than its room, whoever is at home stays there or is refused, nothing is asked for
-    /// and forgotten, what cannot make its goal time does not go, and no more is served than the best there is.
+    /// For any plan: no site exceeds its capacity, load of a live site stays there or is rejected, no demand is left
+    /// out, nothing goes where it misses its goal time, and no more is served than the optimum.
     #[test]
-    fn promises(
+    fn guarantees_hold_for_any_plan(
         sites in proptest::collection::vec(10.0..1000.0f64, 2..5),
         profiles in proptest::collection::vec((0.1..4.0f64, 0.1..10.0f64, 0.0..0.3f64), 1..4),
         demand in proptest::collection::vec(0.0..400.0f64, 12),
         ways in proptest::collection::vec(1.0..90.0f64, 6),
-        gone in 0usize..4,
+        lost_index in 0usize..4,
     ) {
-        let plan = drawn(&sites, &profiles, &demand, &ways);
-        let lost = BTreeSet::from([SiteId(gone % sites.len())]);
-        let found = plan_failover(&plan, &lost, LoadLevel::Peak);
+        let plan = plan_of(&sites, &profiles, &demand, &ways);
+        let lost = BTreeSet::from([SiteId(lost_index % sites.len())]);
+        let failover = plan_failover(&plan, &lost, LoadLevel::Peak);
         for site in plan.site_ids() {
-            let room = if lost.contains(&site) { 0.0 } else { plan.usable_capacity(site) };
-            prop_assert!(found.assigned_work(&plan, site) <= room * (1.0 + 1e-6) + 1e-6);
+            let capacity = if lost.contains(&site) { 0.0 } else { plan.usable_capacity(site) };
+            prop_assert!(failover.assigned_work(&plan, site) <= capacity * (1.0 + 1e-6) + 1e-6);
         }
-        for ((from, to, profile), rate) in &found.routed {
+        for ((from, to, profile), rate) in &failover.routed {
             prop_assert!(*rate >= 0.0 && (from == to || lost.contains(from)));
             prop_assert!(plan.can_serve(*from, *to, *profile));
         }
         for site in plan.site_ids() {
             for profile in plan.profile_ids() {
-                let goes: f64 = plan.site_ids().filter_map(|to| found.routed.get(&(site, to, profile))).sum();
-                let refused = found.rejected.get(&(site, profile)).copied().unwrap_or(0.0);
-                let asked = plan.demand(site, profile, LoadLevel::Peak);
-                prop_assert!((goes + refused - asked).abs() < 1e-6 * (1.0 + asked), "{goes} {refused} {asked}");
+                let routed: f64 = plan.site_ids().filter_map(|to| failover.routed.get(&(site, to, profile))).sum();
+                let rejected = failover.rejected.get(&(site, profile)).copied().unwrap_or(0.0);
+                let demand = plan.demand(site, profile, LoadLevel::Peak);
+                prop_assert!((routed + rejected - demand).abs() < 1e-6 * (1.0 + demand), "{routed} {rejected} {demand}");
             }
         }
-        prop_assert!(found.served_payoff <= max_payoff(&plan, &lost, LoadLevel::Peak) * (1.0 + 1e-6) + 1e-6);
+        prop_assert!(failover.served_payoff <= max_payoff(&plan, &lost, LoadLevel::Peak) * (1.0 + 1e-6) + 1e-6);
     }
 
-    /// What is let in fits, keeps floors where all floors fit, and never lets the less dear in more than the dearer; of two
-    /// that are equally dear both alike, and a tenth more makes no cliff.
+    /// The admitted work fits, floors are kept if all of them fit, and a profile of higher payoff density never gets
+    /// the smaller share. Profiles of equal density get equal shares, and a tenth more makes no cliff.
     #[test]
-    fn order_without_a_cliff(
+    fn shares_follow_payoff_density_without_a_cliff(
         profiles in proptest::collection::vec((0.1..4.0f64, 0.1..10.0f64, 0.0..0.2f64), 2..5),
         rates in proptest::collection::vec(0.1..100.0f64, 5),
-        room in 1.0..300.0f64,
+        capacity in 1.0..300.0f64,
     ) {
         let mut profiles = profiles;
         let (work, payoff, _) = profiles[0];
         profiles[1] = (work, payoff * 1.1, profiles[0].2);
-        let plan = drawn(&[100.0, 100.0], &profiles, &[1.0], &[1.0]);
-        let asked: BTreeMap<ProfileId, f64> = plan.profile_ids().zip(rates).collect();
-        let shares = admitted_shares(&plan, &asked, room);
+        let plan = plan_of(&[100.0, 100.0], &profiles, &[1.0], &[1.0]);
+        let demand: BTreeMap<ProfileId, f64> = plan.profile_ids().zip(rates).collect();
+        let shares = admitted_shares(&plan, &demand, capacity);
         let work = |share: &dyn Fn(ProfileId) -> f64| -> f64 {
-            asked.iter().map(|(id, rate)| rate * plan.profile(*id).work * share(*id)).sum()
+            demand.iter().map(|(id, rate)| rate * plan.profile(*id).work * share(*id)).sum()
         };
-        prop_assert!(work(&|id| shares[&id]) <= room * (1.0 + 1e-6));
+        prop_assert!(work(&|id| shares[&id]) <= capacity * (1.0 + 1e-6));
         let floors = work(&|id| plan.profile(id).floor);
         for (id, share) in &shares {
             prop_assert!((0.0..=1.0).contains(share));
-            prop_assert!(floors > room || *share >= plan.profile(*id).floor - 1e-9);
-            for (other, than) in &shares {
-                let dearer = plan.profile(*id).density() >= plan.profile(*other).density();
+            prop_assert!(floors > capacity || *share >= plan.profile(*id).floor - 1e-9);
+            for (other, other_share) in &shares {
+                let is_denser = plan.profile(*id).density() >= plan.profile(*other).density();
                 let floor = plan.profile(*other).floor;
-                prop_assert!(floors > room || !dearer || *share >= *than - 1e-6 || *than <= floor + 1e-9);
+                prop_assert!(floors > capacity || !is_denser || *share >= *other_share - 1e-6 || *other_share <= floor + 1e-9);
             }
         }
-        prop_assert!(floors > room || shares[&ProfileId(1)] <= shares[&ProfileId(0)].max(profiles[0].2) * 1.8 + 1e-6);
+        prop_assert!(floors > capacity || shares[&ProfileId(1)] <= shares[&ProfileId(0)].max(profiles[0].2) * 1.8 + 1e-6);
     }
 
-    /// The best is the best: no drawn way of dealing out serves more.
+    /// No random distribution serves more than the computed optimum.
     #[test]
-    fn nothing_drawn_beats_the_best(
+    fn no_random_distribution_beats_the_optimum(
         sites in proptest::collection::vec(10.0..100.0f64, 2..4),
         profiles in proptest::collection::vec((0.5..2.0f64, 0.5..5.0f64, Just(0.0)), 1..4),
         demand in proptest::collection::vec(0.0..80.0f64, 9),
         ways in proptest::collection::vec(1.0..90.0f64, 3),
         order in proptest::collection::vec(0usize..1000, 40),
     ) {
-        let plan = drawn(&sites, &profiles, &demand, &ways);
+        let plan = plan_of(&sites, &profiles, &demand, &ways);
         let lost = BTreeSet::from([SiteId(0)]);
-        let mut left: Vec<f64> = plan.site_ids().map(|site| if site.0 == 0 { 0.0 } else { plan.usable_capacity(site) }).collect();
-        let mut open: BTreeMap<(SiteId, ProfileId), f64> = plan.site_ids()
+        let mut free_capacity: Vec<f64> = plan.site_ids().map(|site| if site.0 == 0 { 0.0 } else { plan.usable_capacity(site) }).collect();
+        let mut unplaced: BTreeMap<(SiteId, ProfileId), f64> = plan.site_ids()
             .flat_map(|site| plan.profile_ids().map(move |profile| (site, profile)))
-            .map(|place| (place, plan.demand(place.0, place.1, LoadLevel::Peak)))
+            .map(|origin| (origin, plan.demand(origin.0, origin.1, LoadLevel::Peak)))
             .collect();
         let mut served = 0.0;
         for number in order {
-            let places: Vec<(SiteId, ProfileId)> = open.keys().copied().collect();
-            let (from, profile) = places[number % places.len()];
+            let origins: Vec<(SiteId, ProfileId)> = unplaced.keys().copied().collect();
+            let (from, profile) = origins[number % origins.len()];
             let to = SiteId(1 + (number / 7) % (sites.len() - 1));
             if plan.can_serve(from, to, profile) && (from == to || from.0 == 0) {
                 let work = plan.profile(profile).work;
-                let rate = open[&(from, profile)].min(left[to.0] / work);
-                *open.entry((from, profile)).or_default() -= rate;
-                left[to.0] -= rate * work;
+                let rate = unplaced[&(from, profile)].min(free_capacity[to.0] / work);
+                *unplaced.entry((from, profile)).or_default() -= rate;
+                free_capacity[to.0] -= rate * work;
                 served += rate * plan.profile(profile).payoff;
             }
         }
@@ -187,22 +188,22 @@
     }
 }
 
-/// A plan that promises twice what a site can do, or half of it: what is let in comes to what can be done within a minute,
-/// by what is seen; dearer commands are let in first all the way, and own clients no less than guests.
+/// For plans that are wrong by half in either direction the admitted work reaches the true capacity within a minute.
+/// Valuable commands always have the larger share, and local clients no smaller one than displaced clients.
 #[test]
-fn a_plan_that_is_wrong_by_half() {
+fn a_plan_wrong_by_half_is_corrected() {
     let plan = example();
-    for wrong in [0.5, 1.0, 1.5] {
+    for true_share in [0.5, 1.0, 1.5] {
         let mut gate = AdmissionGate::new(&plan, plan.usable_capacity(SiteId(0)));
-        let truth = plan.usable_capacity(SiteId(0)) * wrong;
-        let asked: BTreeMap<ProfileId, f64> =
+        let true_capacity = plan.usable_capacity(SiteId(0)) * true_share;
+        let demand: BTreeMap<ProfileId, f64> =
             plan.profile_ids().map(|id| (id, plan.demand(SiteId(0), id, LoadLevel::Peak))).collect();
         let work = |of: &BTreeMap<ProfileId, f64>| -> f64 {
             of.iter().map(|(id, rate)| rate * plan.profile(*id).work).sum()
         };
-        let mut done = 0.0;
+        let mut throughput = 0.0;
         for _ in 0..90 {
-            let share = |whose, id: ProfileId| gate.admitted_share(whose, id);
+            let share = |origin, id: ProfileId| gate.admitted_share(origin, id);
             for id in plan.profile_ids() {
                 assert!(share(ClientOrigin::Local, id) >= share(ClientOrigin::Displaced, id) - 1e-9);
             }
@@ -210,108 +211,105 @@
                 share(ClientOrigin::Displaced, ProfileId(0)) >= share(ClientOrigin::Displaced, ProfileId(1))
             );
             let both = |id: ProfileId| share(ClientOrigin::Local, id) + share(ClientOrigin::Displaced, id);
-            let let_in: BTreeMap<ProfileId, f64> =
-                asked.iter().map(|(id, rate)| (*id, rate * both(*id))).collect();
-            // Beyond what it can do ever less is in time.
-            let over = work(&let_in) / truth;
-            let good = if over <= 1.0 { 1.0 } else { over.powi(-4) };
-            let in_goal: BTreeMap<ProfileId, f64> =
-                let_in.iter().map(|(id, rate)| (*id, rate * good)).collect();
-            done = work(&in_goal);
-            let ended = let_in.clone();
+            let admitted: BTreeMap<ProfileId, f64> =
+                demand.iter().map(|(id, rate)| (*id, rate * both(*id))).collect();
+            // Beyond the true capacity, the more is admitted the smaller the share in time.
+            let load = work(&admitted) / true_capacity;
+            let within_goal_share = if load <= 1.0 { 1.0 } else { load.powi(-4) };
+            let within_goal: BTreeMap<ProfileId, f64> =
+                admitted.iter().map(|(id, rate)| (*id, rate * within_goal_share)).collect();
+            throughput = work(&within_goal);
+            let ended = admitted.clone();
             gate.on_second(
                 &plan,
-                &SecondCounts {
-                    requested: [asked.clone(), asked.clone()],
-                    admitted: let_in,
-                    ended,
-                    within_goal: in_goal,
-                },
+                &SecondCounts { requested: [demand.clone(), demand.clone()], admitted, ended, within_goal },
                 true,
             );
         }
-        assert!(done > 0.85 * truth.min(work(&asked) * 2.0), "{wrong}: {done:.0} of {truth:.0}");
+        assert!(
+            throughput > 0.85 * true_capacity.min(work(&demand) * 2.0),
+            "{true_share}: {throughput:.0} of {true_capacity:.0}"
+        );
     }
 }
 
-/// A node with twenty commands a second, a few of which are late by chance alone: what can be done is let in. Verdict by
-/// single seconds, one or two late ones kept it closed.
+/// At a node with twenty commands a second, a few of which are late by chance, the possible work is admitted.
+/// Verdicts on single seconds kept the gate closed after one or two late commands.
 #[test]
-fn few_commands() {
+fn few_commands_do_not_close_the_gate() {
     let plan = example();
-    let dear = ProfileId(0);
+    let profile = ProfileId(0);
     for per_s in [8.0, 20.0, 200.0] {
-        let mut chance = ChaCha8Rng::seed_from_u64(5);
-        // What is asked is a fifth more than can be done, and the plan is right.
-        let (truth, asked) = (per_s * plan.profile(dear).work, BTreeMap::from([(dear, per_s * 1.2)]));
-        let mut gate = AdmissionGate::new(&plan, truth);
-        let (mut done, mut let_in_all, seconds) = (0.0, 0.0, 200);
+        let mut rng = ChaCha8Rng::seed_from_u64(5);
+        // The demand is a fifth above the capacity, and the plan is right.
+        let (true_capacity, demand) =
+            (per_s * plan.profile(profile).work, BTreeMap::from([(profile, per_s * 1.2)]));
+        let mut gate = AdmissionGate::new(&plan, true_capacity);
+        let (mut total_within_goal, mut total_admitted, seconds) = (0.0, 0.0, 200);
         for _ in 0..seconds {
-            let rate = asked[&dear] * gate.admitted_share(ClientOrigin::Local, dear);
-            // Drawn singly, as commands come.
-            let count = (0..1000).filter(|_| chance.random_bool(rate / 1000.0)).count();
-            let late = if rate > per_s { 0.03 + (rate / per_s - 1.0) } else { 0.03 };
-            let good = (0..count).filter(|_| !chance.random_bool(late)).count();
-            (done, let_in_all) = (done + good as f64, let_in_all + count as f64);
-            let one = |count: usize| BTreeMap::from([(dear, count as f64)]);
-            let (let_in, ended, in_goal) = (one(count), one(count), one(good));
-            let asked = [asked.clone(), BTreeMap::new()];
+            let rate = demand[&profile] * gate.admitted_share(ClientOrigin::Local, profile);
+            // Drawn one by one, as commands arrive.
+            let count = (0..1000).filter(|_| rng.random_bool(rate / 1000.0)).count();
+            let late_share = if rate > per_s { 0.03 + (rate / per_s - 1.0) } else { 0.03 };
+            let within_goal = (0..count).filter(|_| !rng.random_bool(late_share)).count();
+            (total_within_goal, total_admitted) =
+                (total_within_goal + within_goal as f64, total_admitted + count as f64);
+            let rates = |count: usize| BTreeMap::from([(profile, count as f64)]);
+            let (admitted, ended, within_goal_rates) = (rates(count), rates(count), rates(within_goal));
+            let demand = [demand.clone(), BTreeMap::new()];
             gate.on_second(
                 &plan,
-                &SecondCounts { requested: asked, admitted: let_in, ended, within_goal: in_goal },
+                &SecondCounts { requested: demand, admitted, ended, within_goal: within_goal_rates },
                 true,
             );
         }
-        let part = done / per_s / f64::from(seconds);
-        assert!(part > 0.85, "{per_s} a second: {part:.3} of what can be done, {let_in_all} let in");
+        let served_share = total_within_goal / per_s / f64::from(seconds);
+        assert!(
+            served_share > 0.85,
+            "{per_s} a second: {served_share:.3} of the possible work, {total_admitted} admitted"
+        );
     }
 }
 
-/// Where all that is asked has room nothing is refused: a false alarm costs nothing; and one that is over leaves nothing.
+/// Where the capacity suffices for the demand nothing is rejected, so a false alarm costs nothing, and its end leaves
+/// no limit.
 #[test]
-fn a_false_alarm() {
+fn a_false_alarm_rejects_nothing() {
     let plan = example();
     let mut gate = AdmissionGate::new(&plan, plan.usable_capacity(SiteId(0)));
-    let asked: BTreeMap<ProfileId, f64> =
+    let demand: BTreeMap<ProfileId, f64> =
         plan.profile_ids().map(|id| (id, plan.demand(SiteId(0), id, LoadLevel::Usual))).collect();
-    let all = |gate: &AdmissionGate| {
+    let admits_all = |gate: &AdmissionGate| {
         plan.profile_ids().all(|id| gate.admitted_share(ClientOrigin::Local, id) == 1.0)
     };
     for _ in 0..20 {
-        let (let_in, ended, in_goal) = (asked.clone(), asked.clone(), asked.clone());
+        let (admitted, ended, within_goal) = (demand.clone(), demand.clone(), demand.clone());
         gate.on_second(
             &plan,
-            &SecondCounts {
-                requested: [asked.clone(), BTreeMap::new()],
-                admitted: let_in,
-                ended,
-                within_goal: in_goal,
-            },
+            &SecondCounts { requested: [demand.clone(), BTreeMap::new()], admitted, ended, within_goal },
             true,
         );
-        assert!(all(&gate));
+        assert!(admits_all(&gate));
     }
-    let much: BTreeMap<ProfileId, f64> = asked.iter().map(|(id, rate)| (*id, rate * 5.0)).collect();
+    let high_demand: BTreeMap<ProfileId, f64> = demand.iter().map(|(id, rate)| (*id, rate * 5.0)).collect();
     for _ in 0..20 {
         gate.on_second(
             &plan,
-            &SecondCounts { requested: [much.clone(), much.clone()], ..SecondCounts::default() },
+            &SecondCounts {
+                requested: [high_demand.clone(), high_demand.clone()],
+                ..SecondCounts::default()
+            },
             true,
         );
     }
-    assert!(!all(&gate));
+    assert!(!admits_all(&gate));
     gate.on_second(&plan, &SecondCounts::default(), false);
-    assert!(all(&gate) && gate.capacity == plan.usable_capacity(SiteId(0)));
-    // What was done in time before a loss can be done, whatever the plan says.
-    let mut low = AdmissionGate::new(&plan, plan.usable_capacity(SiteId(0)) * 0.3);
-    let (let_in, ended, in_goal) = (asked.clone(), asked.clone(), asked.clone());
-    let second = SecondCounts {
-        requested: [asked.clone(), BTreeMap::new()],
-        admitted: let_in,
-        ended,
-        within_goal: in_goal,
-    };
-    low.on_second(&plan, &second, false);
-    low.on_second(&plan, &second, true);
-    assert!(all(&low));
+    assert!(admits_all(&gate) && gate.capacity == plan.usable_capacity(SiteId(0)));
+    // Throughput reached in time before a loss can be reached again, whatever the plan says.
+    let mut low_gate = AdmissionGate::new(&plan, plan.usable_capacity(SiteId(0)) * 0.3);
+    let (admitted, ended, within_goal) = (demand.clone(), demand.clone(), demand.clone());
+    let second = SecondCounts { requested: [demand.clone(), BTreeMap::new()], admitted, ended, within_goal };
+    low_gate.on_second(&plan, &second, false);
+    low_gate.on_second(&plan, &second, true);
+    assert!(admits_all(&low_gate));
 }
--- a/crates/sites/tests/knowing.rs
+++ b/crates/sites/tests/knowing.rs
@@ -1,4 +1,4 @@
-//! What is known of a site, and how one that is back is let in.
+//! Detection of the state of a site, and the slow start of a site that returns.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -6,7 +6,8 @@
 use sites::return_ramp::ReturnRamp;
 use yarrowfront::times::{Micros, Timestamp};
 
-fn whole() -> Evidence {
+/// Evidence of a healthy site.
+fn healthy() -> Evidence {
     Evidence {
         live_nodes: Some((4, 4)),
         ready_backends: Some((10, 10)),
@@ -16,286 +17,293 @@
     }
 }
 
-/// The same evidence twice a second for so many seconds.
-fn look(knowing: &mut SiteDetector, from: u64, seconds: u64, found: &Evidence) -> u64 {
+/// Observes the same evidence twice a second. Returns the time at the end, in seconds.
+fn observe(detector: &mut SiteDetector, from: u64, seconds: u64, evidence: &Evidence) -> u64 {
     for half in 0..seconds * 2 {
-        knowing.observe(Timestamp((from * 2 + half) * 500_000), found);
+        detector.observe(Timestamp((from * 2 + half) * 500_000), evidence);
     }
     from + seconds
 }
 
-/// What each picture comes to: a loss takes two kinds of evidence, and what explains itself otherwise is none.
+/// The state for each combination of evidence: a loss takes two kinds of evidence, and evidence with another
+/// explanation does not count.
 #[test]
-fn pictures() {
-    let dead = Evidence { answered: 0, unanswered: 9, ..whole() };
-    let old = Micros::from_millis(30_000);
+fn evidence_determines_the_state() {
+    let unanswered = Evidence { answered: 0, unanswered: 9, ..healthy() };
+    let outdated = Micros::from_millis(30_000);
     let cases = [
-        ("all is well", whole(), SiteState::Healthy, StateReason::Answers),
+        ("all is well", healthy(), SiteState::Healthy, StateReason::Answers),
         (
             "all of it is gone",
-            Evidence { live_nodes: Some((0, 4)), ready_backends: Some((0, 10)), ..dead },
+            Evidence { live_nodes: Some((0, 4)), ready_backends: Some((0, 10)), ..unanswered },
             SiteState::Lost,
             StateReason::NodesAndLaunches,
         ),
         (
             "its nodes and its answers",
-            Evidence { live_nodes: Some((0, 4)), ready_backends: None, ..dead },
+            Evidence { live_nodes: Some((0, 4)), ready_backends: None, ..unanswered },
             SiteState::Lost,
             StateReason::NodesAndLaunches,
         ),
         (
             "without a view",
-            Evidence { live_nodes: None, ready_backends: Some((0, 10)), ..dead },
+            Evidence { live_nodes: None, ready_backends: Some((0, 10)), ..unanswered },
             SiteState::Lost,
             StateReason::ListAndLaunches,
         ),
         (
             "before anything was sent",
-            Evidence { live_nodes: Some((0, 4)), ready_backends: Some((0, 10)), answered: 0, ..whole() },
+            Evidence { live_nodes: Some((0, 4)), ready_backends: Some((0, 10)), answered: 0, ..healthy() },
             SiteState::Lost,
             StateReason::NodesAndList,
         ),
         (
             "a cut between sites",
-            Evidence { live_nodes: Some((0, 4)), ..dead },
+            Evidence { live_nodes: Some((0, 4)), ..unanswered },
             SiteState::Unreachable,
             StateReason::PathCut,
         ),
         (
             "this node alone",
-            Evidence { live_nodes: Some((0, 4)), node_is_isolated: true, ..dead },
+            Evidence { live_nodes: Some((0, 4)), node_is_isolated: true, ..unanswered },
             SiteState::Unreachable,
             StateReason::Isolated,
         ),
         (
             "nothing answers anywhere",
-            Evidence { live_nodes: Some((0, 4)), other_sites: (0, 9), ..dead },
+            Evidence { live_nodes: Some((0, 4)), other_sites: (0, 9), ..unanswered },
             SiteState::Unreachable,
             StateReason::Isolated,
         ),
         (
             "its nodes live, its backends are gone",
-            Evidence { ready_backends: Some((0, 10)), live_nodes: None, ..dead },
+            Evidence { ready_backends: Some((0, 10)), live_nodes: None, ..unanswered },
             SiteState::Lost,
             StateReason::ListAndLaunches,
         ),
         (
             "its nodes are gone, its backends live",
-            Evidence { live_nodes: Some((0, 4)), ..whole() },
+            Evidence { live_nodes: Some((0, 4)), ..healthy() },
             SiteState::Impaired,
             StateReason::Partial,
         ),
-        ("its backends do not answer, its nodes live", dead, SiteState::Impaired, StateReason::Partial),
+        ("its backends do not answer, its nodes live", unanswered, SiteState::Impaired, StateReason::Partial),
         (
             "discovery is down",
-            Evidence { list_age: old, ready_backends: Some((0, 10)), ..whole() },
+            Evidence { list_age: outdated, ready_backends: Some((0, 10)), ..healthy() },
             SiteState::Healthy,
             StateReason::Answers,
         ),
         (
-            "a list that empties itself",
-            Evidence { list_is_empty: true, ready_backends: Some((0, 10)), ..whole() },
+            "the whole list is empty",
+            Evidence { list_is_empty: true, ready_backends: Some((0, 10)), ..healthy() },
             SiteState::Healthy,
             StateReason::Answers,
         ),
         (
             "a deploy",
-            Evidence { ready_backends: Some((7, 10)), ..whole() },
+            Evidence { ready_backends: Some((7, 10)), ..healthy() },
             SiteState::Healthy,
             StateReason::Answers,
         ),
         (
             "half of it",
-            Evidence { ready_backends: Some((5, 10)), ..whole() },
+            Evidence { ready_backends: Some((5, 10)), ..healthy() },
+            SiteState::Impaired,
+            StateReason::Partial,
+        ),
+        (
+            "an overload",
+            Evidence { slow_answers: 40, ..healthy() },
             SiteState::Impaired,
             StateReason::Partial,
         ),
-        ("an overload", Evidence { slow_answers: 40, ..whole() }, SiteState::Impaired, StateReason::Partial),
         (
             "nothing is sent there",
-            Evidence { answered: 0, live_nodes: None, ready_backends: None, ..whole() },
+            Evidence { answered: 0, live_nodes: None, ready_backends: None, ..healthy() },
             SiteState::Healthy,
             StateReason::NoEvidence,
         ),
     ];
-    for (name, found, state, why) in cases {
-        let mut knowing = SiteDetector::new(Timestamp(0), DetectionTimes::default());
-        look(&mut knowing, 0, 6, &found);
-        assert_eq!(knowing.state, state, "{name}: {:?}", knowing.reason);
-        let weighed = SiteDetector::new(Timestamp(0), DetectionTimes::default()).assess(&found);
-        assert_eq!(weighed, (state, why), "{name}");
+    for (name, evidence, state, reason) in cases {
+        let mut detector = SiteDetector::new(Timestamp(0), DetectionTimes::default());
+        observe(&mut detector, 0, 6, &evidence);
+        assert_eq!(detector.state, state, "{name}: {:?}", detector.reason);
+        let assessed = SiteDetector::new(Timestamp(0), DetectionTimes::default()).assess(&evidence);
+        assert_eq!(assessed, (state, reason), "{name}");
     }
 }
 
-/// Of nodes, list and launches no single one makes a loss, whatever the other two do not say; and who answers is not lost.
+/// None of nodes, list and launches makes a loss alone, whatever the others lack; and a site that answers is not
+/// lost.
 #[test]
 fn no_single_kind_of_evidence() {
-    let nodes = [None, Some((0, 4)), Some((4, 4))];
-    let listed = [None, Some((0, 10)), Some((10, 10))];
-    for nodes in nodes {
-        for listed in listed {
-            for (answered, dead) in [(0, 0), (0, 9), (9, 0)] {
-                for (isolated, emptied) in [(false, false), (true, false), (false, true)] {
-                    let found = Evidence {
-                        live_nodes: nodes,
-                        ready_backends: listed,
+    let live_nodes = [None, Some((0, 4)), Some((4, 4))];
+    let ready_backends = [None, Some((0, 10)), Some((10, 10))];
+    for live_nodes in live_nodes {
+        for ready_backends in ready_backends {
+            for (answered, unanswered) in [(0, 0), (0, 9), (9, 0)] {
+                for (is_isolated, list_is_empty) in [(false, false), (true, false), (false, true)] {
+                    let evidence = Evidence {
+                        live_nodes,
+                        ready_backends,
                         answered,
-                        unanswered: dead,
-                        node_is_isolated: isolated,
-                        list_is_empty: emptied,
+                        unanswered,
+                        node_is_isolated: is_isolated,
+                        list_is_empty,
                         other_sites: (9, 0),
                         ..Evidence::default()
                     };
                     let (state, _) =
-                        SiteDetector::new(Timestamp(0), DetectionTimes::default()).assess(&found);
-                    let against = [
-                        nodes == Some((0, 4)),
-                        listed == Some((0, 10)) && !emptied,
-                        dead > 0 && answered == 0,
+                        SiteDetector::new(Timestamp(0), DetectionTimes::default()).assess(&evidence);
+                    let signs = [
+                        live_nodes == Some((0, 4)),
+                        ready_backends == Some((0, 10)) && !list_is_empty,
+                        unanswered > 0 && answered == 0,
                     ];
-                    let kinds = against.iter().filter(|against| **against).count();
-                    assert!(state != SiteState::Lost || kinds >= 2, "{found:?}");
-                    assert!(answered == 0 || state.accepts_new_commands(), "{found:?}");
+                    let kinds = signs.iter().filter(|signs| **signs).count();
+                    assert!(state != SiteState::Lost || kinds >= 2, "{evidence:?}");
+                    assert!(answered == 0 || state.accepts_new_commands(), "{evidence:?}");
                 }
             }
         }
     }
 }
 
-/// A site that flaps every eight seconds is lost once, and is not whole before it has been there for good.
+/// A site that flaps every eight seconds is lost once, and healthy only after it has stayed up.
 #[test]
-fn flapping() {
-    let gone = Evidence {
+fn a_flapping_site_stays_lost() {
+    let lost = Evidence {
         live_nodes: Some((0, 4)),
         ready_backends: Some((0, 10)),
         answered: 0,
         unanswered: 9,
-        ..whole()
+        ..healthy()
     };
-    let mut knowing = SiteDetector::new(Timestamp(0), DetectionTimes::default());
-    let mut at = look(&mut knowing, 0, 5, &whole());
-    let mut whole_again = 0;
+    let mut detector = SiteDetector::new(Timestamp(0), DetectionTimes::default());
+    let mut at = observe(&mut detector, 0, 5, &healthy());
+    let mut healthy_again = 0;
     for _ in 0..10 {
-        at = look(&mut knowing, at, 4, &gone);
-        assert!(!knowing.state.accepts_new_commands(), "{:?}", knowing.state);
-        at = look(&mut knowing, at, 4, &whole());
-        whole_again += usize::from(knowing.state == SiteState::Healthy);
+        at = observe(&mut detector, at, 4, &lost);
+        assert!(!detector.state.accepts_new_commands(), "{:?}", detector.state);
+        at = observe(&mut detector, at, 4, &healthy());
+        healthy_again += usize::from(detector.state == SiteState::Healthy);
     }
-    assert_eq!(whole_again, 0);
-    at = look(&mut knowing, at, 10, &whole());
-    assert_eq!(knowing.state, SiteState::Returning);
-    at = look(&mut knowing, at, 60, &whole());
-    assert_eq!(knowing.state, SiteState::Returning, "whoever paces it has not said that it is through");
-    knowing.on_return_complete();
-    look(&mut knowing, at, 60, &whole());
-    assert_eq!(knowing.state, SiteState::Healthy);
+    assert_eq!(healthy_again, 0);
+    at = observe(&mut detector, at, 10, &healthy());
+    assert_eq!(detector.state, SiteState::Returning);
+    at = observe(&mut detector, at, 60, &healthy());
+    assert_eq!(detector.state, SiteState::Returning, "its return is not complete");
+    detector.on_return_complete();
+    observe(&mut detector, at, 60, &healthy());
+    assert_eq!(detector.state, SiteState::Healthy);
 }
 
-/// An operator's word holds, is older news after its time, and is taken back.
+/// An operator's override holds, expires after its time, and can be removed.
 #[test]
-fn declared() {
+fn an_override_holds_and_expires() {
     let times =
         DetectionTimes { override_lifetime: Micros::from_millis(60_000), ..DetectionTimes::default() };
-    let mut knowing = SiteDetector::new(Timestamp(0), times);
-    let mut at = look(&mut knowing, 0, 2, &whole());
-    knowing.set_override(Timestamp(at * 1_000_000), OperatorOverride::Lost);
-    at = look(&mut knowing, at, 30, &whole());
-    assert_eq!((knowing.state, knowing.reason), (SiteState::Lost, StateReason::Operator));
-    knowing.set_override(Timestamp(at * 1_000_000), OperatorOverride::HoldLost);
-    at = look(&mut knowing, at, 30, &whole());
-    assert_eq!(knowing.state, SiteState::Lost, "it answers, and is not to come back yet");
-    knowing.set_override(Timestamp(at * 1_000_000), OperatorOverride::Clear);
-    at = look(&mut knowing, at, 8, &whole());
-    assert_eq!(knowing.state, SiteState::Returning);
+    let mut detector = SiteDetector::new(Timestamp(0), times);
+    let mut at = observe(&mut detector, 0, 2, &healthy());
+    detector.set_override(Timestamp(at * 1_000_000), OperatorOverride::Lost);
+    at = observe(&mut detector, at, 30, &healthy());
+    assert_eq!((detector.state, detector.reason), (SiteState::Lost, StateReason::Operator));
+    detector.set_override(Timestamp(at * 1_000_000), OperatorOverride::HoldLost);
+    at = observe(&mut detector, at, 30, &healthy());
+    assert_eq!(detector.state, SiteState::Lost, "it answers, and is held lost");
+    detector.set_override(Timestamp(at * 1_000_000), OperatorOverride::Clear);
+    at = observe(&mut detector, at, 8, &healthy());
+    assert_eq!(detector.state, SiteState::Returning);
     let mut other = SiteDetector::new(Timestamp(0), times);
     other.set_override(Timestamp(0), OperatorOverride::Lost);
-    look(&mut other, 0, 120, &whole());
-    assert_eq!(other.state, SiteState::Returning, "never for good");
+    observe(&mut other, 0, 120, &healthy());
+    assert_eq!(other.state, SiteState::Returning, "an override expires");
     let _ = at;
 }
 
-/// From whatever state, by whatever evidence and words: with good evidence for long it is whole again. And the pace that goes
-/// with it: it grows by earned steps alone, falls to nothing at a loss, and waits longer after each, to a bound.
+/// From any state, after any evidence and overrides, a site with good evidence for long enough is healthy again. Its
+/// return ramp grows only by earned steps, falls to zero at a loss and waits longer after each loss, up to a limit.
 #[test]
-fn walks() {
+fn every_state_leads_back_to_healthy() {
     for seed in 0..300 {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let mut knowing = SiteDetector::new(
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut detector = SiteDetector::new(
             Timestamp(0),
             DetectionTimes { override_lifetime: Micros::from_millis(20_000), ..DetectionTimes::default() },
         );
-        let mut coming = ReturnRamp::healthy(Timestamp(0));
-        let (mut share, mut since) = (1.0, 0);
+        let mut ramp = ReturnRamp::healthy(Timestamp(0));
+        let (mut share, mut changed_at) = (1.0, 0);
         for step in 0..1400u64 {
             let now = Timestamp(step * 500_000);
-            let calm = step >= 600;
-            let pick = |chance: &mut ChaCha8Rng, of: u32| if calm { 0 } else { chance.random_range(0..of) };
-            let found = Evidence {
-                live_nodes: [Some((4, 4)), Some((0, 4)), None][pick(&mut chance, 3) as usize],
-                ready_backends: [Some((10, 10)), Some((0, 10)), None][pick(&mut chance, 3) as usize],
-                node_is_isolated: pick(&mut chance, 8) == 1,
-                list_is_empty: pick(&mut chance, 8) == 1,
-                answered: [9, 0][pick(&mut chance, 2) as usize],
-                unanswered: [0, 9][pick(&mut chance, 2) as usize],
-                other_sites: [(9, 0), (0, 9)][pick(&mut chance, 2) as usize],
+            let is_calm = step >= 600;
+            let pick = |rng: &mut ChaCha8Rng, of: u32| if is_calm { 0 } else { rng.random_range(0..of) };
+            let evidence = Evidence {
+                live_nodes: [Some((4, 4)), Some((0, 4)), None][pick(&mut rng, 3) as usize],
+                ready_backends: [Some((10, 10)), Some((0, 10)), None][pick(&mut rng, 3) as usize],
+                node_is_isolated: pick(&mut rng, 8) == 1,
+                list_is_empty: pick(&mut rng, 8) == 1,
+                answered: [9, 0][pick(&mut rng, 2) as usize],
+                unanswered: [0, 9][pick(&mut rng, 2) as usize],
+                other_sites: [(9, 0), (0, 9)][pick(&mut rng, 2) as usize],
                 ..Evidence::default()
             };
-            if !calm && chance.random_range(0..40) == 0 {
-                knowing.set_override(
+            if !is_calm && rng.random_range(0..40) == 0 {
+                detector.set_override(
                     now,
                     [OperatorOverride::Lost, OperatorOverride::HoldLost, OperatorOverride::Clear]
-                        [chance.random_range(0..3)],
+                        [rng.random_range(0..3)],
                 );
             }
-            knowing.observe(now, &found);
-            if knowing.state.accepts_new_commands() {
-                coming.on_return(now);
+            detector.observe(now, &evidence);
+            if detector.state.accepts_new_commands() {
+                ramp.on_return(now);
             } else {
-                coming.on_lost(now);
+                ramp.on_lost(now);
             }
-            let good = if calm { 40.0 } else { 40.0 * f64::from(chance.random_range(0..2u8)) };
-            if coming.on_answers(now, 40.0, good) {
-                knowing.on_return_complete();
+            let within_goal = if is_calm { 40.0 } else { 40.0 * f64::from(rng.random_range(0..2u8)) };
+            if ramp.on_answers(now, 40.0, within_goal) {
+                detector.on_return_complete();
             }
-            let (before, at) = (share, since);
-            share = coming.load_share();
+            let (before, at) = (share, changed_at);
+            share = ramp.load_share();
             if share != before {
-                since = step;
+                changed_at = step;
             }
-            // Faster than a step in two seconds it does not grow, nor by more than a step.
-            let first = before == 0.0 && share < 0.06;
+            // The share grows by one step in two seconds at most.
+            let is_first_step = before == 0.0 && share < 0.06;
             assert!(
-                share <= before || first || share <= before * 1.6 + 1e-9 && step - at >= 4,
+                share <= before || is_first_step || share <= before * 1.6 + 1e-9 && step - at >= 4,
                 "{before} {share}"
             );
-            assert!(coming.releasable_share() <= share, "let go before it was taken");
-            assert!(coming.backoff() <= Micros::from_millis(120_000));
-            assert!(knowing.state.accepts_new_commands() || share == 0.0);
+            assert!(ramp.releasable_share() <= share, "released before it was taken");
+            assert!(ramp.backoff() <= Micros::from_millis(120_000));
+            assert!(detector.state.accepts_new_commands() || share == 0.0);
         }
-        assert_eq!((knowing.state, share), (SiteState::Healthy, 1.0), "seed {seed}: {:?}", knowing.reason);
+        assert_eq!((detector.state, share), (SiteState::Healthy, 1.0), "seed {seed}: {:?}", detector.reason);
     }
 }
 
-/// Each loss on the way back makes the next wait longer, to the bound; a whole return forgets that.
+/// Each loss during the return makes the next wait longer, up to the limit; a complete return resets it.
 #[test]
-fn waits() {
-    let mut coming = ReturnRamp::healthy(Timestamp(0));
+fn repeated_losses_lengthen_the_backoff() {
+    let mut ramp = ReturnRamp::healthy(Timestamp(0));
     let (mut now, mut waits) = (0u64, Vec::new());
     for _ in 0..9 {
-        coming.on_lost(Timestamp(now));
-        waits.push(coming.backoff().0 / 1_000_000);
-        let gone = now;
-        while coming.load_share() == 0.0 {
+        ramp.on_lost(Timestamp(now));
+        waits.push(ramp.backoff().0 / 1_000_000);
+        let lost_at = now;
+        while ramp.load_share() == 0.0 {
             now += 500_000;
-            coming.on_return(Timestamp(now));
+            ramp.on_return(Timestamp(now));
         }
-        assert!(now - gone >= coming.backoff().0);
+        assert!(now - lost_at >= ramp.backoff().0);
     }
     assert_eq!(waits, [2, 4, 8, 16, 32, 64, 120, 120, 120]);
-    while !coming.on_answers(Timestamp(now), 40.0, 40.0) {
+    while !ramp.on_answers(Timestamp(now), 40.0, 40.0) {
         now += 500_000;
     }
-    coming.reset_backoff();
-    coming.on_lost(Timestamp(now));
-    assert_eq!((coming.backoff().0 / 1_000_000, coming.failed_returns()), (2, 1));
+    ramp.reset_backoff();
+    ramp.on_lost(Timestamp(now));
+    assert_eq!((ramp.backoff().0 / 1_000_000, ramp.losses()), (2, 1));
 }
