--- a/crates/fleet/src/measure.rs
+++ b/crates/fleet/src/measure.rs
@@ -3,7 +3,7 @@
 use crate::net::{Law, Net};
 use std::net::SocketAddr;
 use yarrowfront::times::Span;
-use yarrowfront_view::terms::ViewTerms;
+use yarrowfront_view::config::ViewTerms;
 
 fn terms(listen: SocketAddr) -> ViewTerms {
     ViewTerms::plain("virtual", listen)
--- a/crates/fleet/src/net.rs
+++ b/crates/fleet/src/net.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
 use yarrowfront::times::{Moment, Span};
-use yarrowfront_view::card::{Card, Life, Phase};
+use yarrowfront_view::config::ViewTerms;
+use yarrowfront_view::node_info::{Card, Life, Phase};
 use yarrowfront_view::share::{Share, Sharer};
-use yarrowfront_view::terms::ViewTerms;
 use yarrowfront_view::view::{View, What};
 
 /// A process of a node; dead ones are kept, to be started again.
--- a/crates/fleet/src/search.rs
+++ b/crates/fleet/src/search.rs
@@ -9,9 +9,9 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 use yarrowfront::times::{Moment, Span};
-use yarrowfront_view::card::{Card, Edition, Life, Phase, Standing};
+use yarrowfront_view::config::ViewTerms;
+use yarrowfront_view::node_info::{Card, Edition, Life, Phase, Standing};
 use yarrowfront_view::share::{Places, Share, Sharer, Why, NONE};
-use yarrowfront_view::terms::ViewTerms;
 use yarrowfront_view::view::View;
 use yarrowfront_view::wire::{Datagram, Kind};
 
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -18,10 +18,10 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant};
 use yarrowfront::times::{Moment, Span};
-use yarrowfront_view::card::{Card, Life, Load, Phase};
+use yarrowfront_view::config::ViewTerms;
 use yarrowfront_view::member::Member;
+use yarrowfront_view::node_info::{Card, Life, Load, Phase};
 use yarrowfront_view::share::{Share, Sharer, Why};
-use yarrowfront_view::terms::ViewTerms;
 use yarrowfront_view::view::{View, What};
 use yarrowfront_view::wire::LARGEST;
 
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use yarrowfront::terms::Terms;
 use yarrowfront::times::Span;
-use yarrowfront_view::terms::ViewTerms;
+use yarrowfront_view::config::ViewTerms;
 
 pub struct Start {
     pub name: String,
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -653,7 +653,7 @@
 impl Fleet {
     /// An ask in the fleet's words by one whose card nobody has.
     fn ask(from: SocketAddr) -> Vec<u8> {
-        use yarrowfront_view::card::{Edition, Life};
+        use yarrowfront_view::node_info::{Edition, Life};
         use yarrowfront_view::wire::{Datagram, Kind, VERSION};
         let datagram = Datagram {
             version: VERSION,
--- a/crates/view/src/sums.rs
+++ b/crates/view/src/checksums.rs
@@ -1,6 +1,6 @@
 //! Sums over all that a node holds to be here, by which two of them find where they differ without telling all.
 
-use crate::card::{Edition, Life};
+use crate::node_info::{Edition, Life};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
 /// A name as a number, the same at every node.
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -4,11 +4,11 @@
 //! decisions may take from it.
 #![forbid(unsafe_code)]
 
-pub mod card;
+mod checksums;
+pub mod config;
 mod gossip;
 pub mod member;
+pub mod node_info;
 pub mod share;
-mod sums;
-pub mod terms;
 pub mod view;
 pub mod wire;
--- a/crates/view/src/member.rs
+++ b/crates/view/src/member.rs
@@ -1,6 +1,6 @@
 //! The books on one member, and how long a suspicion of it lasts.
 
-use crate::card::{Card, Edition, Life, Load, Standing};
+use crate::node_info::{Card, Edition, Life, Load, Standing};
 use yarrowfront::times::{Moment, Span};
 
 /// So many that suspect it independently make a suspicion as short as it gets (Lifeguard's K).
--- a/crates/view/src/share.rs
+++ b/crates/view/src/share.rs
@@ -9,8 +9,8 @@
 //! counts on more, and by the time it does (`sure` is at least four times `release`) whoever is not of it has let go:
 //! portions sum to one at most. `docs/view.md` has the argument whole, and a search shows it.
 
-use crate::card::Standing;
-use crate::terms::Times;
+use crate::config::Times;
+use crate::node_info::Standing;
 use crate::view::View;
 use std::collections::BTreeMap;
 use yarrowfront::times::{Moment, Span};
--- a/crates/view/src/view/learn.rs
+++ b/crates/view/src/view/merge.rs
@@ -1,9 +1,9 @@
 //! What is said of others is taken where it holds over what is believed; what is said of this node it knows better.
 
 use super::{Rival, View, What};
-use crate::card::{Edition, Life, Standing};
+use crate::checksums as sums;
 use crate::member::{suspicion, Member};
-use crate::sums;
+use crate::node_info::{Edition, Life, Standing};
 use crate::wire::{Datagram, Kind, News};
 use rand::RngExt;
 use std::net::SocketAddr;
--- a/crates/view/src/view/mod.rs
+++ b/crates/view/src/view/mod.rs
@@ -4,15 +4,15 @@
 //! same; a node raises its own edition, or its life, above whatever is said of it; nobody is called dead but after a
 //! suspicion that it had the time to refute; memory and work are bounded whatever arrives.
 
-mod ask;
-mod learn;
-mod speak;
+mod merge;
+mod probe;
+mod send;
 
-use crate::card::{Card, Edition, Life, Load, Standing};
+use crate::checksums as sums;
+use crate::config::ViewTerms;
 use crate::gossip::{Gossip, Purse};
 use crate::member::Member;
-use crate::sums;
-use crate::terms::ViewTerms;
+use crate::node_info::{Card, Edition, Life, Load, Standing};
 use crate::wire::{Datagram, Kind, Unread};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/view/src/view/ask.rs
+++ b/crates/view/src/view/probe.rs
@@ -1,8 +1,8 @@
 //! Asks: one member a round, others where it does not answer, seeds and the dead now and then; and answers to them.
 
 use super::{Asked, Purpose, Round, View, ASKS, CROWD, CUT, LOSSY, RELAYS, TRIES, TRIES_PER_S};
-use crate::card::Standing;
 use crate::member::{suspicion, CONFIRMERS};
+use crate::node_info::Standing;
 use crate::wire::{Datagram, Kind};
 use rand::seq::SliceRandom;
 use rand::RngExt;
--- a/crates/view/src/view/speak.rs
+++ b/crates/view/src/view/send.rs
@@ -1,8 +1,8 @@
 //! What goes out: datagrams, what they carry within the bytes there are, and sums to find what was missed.
 
 use super::{View, CROWD, FEW, OWED, TELLINGS};
-use crate::card::Standing;
-use crate::sums;
+use crate::checksums as sums;
+use crate::node_info::Standing;
 use crate::wire::{Datagram, Kind, News, LARGEST, VERSION};
 use rand::seq::SliceRandom;
 use rand::RngExt;
--- a/crates/view/src/wire.rs
+++ b/crates/view/src/wire.rs
@@ -1,7 +1,7 @@
 //! The words between nodes: one CBOR map a datagram, of at most 1,200 bytes. Keys that a build does not know are skipped,
 //! and a key that is not there has its least value, so that two builds live side by side.
 
-use crate::card::{place, Card, Edition, Life, Load, Standing};
+use crate::node_info::{place, Card, Edition, Life, Load, Standing};
 use minicbor::{Decode, Encode};
 use std::net::SocketAddr;
 
--- a/crates/view/tests/codec.rs
+++ b/crates/view/tests/codec.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 use std::net::SocketAddr;
 use yarrowfront::times::Moment;
-use yarrowfront_view::card::{Card, Edition, Life, Load, Phase, Standing};
-use yarrowfront_view::terms::ViewTerms;
+use yarrowfront_view::config::ViewTerms;
+use yarrowfront_view::node_info::{Card, Edition, Life, Load, Phase, Standing};
 use yarrowfront_view::view::View;
 use yarrowfront_view::wire::{Datagram, Kind, News, Unread, LARGEST, VERSION};
 
--- a/crates/view/tests/view.rs
+++ b/crates/view/tests/view.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 use yarrowfront::times::{Moment, Span};
-use yarrowfront_view::card::{Card, Edition, Life, Load, Phase, Standing};
+use yarrowfront_view::config::{Network, ViewTerms};
+use yarrowfront_view::node_info::{Card, Edition, Life, Load, Phase, Standing};
 use yarrowfront_view::share::{Places, Share, Sharer, Why, NONE};
-use yarrowfront_view::terms::{Network, ViewTerms};
 use yarrowfront_view::view::{View, What};
 use yarrowfront_view::wire::{Datagram, Kind, News, VERSION};
 
