--- a/crates/fleet/src/measure.rs
+++ b/crates/fleet/src/measure.rs
@@ -3,15 +3,15 @@
 use crate::net::{Law, Net};
 use std::net::SocketAddr;
 use yarrowfront::times::Span;
-use yarrowfront_view::config::ViewTerms;
+use yarrowfront_view::config::ViewConfig;
 
-fn terms(listen: SocketAddr) -> ViewTerms {
-    ViewTerms::plain("virtual", listen)
+fn config(listen: SocketAddr) -> ViewConfig {
+    ViewConfig::with_defaults("virtual", listen)
 }
 
 /// A fleet of so many that have found each other, at so much loss of a hundred. The second is how long it took.
 pub fn settled(seed: u64, nodes: usize, loss: f64) -> (Net, Option<Span>) {
-    let mut net = Net::new(seed, terms);
+    let mut net = Net::new(seed, config);
     for node in 0..nodes {
         net.start(node, nodes as u32, &[0, 1, 2]);
     }
--- a/crates/fleet/src/net.rs
+++ b/crates/fleet/src/net.rs
@@ -6,15 +6,15 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
 use yarrowfront::times::{Moment, Span};
-use yarrowfront_view::config::ViewTerms;
-use yarrowfront_view::node_info::{Card, Life, Phase};
-use yarrowfront_view::share::{Share, Sharer};
-use yarrowfront_view::view::{View, What};
+use yarrowfront_view::config::ViewConfig;
+use yarrowfront_view::node_info::{Generation, NodeInfo, Phase};
+use yarrowfront_view::share::{Share, ShareTracker};
+use yarrowfront_view::view::{ChangeKind, View};
 
 /// A process of a node; dead ones are kept, to be started again.
 pub struct Node {
     pub view: View,
-    pub sharer: Sharer,
+    pub sharer: ShareTracker,
     pub up: bool,
     /// Stopped until then: what comes waits, as in a socket's buffer.
     pub paused: Option<Moment>,
@@ -62,7 +62,7 @@
     events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
     turn: u64,
     chance: ChaCha8Rng,
-    terms: fn(SocketAddr) -> ViewTerms,
+    config: fn(SocketAddr) -> ViewConfig,
     lives: u64,
     /// Deaths that views have told of: when, at whom, of whom.
     pub deaths: Vec<(Moment, usize, usize)>,
@@ -91,7 +91,7 @@
 }
 
 impl Net {
-    pub fn new(seed: u64, terms: fn(SocketAddr) -> ViewTerms) -> Net {
+    pub fn new(seed: u64, config: fn(SocketAddr) -> ViewConfig) -> Net {
         Net {
             // Some time after which a node may have begun before.
             now: Moment(1_000_000_000),
@@ -102,7 +102,7 @@
             events: BinaryHeap::new(),
             turn: 0,
             chance: ChaCha8Rng::seed_from_u64(seed),
-            terms,
+            config,
             lives: 0,
             deaths: Vec::new(),
             changes: 0,
@@ -110,27 +110,27 @@
         }
     }
 
-    fn card(&self, node: usize, places: u32) -> Card {
-        Card {
+    fn info(&self, node: usize, slots: u32) -> NodeInfo {
+        NodeInfo {
             address: address(node),
             site: format!("s{}", node % 3),
             build: "0.1.0".to_owned(),
-            digest: 7,
+            settings_digest: 7,
             phase: Phase::SERVING,
-            place: node as u32,
-            places,
+            slot: node as u32,
+            slots,
         }
     }
 
     /// Starts a node, again if it was there, in a fleet that states so many places. It knows these seeds.
-    pub fn start(&mut self, node: usize, places: u32, seeds: &[usize]) {
-        let mut terms = (self.terms)(address(node));
-        terms.seeds = seeds.iter().map(|seed| address(*seed)).collect();
+    pub fn start(&mut self, node: usize, slots: u32, seeds: &[usize]) {
+        let mut config = (self.config)(address(node));
+        config.seeds = seeds.iter().map(|seed| address(*seed)).collect();
         self.lives += 1;
-        let (seed, card, times) = (self.chance.random(), self.card(node, places), terms.times);
-        let life = Life(self.now.0 + self.lives);
-        let view = View::new(self.now, terms, &name(node), life, card, seed);
-        let sharer = Sharer::new(self.now, times);
+        let (seed, info, times) = (self.chance.random(), self.info(node, slots), config.timing);
+        let generation = Generation(self.now.0 + self.lives);
+        let view = View::new(self.now, config, &name(node), generation, info, seed);
+        let sharer = ShareTracker::new(self.now, times);
         let fresh = Node {
             view,
             sharer,
@@ -159,7 +159,7 @@
     }
 
     fn wake(&mut self, node: usize) {
-        let at = self.nodes[node].view.next().max(self.now);
+        let at = self.nodes[node].view.next_timeout().max(self.now);
         let at = self.nodes[node].paused.map_or(at, |until| until.max(at));
         if self.nodes[node].called.is_none_or(|called| called > at) {
             self.nodes[node].called = Some(at);
@@ -179,7 +179,7 @@
     }
 
     fn send_all(&mut self, from: usize) {
-        while let Some((at, bytes)) = self.nodes[from].view.outgoing() {
+        while let Some((at, bytes)) = self.nodes[from].view.next_datagram() {
             let node = &mut self.nodes[from];
             let second = self.now.0 / 1_000_000;
             if node.second.0 != second {
@@ -200,11 +200,11 @@
                 self.put(comes, Event::Come { to, from, bytes: bytes.clone() });
             }
         }
-        while let Some(change) = self.nodes[from].view.change() {
+        while let Some(change) = self.nodes[from].view.next_change() {
             self.changes += 1;
-            match (change.what, called(&change.name)) {
-                (What::Dead, Some(of)) => self.deaths.push((change.at, from, of)),
-                (What::Suspected, _) => self.suspicions += 1,
+            match (change.kind, called(&change.name)) {
+                (ChangeKind::Dead, Some(of)) => self.deaths.push((change.at, from, of)),
+                (ChangeKind::Suspected, _) => self.suspicions += 1,
                 _ => {}
             }
         }
@@ -227,7 +227,7 @@
                     match node.paused.filter(|until| *until > now) {
                         Some(until) => self.put(until + Span(1), Event::Come { to, from, bytes }),
                         None if node.up => {
-                            node.view.heard(now, address(from), &bytes);
+                            node.view.receive(now, address(from), &bytes);
                             self.wake(to);
                             self.send_all(to);
                         }
@@ -251,8 +251,8 @@
             return;
         }
         let paused = it.paused.is_some_and(|until| until > now);
-        if !paused && it.view.next() <= now {
-            it.view.due(now);
+        if !paused && it.view.next_timeout() <= now {
+            it.view.handle_timeout(now);
             self.send_all(node);
         }
         self.wake(node);
@@ -278,14 +278,14 @@
             let there = |one: &usize| group.iter().all(|other| one == other || self.holds(group[0], *other));
             let same = |one: &usize| {
                 let view = &self.nodes[*one].view;
-                view.digest() == digest && view.here() == group.len()
+                view.digest() == digest && view.present_count() == group.len()
             };
             group.iter().all(same) && there(&group[0])
         })
     }
 
     fn holds(&self, one: usize, other: usize) -> bool {
-        self.nodes[one].view.member(&name(other)).is_some_and(|member| member.standing.here())
+        self.nodes[one].view.member(&name(other)).is_some_and(|member| member.state.is_present())
     }
 
     /// Plays on until all agree, in steps; how long that took, if it came so far.
@@ -303,17 +303,17 @@
     /// Of those that run, how many have called that node dead since.
     pub fn know_death(&self, of: usize) -> usize {
         let knows = |one: &usize| {
-            self.nodes[*one].view.member(&name(of)).is_none_or(|member| !member.standing.here())
+            self.nodes[*one].view.member(&name(of)).is_none_or(|member| !member.state.is_present())
         };
         self.up().iter().filter(|one| **one != of && knows(one)).count()
     }
 
     /// What each node that runs may count on.
-    pub fn shares(&mut self, places: u32) -> Vec<(usize, Share)> {
+    pub fn shares(&mut self, slots: u32) -> Vec<(usize, Share)> {
         let (now, up) = (self.now, self.up());
         let mut look = |one: usize| {
             let node = &mut self.nodes[one];
-            (one, node.sharer.look(now, &node.view, places, one as u32))
+            (one, node.sharer.update(now, &node.view, slots, one as u32))
         };
         up.into_iter().map(&mut look).collect()
     }
--- a/crates/fleet/src/search.rs
+++ b/crates/fleet/src/search.rs
@@ -9,9 +9,9 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 use yarrowfront::times::{Moment, Span};
-use yarrowfront_view::config::ViewTerms;
-use yarrowfront_view::node_info::{Card, Edition, Life, Phase, Standing};
-use yarrowfront_view::share::{Places, Share, Sharer, Why, NONE};
+use yarrowfront_view::config::ViewConfig;
+use yarrowfront_view::node_info::{Generation, Incarnation, MemberState, NodeInfo, Phase};
+use yarrowfront_view::share::{Share, ShareReason, ShareTracker, SlotOccupancy, NO_SHARE};
 use yarrowfront_view::view::View;
 use yarrowfront_view::wire::{Datagram, Kind};
 
@@ -92,7 +92,7 @@
 #[derive(Clone)]
 struct Node {
     view: View,
-    sharer: Sharer,
+    sharer: ShareTracker,
     share: Share,
     looked: Moment,
 }
@@ -104,10 +104,10 @@
     /// On the way, by sender and receiver; no more than a few each, as a network holds.
     ways: BTreeMap<(usize, usize), Vec<Vec<u8>>>,
     mask: u8,
-    highest: BTreeMap<usize, (Life, Edition)>,
+    highest: BTreeMap<usize, (Generation, Incarnation)>,
     restarts: u8,
     /// How many places the settings state: nodes beyond them have none of their own.
-    places: u32,
+    slots: u32,
     sabotage: Sabotage,
 }
 
@@ -116,7 +116,7 @@
 /// Between two looks at a node's portion, as in the node.
 const LOOK: Span = Span::millis(200);
 
-fn terms(node: usize, nodes: usize) -> ViewTerms {
+fn config(node: usize, nodes: usize) -> ViewConfig {
     let times = "[times]\nperiod = 200\nseeds = 400\nrelease = 1000\nsure = 6000\nforget = 20000";
     let seeds: Vec<String> = (0..nodes.min(2)).map(|seed| format!("\"{}\"", address(seed))).collect();
     let text = format!(
@@ -124,11 +124,11 @@
         address(node),
         seeds.join(", ")
     );
-    ViewTerms::from_toml(&text).unwrap_or_else(|why| panic!("{why}"))
+    ViewConfig::from_toml(&text).unwrap_or_else(|why| panic!("{why}"))
 }
 
 impl World {
-    fn new(nodes: usize, places: u32, sabotage: Sabotage) -> World {
+    fn new(nodes: usize, slots: u32, sabotage: Sabotage) -> World {
         let mut world = World {
             now: Moment(1_000_000_000),
             nodes: Vec::new(),
@@ -136,37 +136,37 @@
             mask: 0,
             highest: BTreeMap::new(),
             restarts: 0,
-            places,
+            slots,
             sabotage,
         };
         world.nodes =
-            (0..nodes).map(|node| world.node(node, nodes, Life(world.now.0 + node as u64))).collect();
+            (0..nodes).map(|node| world.node(node, nodes, Generation(world.now.0 + node as u64))).collect();
         world
     }
 
-    fn node(&self, node: usize, nodes: usize, life: Life) -> Node {
-        let (terms, now) = (terms(node, nodes), self.now);
-        let card = Card {
+    fn node(&self, node: usize, nodes: usize, generation: Generation) -> Node {
+        let (config, now) = (config(node, nodes), self.now);
+        let info = NodeInfo {
             address: address(node),
             site: String::new(),
             build: String::new(),
-            digest: 0,
+            settings_digest: 0,
             phase: Phase::SERVING,
-            place: node as u32,
-            places: self.places,
+            slot: node as u32,
+            slots: self.slots,
         };
-        let sharer = Sharer::new(now, terms.times);
+        let sharer = ShareTracker::new(now, config.timing);
         let share = self.first(node);
-        let view = View::new(now, terms, &name(node), life, card, node as u64 + life.0);
+        let view = View::new(now, config, &name(node), generation, info, node as u64 + generation.0);
         Node { view, sharer, share, looked: Moment(0) }
     }
 
     /// What holds before anything is known.
     fn first(&self, node: usize) -> Share {
-        let share = Sharer::without(self.places, node as u32, self.now);
-        match (node as u32) < self.places {
+        let share = ShareTracker::fallback(self.slots, node as u32, self.now);
+        match (node as u32) < self.slots {
             true => share,
-            false => Share { nodes: NONE, ..share },
+            false => Share { nodes: NO_SHARE, ..share },
         }
     }
 
@@ -176,32 +176,32 @@
 
     /// What the sabotage makes of a datagram; nothing if it is lost.
     fn spoil(&self, to: usize, bytes: Vec<u8>) -> Option<Vec<u8>> {
-        let mut datagram = Datagram::read(&bytes).ok()?;
-        let mut news = datagram.news.take().unwrap_or_default();
+        let mut datagram = Datagram::from_bytes(&bytes).ok()?;
+        let mut news = datagram.updates.take().unwrap_or_default();
         match self.sabotage {
             Sabotage::NoRefutation => {
-                datagram.edition = Edition(0);
+                datagram.incarnation = Incarnation(0);
                 news.iter_mut()
-                    .filter(|n| n.standing == Standing::Alive)
-                    .for_each(|n| n.edition = Edition(0));
+                    .filter(|n| n.state == MemberState::Alive)
+                    .for_each(|n| n.incarnation = Incarnation(0));
             }
             Sabotage::Deaf => news.retain(|n| n.name != name(to)),
-            Sabotage::NoSums if datagram.kind == Kind::Sums => return None,
-            Sabotage::NoSums if datagram.kind == Kind::Tell && news.len() > 1 => return None,
+            Sabotage::NoSums if datagram.kind == Kind::Checksums => return None,
+            Sabotage::NoSums if datagram.kind == Kind::Updates && news.len() > 1 => return None,
             Sabotage::NoTrying
-                if datagram.kind == Kind::Ask && datagram.ask == 0 && self.now.0 > 1_002_000_000 =>
+                if datagram.kind == Kind::Ping && datagram.probe_id == 0 && self.now.0 > 1_002_000_000 =>
             {
                 return None
             }
-            Sabotage::NoCards if self.now.0 > 1_002_000_000 => news.iter_mut().for_each(|n| n.card = None),
+            Sabotage::NoCards if self.now.0 > 1_002_000_000 => news.iter_mut().for_each(|n| n.info = None),
             _ => return Some(bytes),
         }
-        datagram.news = (!news.is_empty()).then_some(news);
-        datagram.bytes()
+        datagram.updates = (!news.is_empty()).then_some(news);
+        datagram.to_bytes()
     }
 
     fn collect(&mut self, from: usize) {
-        while let Some((at, bytes)) = self.nodes[from].view.outgoing() {
+        while let Some((at, bytes)) = self.nodes[from].view.next_datagram() {
             let Some(to) = (0..self.nodes.len()).find(|to| address(*to) == at) else { continue };
             if !self.open(from, to) {
                 continue;
@@ -215,14 +215,14 @@
                 way.extend(bytes);
             }
         }
-        while self.nodes[from].view.change().is_some() {}
+        while self.nodes[from].view.next_change().is_some() {}
     }
 
     fn come(&mut self, from: usize, to: usize, stays: bool) {
         let Some(way) = self.ways.get_mut(&(from, to)).filter(|way| !way.is_empty()) else { return };
         let bytes = if stays { way[0].clone() } else { way.remove(0) };
         if self.open(from, to) {
-            self.nodes[to].view.heard(self.now, address(from), &bytes);
+            self.nodes[to].view.receive(self.now, address(from), &bytes);
             self.collect(to);
         }
     }
@@ -233,11 +233,12 @@
             Choice::Again(from, to) => self.come(from, to, true),
             Choice::Lose(from, to) => drop(self.ways.get_mut(&(from, to)).map(|way| way.remove(0))),
             Choice::Time => {
-                let next = self.nodes.iter().map(|node| node.view.next().min(node.looked + LOOK)).min();
+                let next =
+                    self.nodes.iter().map(|node| node.view.next_timeout().min(node.looked + LOOK)).min();
                 self.now = next.unwrap_or(self.now).max(self.now);
                 for node in 0..self.nodes.len() {
-                    if self.nodes[node].view.next() <= self.now {
-                        self.nodes[node].view.due(self.now);
+                    if self.nodes[node].view.next_timeout() <= self.now {
+                        self.nodes[node].view.handle_timeout(self.now);
                         self.collect(node);
                     }
                     if self.nodes[node].looked + LOOK <= self.now {
@@ -247,8 +248,8 @@
             }
             Choice::Restart(node, back) => {
                 self.restarts += 1;
-                let before = self.nodes[node].view.life().0;
-                let life = match (self.sabotage, back) {
+                let before = self.nodes[node].view.generation().0;
+                let generation = match (self.sabotage, back) {
                     (Sabotage::SameLife, _) => before,
                     (_, true) => before - 7,
                     _ => self.now.0.max(before + 1),
@@ -256,28 +257,32 @@
                 if self.sabotage != Sabotage::SameLife {
                     self.highest.remove(&node);
                 }
-                self.nodes[node] = self.node(node, self.nodes.len(), Life(life));
+                self.nodes[node] = self.node(node, self.nodes.len(), Generation(generation));
             }
             Choice::Cut(mask) => self.mask = mask,
         }
     }
 
     fn look(&mut self, node: usize) {
-        let places = self.places;
+        let slots = self.slots;
         let (now, sabotage) = (self.now, self.sabotage);
         let it = &mut self.nodes[node];
         it.looked = now;
         let me = node as u32;
-        it.share = it.sharer.look(now, &it.view, places, me);
-        let missing = Places::of(&it.view, places, now, Span(0));
+        it.share = it.sharer.update(now, &it.view, slots, me);
+        let missing = SlotOccupancy::from_view(&it.view, slots, now, Span(0));
         let whole = |nodes: u32| Share { nodes, ..it.share };
         it.share = match sabotage {
-            Sabotage::NoRelease if it.share.why == Why::Unsure => whole(places),
-            Sabotage::NoWaiting if missing.majority(places) => whole(places - missing.missing),
-            Sabotage::NoMajority if it.share.why == Why::Unsure => whole(places - missing.missing),
-            Sabotage::NoHalves if it.share.why == Why::Missing => whole(places - missing.missing),
-            Sabotage::NoFresh if it.share.why == Why::Fresh => whole(places),
-            Sabotage::NoNone if it.share.nodes == NONE => whole(places),
+            Sabotage::NoRelease if it.share.reason == ShareReason::NoMajority => whole(slots),
+            Sabotage::NoWaiting if missing.has_majority(slots) => whole(slots - missing.missing),
+            Sabotage::NoMajority if it.share.reason == ShareReason::NoMajority => {
+                whole(slots - missing.missing)
+            }
+            Sabotage::NoHalves if it.share.reason == ShareReason::SlotsMissing => {
+                whole(slots - missing.missing)
+            }
+            Sabotage::NoFresh if it.share.reason == ShareReason::Settling => whole(slots),
+            Sabotage::NoNone if it.share.nodes == NO_SHARE => whole(slots),
             _ => it.share,
         };
     }
@@ -285,8 +290,8 @@
     /// What a node counts on now, in millionths of the whole.
     fn portion(&self, node: usize) -> u64 {
         let share = &self.nodes[node].share;
-        let nodes = if share.until < self.now { self.first(node).nodes } else { share.nodes };
-        if nodes == NONE {
+        let nodes = if share.valid_until < self.now { self.first(node).nodes } else { share.nodes };
+        if nodes == NO_SHARE {
             0
         } else {
             1_000_000 / u64::from(nodes)
@@ -297,7 +302,7 @@
     fn check(&mut self) -> Option<String> {
         for node in 0..self.nodes.len() {
             let view = &self.nodes[node].view;
-            let is = (view.life(), view.edition());
+            let is = (view.generation(), view.incarnation());
             let before = self.highest.entry(node).or_insert(is);
             if is < *before {
                 return Some(format!("{} went back from {before:?} to {is:?}", name(node)));
@@ -330,7 +335,7 @@
                 return Some(broken);
             }
             let agreed = self.nodes.iter().all(|node| {
-                let alive = node.view.members().filter(|(_, m)| m.standing == Standing::Alive).count();
+                let alive = node.view.members().filter(|(_, m)| m.state == MemberState::Alive).count();
                 alive + 1 == self.nodes.len() && node.view.digest() == self.nodes[0].view.digest()
             });
             if agreed {
@@ -356,9 +361,17 @@
     fn key(&self) -> u64 {
         let hasher = BuildHasherDefault::<DefaultHasher>::default();
         let of = |node: &Node| {
-            let members: Vec<_> =
-                node.view.members().map(|(n, m)| (n.to_owned(), m.life, m.edition, m.standing)).collect();
-            let own = (node.view.life(), node.view.edition(), node.view.trouble(), node.view.next().0);
+            let members: Vec<_> = node
+                .view
+                .members()
+                .map(|(n, m)| (n.to_owned(), m.generation, m.incarnation, m.state))
+                .collect();
+            let own = (
+                node.view.generation(),
+                node.view.incarnation(),
+                node.view.local_health_score(),
+                node.view.next_timeout().0,
+            );
             hasher.hash_one((members, own, node.share.nodes))
         };
         let nodes: Vec<u64> = self.nodes.iter().map(of).collect();
@@ -407,9 +420,9 @@
 pub fn walk(nodes: usize, steps: usize, seed: u64, sabotage: Sabotage) -> Result<Looked, Broken> {
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     // In every fifth walk there are more nodes than places, in every third news is slow.
-    let places = if seed % 5 == 4 { nodes - 1 } else { nodes };
+    let slots = if seed % 5 == 4 { nodes - 1 } else { nodes };
     let slow = seed % 3 == 2;
-    let mut world = World::new(nodes, places.max(1) as u32, sabotage);
+    let mut world = World::new(nodes, slots.max(1) as u32, sabotage);
     let mut done = Vec::new();
     for _ in 0..steps {
         let draw: u32 = chance.random();
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -18,12 +18,12 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant};
 use yarrowfront::times::{Moment, Span};
-use yarrowfront_view::config::ViewTerms;
+use yarrowfront_view::config::ViewConfig;
 use yarrowfront_view::member::Member;
-use yarrowfront_view::node_info::{Card, Life, Load, Phase};
-use yarrowfront_view::share::{Share, Sharer, Why};
-use yarrowfront_view::view::{View, What};
-use yarrowfront_view::wire::LARGEST;
+use yarrowfront_view::node_info::{Generation, Load, NodeInfo, Phase};
+use yarrowfront_view::share::{Share, ShareReason, ShareTracker};
+use yarrowfront_view::view::{ChangeKind, View};
+use yarrowfront_view::wire::MAX_DATAGRAM_BYTES;
 
 /// Datagrams read in one go: a flood of them must not keep commands waiting for longer than one of their own steps.
 const AT_ONCE: usize = 32;
@@ -78,7 +78,7 @@
 
 pub struct Fleet {
     view: RefCell<View>,
-    sharer: RefCell<Sharer>,
+    sharer: RefCell<ShareTracker>,
     share: Cell<Option<Share>>,
     own: RefCell<Own>,
     address: SocketAddr,
@@ -99,7 +99,7 @@
 impl Fleet {
     /// A later life than the one given, if any.
     pub fn new(
-        terms: ViewTerms,
+        terms: ViewConfig,
         name: &str,
         own: Own,
         (before, seed): (u64, u64),
@@ -107,10 +107,10 @@
     ) -> Rc<Fleet> {
         let now = desk.clock.now();
         let address = terms.address.unwrap_or(terms.listen);
-        let life = Life(now.0.max(before + 1));
+        let life = Generation(now.0.max(before + 1));
         peer.life.set(life.0);
         let card = card(address, &own, Phase::JOINING);
-        let sharer = Sharer::new(now, terms.times);
+        let sharer = ShareTracker::new(now, terms.timing);
         // Two processes of one node draw differently.
         let view = View::new(now, terms, name, life, card, seed ^ life.0);
         Rc::new(Fleet {
@@ -131,10 +131,10 @@
     }
 
     /// Whether these terms can be gone by without a new start.
-    pub fn may_follow(&self, terms: &ViewTerms) -> Result<(), String> {
+    pub fn may_follow(&self, terms: &ViewConfig) -> Result<(), String> {
         let view = self.view.borrow();
         match (terms.listen, terms.address, &terms.fleet)
-            == (view.terms.listen, view.terms.address, &view.terms.fleet)
+            == (view.config.listen, view.config.address, &view.config.fleet)
         {
             true => Ok(()),
             false => Err("fleet: fleet, listen and address take a restart to change".to_owned()),
@@ -142,9 +142,9 @@
     }
 
     /// Goes by another operators' file, and by what the configuration now says of this node.
-    pub fn follow(&self, terms: ViewTerms, own: Own) {
-        *self.sharer.borrow_mut() = Sharer::new(self.desk.clock.now(), terms.times);
-        self.view.borrow_mut().follow(self.desk.clock.now(), terms);
+    pub fn follow(&self, terms: ViewConfig, own: Own) {
+        *self.sharer.borrow_mut() = ShareTracker::new(self.desk.clock.now(), terms.timing);
+        self.view.borrow_mut().reconfigure(self.desk.clock.now(), terms);
         *self.own.borrow_mut() = own;
         self.looked.set(Moment(0));
         self.moved.notify_one();
@@ -158,7 +158,7 @@
             let Some(socket) = self.listen().await else { continue };
             if std::mem::replace(&mut before, true) {
                 // The other process is gone, and was of a later life.
-                self.view.borrow_mut().raise_life(self.desk.clock.now(), Life(0));
+                self.view.borrow_mut().raise_generation(self.desk.clock.now(), Generation(0));
             }
             note!("fleet: listening on {}", self.address);
             tokio::select! {
@@ -172,7 +172,7 @@
     }
 
     async fn listen(&self) -> Option<Rc<UdpSocket>> {
-        let at = self.view.borrow().terms.listen;
+        let at = self.view.borrow().config.listen;
         match UdpSocket::bind(at).await {
             Ok(socket) => {
                 let socket = Rc::new(socket);
@@ -188,17 +188,17 @@
     }
 
     async fn keep(&self, socket: &UdpSocket) {
-        let mut bytes = [0; LARGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             self.look();
             self.send(socket);
-            let next = self.view.borrow().next().min(self.looked.get() + LOOK);
+            let next = self.view.borrow().next_timeout().min(self.looked.get() + LOOK);
             tokio::select! {
                 biased;
                 () = sleep_until(self.desk.clock.instant(next)) => {
                     let now = self.desk.clock.now();
-                    if self.view.borrow().next() <= now {
-                        self.view.borrow_mut().due(now);
+                    if self.view.borrow().next_timeout() <= now {
+                        self.view.borrow_mut().handle_timeout(now);
                     }
                 }
                 () = self.moved.notified() => {}
@@ -215,7 +215,7 @@
         for count in 0..AT_ONCE {
             match socket.try_recv_from(bytes) {
                 Ok((size, from)) => {
-                    self.view.borrow_mut().heard(self.desk.clock.now(), from, &bytes[..size]);
+                    self.view.borrow_mut().receive(self.desk.clock.now(), from, &bytes[..size]);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return count,
                 // A datagram sent to nobody comes back as an error of the next one.
@@ -227,22 +227,30 @@
 
     fn send(&self, socket: &UdpSocket) {
         loop {
-            let Some((to, bytes)) = self.view.borrow_mut().outgoing() else { break };
+            let Some((to, bytes)) = self.view.borrow_mut().next_datagram() else { break };
             // What the kernel has no room for is lost, as anything may be.
             let _ = socket.try_send_to(&bytes, to);
         }
         loop {
-            let Some(change) = self.view.borrow_mut().change() else { break };
-            let text = match change.what {
-                What::Alone | What::Together => change.what.word().to_owned(),
+            let Some(change) = self.view.borrow_mut().next_change() else { break };
+            let text = match change.kind {
+                ChangeKind::Alone | ChangeKind::NoLongerAlone => change.kind.as_str().to_owned(),
                 what => {
-                    format!("{} (life {}): {}, by {}", change.name, change.life.0, what.word(), change.by)
+                    format!(
+                        "{} (life {}): {}, by {}",
+                        change.name,
+                        change.generation.0,
+                        what.as_str(),
+                        change.reported_by
+                    )
                 }
             };
             // Each kind has its own lines a second: a death is not to be hidden by what led to it.
-            match change.what {
-                What::Dead | What::Left | What::Displaced => note!("fleet: {text}"),
-                What::Suspected | What::Refuted | What::Raised => note!("fleet: {text}"),
+            match change.kind {
+                ChangeKind::Dead | ChangeKind::Left | ChangeKind::NameTaken => note!("fleet: {text}"),
+                ChangeKind::Suspected | ChangeKind::Refuted | ChangeKind::SelfRefuted => {
+                    note!("fleet: {text}")
+                }
                 _ => note!("fleet: {text}"),
             }
             let mut lately = self.lately.borrow_mut();
@@ -251,7 +259,7 @@
             }
             lately.push((change.at, text));
         }
-        self.peer.life.set(self.view.borrow().life().0);
+        self.peer.life.set(self.view.borrow().generation().0);
     }
 
     /// Tells of this node what is now so, and takes from the view what the decisions may know.
@@ -265,28 +273,28 @@
         let phase = match () {
             () if self.stop.stopping() => Phase::STOPPING,
             () if !self.desk.told() || !self.peer.ready() => Phase::JOINING,
-            () if self.stop.drained() => Phase::SENT_AWAY,
+            () if self.stop.drained() => Phase::DRAINING,
             () if self.peer.beside() => Phase::UPGRADING,
             () => Phase::SERVING,
         };
         let own = self.own.borrow();
         let (in_hand, taken, backends, list, age) = self.desk.load();
         let load = Load {
-            in_hand: in_hand as u32,
-            taken: taken.into(),
-            backends: backends as u32,
-            list,
+            in_flight: in_hand as u32,
+            accepted: taken.into(),
+            backend_count: backends as u32,
+            list_version: list,
             list_age_ms: age.map_or(u64::MAX, |age| age.as_millis() as u64),
         };
         let mut view = self.view.borrow_mut();
-        view.told(&card(self.address, &own, phase), load);
-        let share = self.sharer.borrow_mut().look(now, &view, own.places, own.place);
+        view.update_self(&card(self.address, &own, phase), load);
+        let share = self.sharer.borrow_mut().update(now, &view, own.places, own.place);
         self.share.set(Some(share));
-        if view.terms.portions {
-            let without = Sharer::without(own.places, own.place, now);
-            let (nodes, me) = (share.nodes, share.me);
-            let without = (without.nodes, without.me);
-            self.desk.share(Portion { nodes, me, until: share.until, without });
+        if view.config.use_view_share {
+            let without = ShareTracker::fallback(own.places, own.place, now);
+            let (nodes, me) = (share.nodes, share.index);
+            let without = (without.nodes, without.index);
+            self.desk.share(Portion { nodes, me, until: share.valid_until, without });
         }
     }
 
@@ -297,9 +305,9 @@
         }
         self.seeds_read.set(Instant::now());
         let mut view = self.view.borrow_mut();
-        let Some(file) = view.terms.seeds_file.clone() else { return };
+        let Some(file) = view.config.seeds_file.clone() else { return };
         match seeds(&file) {
-            Ok(seeds) => view.terms.seeds = seeds,
+            Ok(seeds) => view.config.seeds = seeds,
             Err(why) => note!("fleet: the seeds stay as they were: {why}"),
         }
     }
@@ -308,18 +316,18 @@
     pub fn sites(&self) -> BySite {
         let (view, share) = (self.view.borrow(), self.share.get());
         let mut of: BTreeMap<String, (u32, u32)> = BTreeMap::new();
-        let (mut oldest_elsewhere, own) = (None, view.card().site.clone());
+        let (mut oldest_elsewhere, own) = (None, view.info().site.clone());
         of.insert(own.clone(), (1, 1));
         for (_, member) in view.members() {
-            let here = member.standing.here();
-            let site = of.entry(member.card.site.clone()).or_default();
+            let here = member.state.is_present();
+            let site = of.entry(member.info.site.clone()).or_default();
             *site = (site.0 + u32::from(here), site.1 + 1);
-            if here && member.card.site != own {
-                let life = oldest_elsewhere.get_or_insert(member.life.0);
-                *life = member.life.0.min(*life);
+            if here && member.info.site != own {
+                let life = oldest_elsewhere.get_or_insert(member.generation.0);
+                *life = member.generation.0.min(*life);
             }
         }
-        let isolated = view.alone() || share.is_some_and(|share| share.why == Why::Unsure);
+        let isolated = view.is_alone() || share.is_some_and(|share| share.reason == ShareReason::NoMajority);
         BySite { of, isolated, oldest_elsewhere }
     }
 
@@ -336,34 +344,34 @@
     pub fn told(&self) -> Value {
         let (view, own, now) = (self.view.borrow(), self.own.borrow(), self.desk.clock.now());
         let age = |at: Moment| now.since(at).0 / 1000;
-        let card = |card: &Card| {
+        let card = |card: &NodeInfo| {
             json!({"address": card.address, "site": card.site, "build": card.build,
-                "settings": format!("{:016x}", card.digest), "phase": card.phase.to_string(),
-                "place": card.place, "places": card.places})
+                "settings": format!("{:016x}", card.settings_digest), "phase": card.phase.to_string(),
+                "place": card.slot, "places": card.slots})
         };
         let load = |load: &Load| {
-            json!({"in_hand": load.in_hand, "taken": load.taken, "backends": load.backends, "list": load.list,
+            json!({"in_hand": load.in_flight, "taken": load.accepted, "backends": load.backend_count, "list": load.list_version,
                 "list_age_ms": load.list_age_ms})
         };
         let member = |(name, m): (&str, &Member)| {
-            json!({"name": name, "life": m.life.0, "edition": m.edition.0, "standing": m.standing.word(),
-                "since_ms": age(m.since), "by": m.by, "heard_ms": m.heard.map(age), "card": card(&m.card),
-                "load": m.load.as_ref().map(load), "trip_us": m.trip.map(|trip| trip.0), "asked": m.asked,
-                "lost": m.lost})
+            json!({"name": name, "life": m.generation.0, "edition": m.incarnation.0, "standing": m.state.as_str(),
+                "since_ms": age(m.state_since), "by": m.reported_by, "heard_ms": m.last_heard.map(age), "card": card(&m.info),
+                "load": m.load.as_ref().map(load), "trip_us": m.rtt.map(|trip| trip.0), "asked": m.probes_sent,
+                "lost": m.probes_lost})
         };
-        let (counts, portion) = (view.counts(), self.share.get());
+        let (counts, portion) = (view.counters(), self.share.get());
         let lately: Vec<Value> =
             self.lately.borrow().iter().map(|(at, text)| json!({"ago_ms": age(*at), "what": text})).collect();
         json!({
-            "fleet": view.terms.fleet, "name": view.name(), "life": view.life().0, "edition": view.edition().0,
-            "card": card(view.card()), "load": load(&view.load()), "here": view.here(), "alone": view.alone(),
-            "displaced": view.displaced(), "digest": format!("{:016x}", view.digest()), "trouble": view.trouble(),
-            "portion": portion.map(|p| json!({"nodes": p.nodes, "me": p.me, "why": p.why.word(),
-                "used": view.terms.portions, "stated": own.places})),
-            "counts": {"heard": counts.heard, "sent": counts.sent, "bytes_sent": counts.bytes_sent,
-                "strangers": counts.strangers, "other_fleet": counts.other_fleet,
+            "fleet": view.config.fleet, "name": view.name(), "life": view.generation().0, "edition": view.incarnation().0,
+            "card": card(view.info()), "load": load(&view.load()), "here": view.present_count(), "alone": view.is_alone(),
+            "displaced": view.displaced_by(), "digest": format!("{:016x}", view.digest()), "trouble": view.local_health_score(),
+            "portion": portion.map(|p| json!({"nodes": p.nodes, "me": p.index, "why": p.reason.as_str(),
+                "used": view.config.use_view_share, "stated": own.places})),
+            "counts": {"heard": counts.datagrams_received, "sent": counts.datagrams_sent, "bytes_sent": counts.bytes_sent,
+                "strangers": counts.outside_networks, "other_fleet": counts.other_fleet,
                 "other_version": counts.other_version, "malformed": counts.malformed,
-                "old_life": counts.old_life, "no_room": counts.no_room, "changes": counts.changes,
+                "old_life": counts.old_generation, "no_room": counts.member_limit_reached, "changes": counts.changes,
                 "stalls": counts.stalls},
             "members": view.members().map(member).collect::<Vec<_>>(), "lately": lately,
         })
@@ -378,21 +386,21 @@
             page.push_str(&text);
             page.push('\n');
         };
-        let alone = if view.alone() { "; THIS NODE IS ALONE" } else { "" };
-        line(format!("{} in {}: {} here{alone}", view.name(), view.terms.fleet, view.here()));
-        if let Some(rival) = view.displaced() {
+        let alone = if view.is_alone() { "; THIS NODE IS ALONE" } else { "" };
+        line(format!("{} in {}: {} here{alone}", view.name(), view.config.fleet, view.present_count()));
+        if let Some(rival) = view.displaced_by() {
             line(format!(
                 "ANOTHER PROCESS HAS THIS NAME: {rival}; this one says nothing while that one answers"
             ));
         }
         if let Some(share) = self.share.get() {
-            line(format!("portion: as one of {}, {}", share.nodes, share.why.word()));
+            line(format!("portion: as one of {}, {}", share.nodes, share.reason.as_str()));
         }
         line(format!(
             "digest {:016x}, {} changes, trouble {}",
             view.digest(),
-            view.counts().changes,
-            view.trouble()
+            view.counters().changes,
+            view.local_health_score()
         ));
         line(format!(
             "{:<20} {:<10} {:<10} {:<8} {:<21} {:<11} {:<10} {:>8} {:>6}",
@@ -401,28 +409,28 @@
         for (name, m) in view.members() {
             line(format!(
                 "{name:<20} {:<10} {:<10} {:<8} {:<21} {:<11} {:<10} {:>8} {:>6}",
-                m.standing.word(),
-                seconds(m.since),
-                m.card.site,
-                m.card.address.to_string(),
-                m.card.phase.to_string(),
-                m.by,
-                m.trip.map_or("-".to_owned(), |trip| trip.0.to_string()),
-                m.lost
+                m.state.as_str(),
+                seconds(m.state_since),
+                m.info.site,
+                m.info.address.to_string(),
+                m.info.phase.to_string(),
+                m.reported_by,
+                m.rtt.map_or("-".to_owned(), |trip| trip.0.to_string()),
+                m.probes_lost
             ));
         }
         page
     }
 }
 
-fn card(address: SocketAddr, own: &Own, phase: Phase) -> Card {
-    Card {
+fn card(address: SocketAddr, own: &Own, phase: Phase) -> NodeInfo {
+    NodeInfo {
         address,
         site: own.site.clone(),
         build: build(),
-        digest: own.digest,
+        settings_digest: own.digest,
         phase,
-        place: own.place,
-        places: own.places,
+        slot: own.place,
+        slots: own.places,
     }
 }
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use yarrowfront::terms::Terms;
 use yarrowfront::times::Span;
-use yarrowfront_view::config::ViewTerms;
+use yarrowfront_view::config::ViewConfig;
 
 pub struct Start {
     pub name: String,
@@ -26,7 +26,7 @@
     /// The list as this node last had it.
     pub known: Option<Value>,
     /// The operators' file of the view of the fleet, where one is named: without it there is none.
-    pub view: Option<ViewTerms>,
+    pub view: Option<ViewConfig>,
     /// The operators' file of rolling changes, where one is named: without it nothing is counted or taken on trial.
     pub trial: Option<TrialTerms>,
     /// The operators' plan for the loss of sites, where one is named: without it everything is let in.
@@ -86,9 +86,9 @@
 }
 
 /// The operators' file of the view, with the seeds that a file of their own names.
-fn view(path: &str) -> Result<ViewTerms, String> {
+fn view(path: &str) -> Result<ViewConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("fleet: {path}: {e}"))?;
-    let mut view = ViewTerms::from_toml(&text).map_err(|why| format!("fleet: {path}: {why}"))?;
+    let mut view = ViewConfig::from_toml(&text).map_err(|why| format!("fleet: {path}: {why}"))?;
     if let Some(file) = &view.seeds_file {
         view.seeds.extend(seeds(file)?);
     }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -653,27 +653,27 @@
 impl Fleet {
     /// An ask in the fleet's words by one whose card nobody has.
     fn ask(from: SocketAddr) -> Vec<u8> {
-        use yarrowfront_view::node_info::{Edition, Life};
+        use yarrowfront_view::node_info::{Generation, Incarnation};
         use yarrowfront_view::wire::{Datagram, Kind, VERSION};
         let datagram = Datagram {
             version: VERSION,
             fleet: "tested".into(),
-            kind: Kind::Ask,
-            ask: 1,
-            from: "spy".into(),
-            life: Life(1),
-            edition: Edition(0),
+            kind: Kind::Ping,
+            probe_id: 1,
+            sender: "spy".into(),
+            generation: Generation(1),
+            incarnation: Incarnation(0),
             address: from,
             target: None,
             digest: 0,
-            here: 1,
+            present_count: 1,
             load: None,
-            sums: None,
-            last: None,
-            whole: None,
-            news: None,
+            checksums: None,
+            is_final: None,
+            wants_info: None,
+            updates: None,
         };
-        datagram.bytes().expect("small")
+        datagram.to_bytes().expect("small")
     }
 }
 
--- a/crates/view/src/checksums.rs
+++ b/crates/view/src/checksums.rs
@@ -1,6 +1,6 @@
 //! Sums over all that a node holds to be here, by which two of them find where they differ without telling all.
 
-use crate::node_info::{Edition, Life};
+use crate::node_info::{Generation, Incarnation};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
 /// A name as a number, the same at every node.
@@ -9,8 +9,8 @@
 }
 
 /// What a member that is here adds to the digest.
-pub(crate) fn part(name: &str, life: Life, edition: Edition) -> u64 {
-    BuildHasherDefault::<DefaultHasher>::default().hash_one((name, life.0, edition.0))
+pub(crate) fn part(name: &str, generation: Generation, incarnation: Incarnation) -> u64 {
+    BuildHasherDefault::<DefaultHasher>::default().hash_one((name, generation.0, incarnation.0))
 }
 
 /// Into how many parts the names go: some four members in each, and no more than a datagram holds.
@@ -24,10 +24,13 @@
 }
 
 /// The sums of the parts, four bytes each.
-pub(crate) fn all<'a>(members: impl Iterator<Item = (&'a str, Life, Edition)>, parts: usize) -> Vec<u8> {
+pub(crate) fn all<'a>(
+    members: impl Iterator<Item = (&'a str, Generation, Incarnation)>,
+    parts: usize,
+) -> Vec<u8> {
     let mut sums = vec![0u32; parts];
-    for (name, life, edition) in members {
-        sums[of(name, parts)] ^= part(name, life, edition) as u32;
+    for (name, generation, incarnation) in members {
+        sums[of(name, parts)] ^= part(name, generation, incarnation) as u32;
     }
     sums.iter().flat_map(|sum| sum.to_be_bytes()).collect()
 }
--- a/crates/view/src/config.rs
+++ b/crates/view/src/config.rs
@@ -1,4 +1,4 @@
-//! The operators' file: where a node's view listens, whom it may hear, and its times.
+//! The operators' membership file (TOML): the listening address, the allowed networks and the protocol timings.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 use yarrowfront::times::Span;
 
-/// Addresses whose first so many bits are these.
+/// An IP network in CIDR notation, such as `10.2.0.0/16`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub struct Network {
@@ -38,8 +38,9 @@
 }
 
 impl Network {
-    pub fn has(&self, ip: IpAddr) -> bool {
-        // A fourth version's bits stand at the front, so that one shift serves both.
+    /// Whether the address belongs to this network. IPv4 and IPv6 never match each other.
+    pub fn contains(&self, ip: IpAddr) -> bool {
+        // The bits of an IPv4 address are placed at the top of the 128, so that one shift serves both versions.
         let bits = |ip: IpAddr| match ip {
             IpAddr::V4(ip) => u128::from(ip.to_bits()) << 96,
             IpAddr::V6(ip) => ip.to_bits(),
@@ -49,48 +50,52 @@
     }
 }
 
-/// All that the operators say of the view.
+/// The checked content of the membership file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ViewTerms {
-    /// What the fleet is called: datagrams of another one are dropped.
+pub struct ViewConfig {
+    /// The name of the fleet. Datagrams of other fleets are dropped.
     pub fleet: String,
-    /// Where datagrams are heard, and where others are told to send them if that is another place.
+    /// The UDP address on which this node listens.
     pub listen: SocketAddr,
+    /// The address announced to other nodes, if it differs from `listen`.
     pub address: Option<SocketAddr>,
-    /// Only addresses in these are heard and sent to.
+    /// Datagrams are accepted from and sent to addresses in these networks only.
     pub networks: Vec<Network>,
-    /// Whom to find the fleet by; besides, a file with one address a line, which is read again.
+    /// Addresses through which the fleet is discovered.
     pub seeds: Vec<SocketAddr>,
+    /// A file with further seeds, one address per line, which is read again periodically.
     pub seeds_file: Option<String>,
-    /// Where a member is reached from here, if not where it says.
-    pub via: BTreeMap<String, SocketAddr>,
-    /// Whether the decisions go by the view's number of nodes.
-    pub portions: bool,
-    pub times: Times,
-    /// The most bytes a second that are sent beyond asks and answers themselves, and the most members held.
+    /// The address under which this node reaches a member, by name, if it differs from the announced one.
+    pub address_overrides: BTreeMap<String, SocketAddr>,
+    /// Whether balancing decisions use the node count that the view yields, instead of the configured one.
+    pub use_view_share: bool,
+    pub timing: Timing,
+    /// The limit on bytes sent per second, not counting the fixed part of probes and acks.
     pub bytes_per_s: u32,
-    pub most_members: usize,
+    /// The most members kept, including this node.
+    pub max_members: usize,
 }
 
-/// The view's times, each stated in milliseconds in the file.
+/// The protocol timings. The file states each in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Times {
-    /// Between two asks of a node, and how long an answer may take before others are asked to ask.
-    pub period: Span,
-    pub answer: Span,
-    /// Between two tries of seeds and of members called dead.
-    pub seeds: Span,
-    /// How long after its death or its leaving a member is forgotten.
-    pub forget: Span,
-    /// How long a missing node must have been dead until its portion is taken, and how long after its last sight of
-    /// a majority a node lets go of its own.
-    pub sure: Span,
-    pub release: Span,
+pub struct Timing {
+    /// The time between two probe rounds of a node.
+    pub probe_interval: Span,
+    /// How long a direct probe may stay unanswered before other members are asked to probe indirectly.
+    pub probe_timeout: Span,
+    /// The time between two attempts to reach seeds and members that were declared dead.
+    pub seed_interval: Span,
+    /// How long a member is remembered after it died or left.
+    pub forget_after: Span,
+    /// How long a node must have been dead before the others take over its share.
+    pub takeover_delay: Span,
+    /// How long after it last saw a majority a node gives up the part of its share that others may take over.
+    pub release_after: Span,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct ViewFile {
     fleet: String,
     listen: SocketAddr,
     address: Option<SocketAddr>,
@@ -100,33 +105,33 @@
     seeds_file: Option<String>,
     #[serde(default)]
     via: BTreeMap<String, SocketAddr>,
-    #[serde(default = "yes")]
+    #[serde(default = "default_portions")]
     portions: bool,
     #[serde(default)]
-    times: Millis,
-    #[serde(default = "bytes")]
+    times: TimingMillis,
+    #[serde(default = "default_bytes_per_s")]
     bytes_per_s: u32,
-    #[serde(default = "members")]
+    #[serde(default = "default_most_members")]
     most_members: usize,
 }
 
-fn yes() -> bool {
+fn default_portions() -> bool {
     true
 }
 
-/// For partitions and their ends: while nothing happens a node sends about 1 kB a second (docs/view.md).
-fn bytes() -> u32 {
+/// Leaves room for partitions and their healing: an idle node sends about 1 kB per second (docs/view.md).
+fn default_bytes_per_s() -> u32 {
     5000
 }
 
-/// Two thousand nodes, and as many again that came and went within the time to forget.
-fn members() -> usize {
+/// Enough for 2,000 nodes and as many again that came and went within `forget`.
+fn default_most_members() -> usize {
     4096
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct Millis {
+struct TimingMillis {
     period: u64,
     answer: Option<u64>,
     seeds: u64,
@@ -135,41 +140,42 @@
     release: u64,
 }
 
-impl Default for Millis {
-    /// A death is known everywhere within three seconds at a thousand nodes; the others follow from that.
-    fn default() -> Millis {
-        Millis { period: 200, answer: None, seeds: 1000, forget: 600_000, sure: 15_000, release: 3000 }
+impl Default for TimingMillis {
+    /// With this probe interval a death is known everywhere within 3 s in a fleet of 1,000 nodes. The other defaults
+    /// follow from that.
+    fn default() -> TimingMillis {
+        TimingMillis { period: 200, answer: None, seeds: 1000, forget: 600_000, sure: 15_000, release: 3000 }
     }
 }
 
-impl ViewTerms {
-    /// Terms with the usual times, for a fleet of that name on loopback. For tests and plays.
-    pub fn plain(fleet: &str, listen: SocketAddr) -> ViewTerms {
+impl ViewConfig {
+    /// A configuration with the default timings for a fleet on the loopback network, for tests and simulations.
+    pub fn with_defaults(fleet: &str, listen: SocketAddr) -> ViewConfig {
         let text = format!("fleet = {fleet:?}\nlisten = \"{listen}\"\nnetworks = [\"127.0.0.0/8\"]");
-        ViewTerms::from_toml(&text).unwrap_or_else(|why| panic!("{why}"))
+        ViewConfig::from_toml(&text).unwrap_or_else(|why| panic!("{why}"))
     }
 
-    /// Reads the file; an error names the key, and the line where the text itself is bad.
-    pub fn from_toml(text: &str) -> Result<ViewTerms, String> {
-        let file: File = toml::from_str(text).map_err(|error| {
+    /// Parses and checks the file. An error names the key, or the line if the text itself cannot be parsed.
+    pub fn from_toml(text: &str) -> Result<ViewConfig, String> {
+        let file: ViewFile = toml::from_str(text).map_err(|error| {
             let line = error.span().map_or(0, |at| text[..at.start].matches('\n').count() + 1);
             format!("line {line}: {}", error.message().lines().next().unwrap_or_default())
         })?;
-        let longest = crate::wire::LONGEST_TEXT;
-        if file.fleet.is_empty() || file.fleet.len() > longest {
-            return Err(format!("fleet has to have 1 to {longest} bytes"));
+        let max_bytes = crate::wire::MAX_TEXT_BYTES;
+        if file.fleet.is_empty() || file.fleet.len() > max_bytes {
+            return Err(format!("fleet must have 1 to {max_bytes} bytes"));
         }
         if file.networks.is_empty() {
-            return Err("networks is empty: nobody could be heard".to_owned());
+            return Err("networks is empty: no datagram could be accepted".to_owned());
         }
-        let told = file.address.unwrap_or(file.listen);
-        if told.ip().is_unspecified() || told.port() == 0 {
-            return Err(format!("address is missing: nobody can be told to send to {told}"));
+        let announced = file.address.unwrap_or(file.listen);
+        if announced.ip().is_unspecified() || announced.port() == 0 {
+            return Err(format!("address is missing: other nodes cannot send to {announced}"));
         }
         let via = file.via.iter().map(|(name, at)| (format!("via.{name}"), *at));
         let seeds = file.seeds.iter().enumerate().map(|(i, at)| (format!("seeds[{i}]"), *at));
-        for (key, at) in via.chain(seeds).chain([("address".to_owned(), told)]) {
-            if !file.networks.iter().any(|network| network.has(at.ip())) {
+        for (key, at) in via.chain(seeds).chain([("address".to_owned(), announced)]) {
+            if !file.networks.iter().any(|network| network.contains(at.ip())) {
                 return Err(format!("{key}: {at} is in none of the networks"));
             }
         }
@@ -181,35 +187,42 @@
             ("times.seeds", times.seeds, 50, 600_000),
             ("times.forget", times.forget, 1000, 7 * 86_400_000),
             ("times.release", times.release, times.period * 4, 600_000),
-            // Whoever is cut off must have let go before the others take it.
+            // A node that is cut off must have released its share before the others take it over.
             ("times.sure", times.sure, times.release * 4, 86_400_000),
             ("bytes_per_s", u64::from(file.bytes_per_s), 500, 10_000_000),
             ("most_members", file.most_members as u64, 2, 100_000),
         ];
         for (key, value, least, most) in ranges {
             if !(least..=most).contains(&value) {
-                return Err(format!("{key} has to be from {least} to {most}, and is {value}"));
+                return Err(format!("{key} must be from {least} to {most}, but is {value}"));
             }
         }
-        let [period, answer, seeds, forget, sure, release] =
+        let [probe_interval, probe_timeout, seed_interval, forget_after, takeover_delay, release_after] =
             [times.period, answer, times.seeds, times.forget, times.sure, times.release].map(Span::millis);
-        Ok(ViewTerms {
+        Ok(ViewConfig {
             fleet: file.fleet,
             listen: file.listen,
             address: file.address,
             networks: file.networks,
             seeds: file.seeds,
             seeds_file: file.seeds_file,
-            via: file.via,
-            portions: file.portions,
-            times: Times { period, answer, seeds, forget, sure, release },
+            address_overrides: file.via,
+            use_view_share: file.portions,
+            timing: Timing {
+                probe_interval,
+                probe_timeout,
+                seed_interval,
+                forget_after,
+                takeover_delay,
+                release_after,
+            },
             bytes_per_s: file.bytes_per_s,
-            most_members: file.most_members,
+            max_members: file.most_members,
         })
     }
 
-    /// Whether an address may be heard and sent to.
-    pub fn near(&self, at: SocketAddr) -> bool {
-        self.networks.iter().any(|network| network.has(at.ip()))
+    /// Whether datagrams from and to this address are permitted.
+    pub fn allows(&self, at: SocketAddr) -> bool {
+        self.networks.iter().any(|network| network.contains(at.ip()))
     }
 }
--- a/crates/view/src/gossip.rs
+++ b/crates/view/src/gossip.rs
@@ -51,16 +51,16 @@
 
 /// Bytes to spend: so many a second, and what was saved up to a bound.
 #[derive(Clone, Debug)]
-pub(crate) struct Purse {
+pub(crate) struct ByteBudget {
     rate: f64,
     most: f64,
     held: f64,
     at: Moment,
 }
 
-impl Purse {
-    pub fn new(now: Moment, rate: f64, most: f64) -> Purse {
-        Purse { rate, most, held: most, at: now }
+impl ByteBudget {
+    pub fn new(now: Moment, rate: f64, most: f64) -> ByteBudget {
+        ByteBudget { rate, most, held: most, at: now }
     }
 
     pub fn held(&mut self, now: Moment) -> f64 {
--- a/crates/view/src/node_info.rs
+++ b/crates/view/src/node_info.rs
@@ -10,39 +10,39 @@
 /// more than the greatest that the node has heard of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
-pub struct Life(#[n(0)] pub u64);
+pub struct Generation(#[n(0)] pub u64);
 
 /// Counts what a node has said of itself in a life: raised to refute, and when its card changes. SWIM's incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
-pub struct Edition(#[n(0)] pub u32);
+pub struct Incarnation(#[n(0)] pub u32);
 
 /// What is believed of a member; of two of one edition the later here holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(index_only)]
-pub enum Standing {
+pub enum MemberState {
     #[n(0)]
     Alive,
     #[n(1)]
-    Suspected,
+    Suspect,
     #[n(2)]
     Dead,
     #[n(3)]
     Left,
 }
 
-impl Standing {
+impl MemberState {
     /// Whether it is taken to be there: a suspected one is, until its time is over.
-    pub fn here(self) -> bool {
-        self <= Standing::Suspected
+    pub fn is_present(self) -> bool {
+        self <= MemberState::Suspect
     }
 
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Standing::Alive => "alive",
-            Standing::Suspected => "suspected",
-            Standing::Dead => "dead",
-            Standing::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspected",
+            MemberState::Dead => "dead",
+            MemberState::Left => "left",
         }
     }
 }
@@ -57,7 +57,7 @@
     pub const JOINING: Phase = Phase(0);
     pub const SERVING: Phase = Phase(1);
     /// Clients are sent away by the operators' word.
-    pub const SENT_AWAY: Phase = Phase(2);
+    pub const DRAINING: Phase = Phase(2);
     pub const STOPPING: Phase = Phase(3);
     /// The new half of an upgrade, while the old one finishes what it has in hand.
     pub const UPGRADING: Phase = Phase(4);
@@ -68,7 +68,7 @@
         match *self {
             Phase::JOINING => f.write_str("joining"),
             Phase::SERVING => f.write_str("serving"),
-            Phase::SENT_AWAY => f.write_str("sent away"),
+            Phase::DRAINING => f.write_str("sent away"),
             Phase::STOPPING => f.write_str("stopping"),
             Phase::UPGRADING => f.write_str("upgrading"),
             Phase(other) => write!(f, "phase {other}"),
@@ -79,9 +79,9 @@
 /// What all are told of a node. It changes seldom, and by a new edition.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
-pub struct Card {
+pub struct NodeInfo {
     /// Where it hears datagrams.
-    #[cbor(n(0), with = "place")]
+    #[cbor(n(0), with = "address_bytes")]
     pub address: SocketAddr,
     #[cbor(n(1), default)]
     pub site: String,
@@ -89,14 +89,14 @@
     pub build: String,
     /// Of its settings: equal where they are.
     #[cbor(n(3), default)]
-    pub digest: u64,
+    pub settings_digest: u64,
     #[cbor(n(4), default)]
     pub phase: Phase,
     /// Its place among the nodes that the settings state, and how many these are.
     #[cbor(n(5), default)]
-    pub place: u32,
+    pub slot: u32,
     #[cbor(n(6), default)]
-    pub places: u32,
+    pub slots: u32,
 }
 
 /// What a node tells those whom it asks and answers; nobody passes it on.
@@ -104,21 +104,21 @@
 #[cbor(map)]
 pub struct Load {
     #[cbor(n(0), default)]
-    pub in_hand: u32,
+    pub in_flight: u32,
     /// Commands taken since the start.
     #[cbor(n(1), default)]
-    pub taken: u64,
+    pub accepted: u64,
     /// Backends on its list, the list's version, and how long ago discovery last said anything, in milliseconds.
     #[cbor(n(2), default)]
-    pub backends: u32,
+    pub backend_count: u32,
     #[cbor(n(3), default)]
-    pub list: u64,
+    pub list_version: u64,
     #[cbor(n(4), default)]
     pub list_age_ms: u64,
 }
 
 /// An address as bytes: 4 or 16 of the host, 2 of the port.
-pub(crate) mod place {
+pub(crate) mod address_bytes {
     use super::*;
 
     pub fn encode<C, W: Write>(
--- a/crates/view/src/share.rs
+++ b/crates/view/src/share.rs
@@ -9,187 +9,206 @@
 //! counts on more, and by the time it does (`sure` is at least four times `release`) whoever is not of it has let go:
 //! portions sum to one at most. `docs/view.md` has the argument whole, and a search shows it.
 
-use crate::config::Times;
-use crate::node_info::Standing;
+use crate::config::Timing;
+use crate::node_info::MemberState;
 use crate::view::View;
 use std::collections::BTreeMap;
 use yarrowfront::times::{Moment, Span};
 
 /// One part of so many, for nodes that take nothing of what all share.
-pub const NONE: u32 = 1_000_000;
+pub const NO_SHARE: u32 = 1_000_000;
 
 /// Plain facts for the decisions: as one of so many nodes, at that place among them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
     pub nodes: u32,
-    pub me: u32,
+    pub index: u32,
     /// Past this the facts are too old: `Sharer::without` holds.
-    pub until: Moment,
-    pub why: Why,
+    pub valid_until: Moment,
+    pub reason: ShareReason,
 }
 
 /// Why a node takes the portion that it takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum ShareReason {
     /// As the settings have it.
-    Stated,
+    Configured,
     /// It has just begun, or come back to a majority.
-    Fresh,
+    Settling,
     /// It does not see a majority of the places.
-    Unsure,
+    NoMajority,
     /// More nodes than places are there, or it has no place of its own.
-    Crowded,
+    ExtraNodes,
     /// Places have been missing for so long that the others share most of their portions.
-    Missing,
+    SlotsMissing,
 }
 
-impl Why {
-    pub fn word(self) -> &'static str {
+impl ShareReason {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Why::Stated => "as the settings have it",
-            Why::Fresh => "this node has just begun, or come back",
-            Why::Unsure => "this node sees no majority of the places",
-            Why::Crowded => "there are more nodes than places",
-            Why::Missing => "places have been missing for long",
+            ShareReason::Configured => "as the settings have it",
+            ShareReason::Settling => "this node has just begun, or come back",
+            ShareReason::NoMajority => "this node sees no majority of the places",
+            ShareReason::ExtraNodes => "there are more nodes than places",
+            ShareReason::SlotsMissing => "places have been missing for long",
         }
     }
 }
 
 /// What a look at the view finds of the places.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Places {
+pub struct SlotOccupancy {
     /// Places whose one holder is taken to be alive, this node's own among them.
-    pub seen: u32,
+    pub live: u32,
     /// Places that nobody has held for longer than `sure`.
     pub missing: u32,
     /// Nodes without a place of their own that may be there.
-    pub extra: u32,
+    pub extra_nodes: u32,
     /// Whether this node has a place of its own.
-    pub own: bool,
+    pub owns_slot: bool,
     /// How many with a place come before this node's, of those that are not missing.
-    pub before: u32,
+    pub preceding: u32,
 }
 
-impl Places {
+impl SlotOccupancy {
     /// Of so many places, at that moment.
-    pub fn of(view: &View, places: u32, now: Moment, sure: Span) -> Places {
+    pub fn from_view(view: &View, slots: u32, now: Moment, takeover_delay: Span) -> SlotOccupancy {
         let mut held: BTreeMap<u32, (u32, bool, bool)> = BTreeMap::new();
-        let mut extra = 0;
-        let mine = view.card();
-        let own = [(view.name(), mine, Standing::Alive, Moment(0))];
-        let others = view.members().map(|(name, m)| (name, &m.card, m.standing, m.since));
-        for (_, card, standing, since) in own.into_iter().chain(others) {
+        let mut extra_nodes = 0;
+        let mine = view.info();
+        let own = [(view.name(), mine, MemberState::Alive, Moment(0))];
+        let others = view.members().map(|(name, m)| (name, &m.info, m.state, m.state_since));
+        for (_, info, state, since) in own.into_iter().chain(others) {
             // Gone, but not for long enough: it may be there.
-            let gone = !standing.here() && now.since(since) >= sure;
+            let gone = !state.is_present() && now.since(since) >= takeover_delay;
             if gone {
                 continue;
             }
-            if card.places == places && card.place < places {
-                let place = held.entry(card.place).or_default();
-                place.0 += 1;
-                place.1 |= standing == Standing::Alive;
-                extra += u32::from(place.0 > 1);
+            if info.slots == slots && info.slot < slots {
+                let slot = held.entry(info.slot).or_default();
+                slot.0 += 1;
+                slot.1 |= state == MemberState::Alive;
+                extra_nodes += u32::from(slot.0 > 1);
             } else {
-                extra += 1;
+                extra_nodes += 1;
             }
         }
-        let single = |place: &&(u32, bool, bool)| place.0 == 1 && place.1;
-        Places {
-            seen: held.values().filter(single).count() as u32,
-            missing: places - held.len() as u32,
-            extra,
-            own: mine.places == places && held.get(&mine.place).is_some_and(|place| place.0 == 1),
-            before: held.range(..mine.place).count() as u32,
+        let single = |slot: &&(u32, bool, bool)| slot.0 == 1 && slot.1;
+        SlotOccupancy {
+            live: held.values().filter(single).count() as u32,
+            missing: slots - held.len() as u32,
+            extra_nodes,
+            owns_slot: mine.slots == slots && held.get(&mine.slot).is_some_and(|slot| slot.0 == 1),
+            preceding: held.range(..mine.slot).count() as u32,
         }
     }
 
-    pub fn majority(&self, places: u32) -> bool {
-        self.seen * 2 > places
+    pub fn has_majority(&self, slots: u32) -> bool {
+        self.live * 2 > slots
     }
 }
 
 /// Keeps what it takes to know how long something has been so.
 #[derive(Clone, Debug)]
-pub struct Sharer {
-    times: Times,
-    began: Moment,
+pub struct ShareTracker {
+    timing: Timing,
+    started_at: Moment,
     /// Without a break since, and seen last.
-    since: Option<Moment>,
-    seen: Option<Moment>,
+    majority_since: Option<Moment>,
+    majority_seen: Option<Moment>,
     /// It has not yet been among a majority for `sure` since it was out of one, or began.
-    out: bool,
+    holds_back: bool,
 }
 
-impl Sharer {
-    pub fn new(now: Moment, times: Times) -> Sharer {
-        Sharer { times, began: now, since: None, seen: None, out: true }
+impl ShareTracker {
+    pub fn new(now: Moment, timing: Timing) -> ShareTracker {
+        ShareTracker { timing, started_at: now, majority_since: None, majority_seen: None, holds_back: true }
     }
 
     /// What holds while nothing is known: the half portion of a place, or none.
-    pub fn without(places: u32, me: u32, now: Moment) -> Share {
-        let (places, me) = (places.max(1), me);
-        let nodes = if places == 1 { 1 } else { places * 2 };
-        Share { nodes, me: (me % places) * (nodes / places), until: now, why: Why::Unsure }
+    pub fn fallback(slots: u32, index: u32, now: Moment) -> Share {
+        let (slots, index) = (slots.max(1), index);
+        let nodes = if slots == 1 { 1 } else { slots * 2 };
+        Share {
+            nodes,
+            index: (index % slots) * (nodes / slots),
+            valid_until: now,
+            reason: ShareReason::NoMajority,
+        }
     }
 
     /// Looks at the view, for a node whose settings state so many places and that it has that one.
-    pub fn look(&mut self, now: Moment, view: &View, places: u32, me: u32) -> Share {
-        let found = Places::of(view, places.max(1), now, self.times.sure);
-        let lately = |at: Moment| now.since(at) <= self.times.release;
-        let heard = view.here() == 1 || view.answered().is_some_and(lately);
-        self.awake(view.awake_since());
-        self.choose(now, &found, heard, places.max(1), me)
+    pub fn update(&mut self, now: Moment, view: &View, slots: u32, index: u32) -> Share {
+        let found = SlotOccupancy::from_view(view, slots.max(1), now, self.timing.takeover_delay);
+        let lately = |at: Moment| now.since(at) <= self.timing.release_after;
+        let heard = view.present_count() == 1 || view.last_answered().is_some_and(lately);
+        self.resumed(view.running_since());
+        self.decide(now, &found, heard, slots.max(1), index)
     }
 
     /// It began, or was kept from its work until then: what it saw of a majority before that counts for nothing, and
     /// whoever took over from it meanwhile has to be seen first.
-    pub fn awake(&mut self, since: Moment) {
-        if since > self.began {
-            (self.began, self.since, self.out) = (since, None, true);
+    pub fn resumed(&mut self, since: Moment) {
+        if since > self.started_at {
+            (self.started_at, self.majority_since, self.holds_back) = (since, None, true);
         }
     }
 
     /// The rule itself.
-    pub fn choose(&mut self, now: Moment, found: &Places, heard: bool, places: u32, me: u32) -> Share {
-        let release = self.times.release;
-        let majority = found.majority(places) && (heard || places == 1);
+    pub fn decide(
+        &mut self,
+        now: Moment,
+        found: &SlotOccupancy,
+        heard: bool,
+        slots: u32,
+        index: u32,
+    ) -> Share {
+        let release = self.timing.release_after;
+        let majority = found.has_majority(slots) && (heard || slots == 1);
         if !majority {
-            self.since = None;
+            self.majority_since = None;
         }
         if majority {
-            self.since = self.since.or(Some(now));
-            self.seen = Some(now);
+            self.majority_since = self.majority_since.or(Some(now));
+            self.majority_seen = Some(now);
         }
-        let settled = |span: Span| self.since.is_some_and(|since| now.since(since) >= span);
-        let seen = self.seen.is_some_and(|at| at >= self.began && now.since(at) < release);
-        let until = now + release;
-        let half = Share { until, ..Sharer::without(places, me, now) };
+        let settled = |span: Span| self.majority_since.is_some_and(|since| now.since(since) >= span);
+        let seen = self.majority_seen.is_some_and(|at| at >= self.started_at && now.since(at) < release);
+        let valid_until = now + release;
+        let half = Share { valid_until, ..ShareTracker::fallback(slots, index, now) };
         // The only place's own node has the whole from its start on, as it has without a view: nothing is left beside it.
-        if !found.own && (places == 1 || !settled(self.times.sure)) {
-            return Share { nodes: NONE, me: 0, until, why: Why::Crowded };
+        if !found.owns_slot && (slots == 1 || !settled(self.timing.takeover_delay)) {
+            return Share { nodes: NO_SHARE, index: 0, valid_until, reason: ShareReason::ExtraNodes };
         }
         // Whoever comes back is seen to be there only when its news has gone round: until then the others may still
         // have left it no more than a half.
-        self.out = !seen || self.out && !settled(self.times.sure);
-        if self.out {
-            return Share { why: if seen { Why::Fresh } else { Why::Unsure }, ..half };
+        self.holds_back = !seen || self.holds_back && !settled(self.timing.takeover_delay);
+        if self.holds_back {
+            return Share {
+                reason: if seen { ShareReason::Settling } else { ShareReason::NoMajority },
+                ..half
+            };
         }
-        let missing = if settled(self.times.sure) { found.missing } else { 0 };
+        let missing = if settled(self.timing.takeover_delay) { found.missing } else { 0 };
         // All that are there share what the half portions of the missing leave.
-        let holders = u64::from(places - missing + found.extra).max(1);
-        let (whole, left) = (u64::from(2 * places), u64::from(2 * places - missing));
+        let holders = u64::from(slots - missing + found.extra_nodes).max(1);
+        let (whole, left) = (u64::from(2 * slots), u64::from(2 * slots - missing));
         let nodes = (holders * whole).div_ceil(left) as u32;
-        let why = match () {
-            () if found.extra > 0 => Why::Crowded,
-            () if missing > 0 => Why::Missing,
-            () => Why::Stated,
+        let reason = match () {
+            () if found.extra_nodes > 0 => ShareReason::ExtraNodes,
+            () if missing > 0 => ShareReason::SlotsMissing,
+            () => ShareReason::Configured,
+        };
+        let index = if reason == ShareReason::Configured {
+            index
+        } else {
+            spread_index(found.preceding, holders as u32, nodes)
         };
-        let me = if why == Why::Stated { me } else { spread(found.before, holders as u32, nodes) };
-        Share { nodes, me, until, why }
+        Share { nodes, index, valid_until, reason }
     }
 }
 
 /// A place among `holders` as one among `nodes`, evenly apart.
-fn spread(place: u32, holders: u32, nodes: u32) -> u32 {
-    (u64::from(place) * u64::from(nodes) / u64::from(holders.max(1))) as u32
+fn spread_index(slot: u32, holders: u32, nodes: u32) -> u32 {
+    (u64::from(slot) * u64::from(nodes) / u64::from(holders.max(1))) as u32
 }
--- a/crates/view/src/view/merge.rs
+++ b/crates/view/src/view/merge.rs
@@ -1,10 +1,10 @@
 //! What is said of others is taken where it holds over what is believed; what is said of this node it knows better.
 
-use super::{Rival, View, What};
+use super::{ChangeKind, Rival, View};
 use crate::checksums as sums;
-use crate::member::{suspicion, Member};
-use crate::node_info::{Edition, Life, Standing};
-use crate::wire::{Datagram, Kind, News};
+use crate::member::{suspicion_timeout, Member};
+use crate::node_info::{Generation, Incarnation, MemberState};
+use crate::wire::{Datagram, Kind, MemberUpdate};
 use rand::RngExt;
 use std::net::SocketAddr;
 use yarrowfront::times::Moment;
@@ -12,86 +12,86 @@
 impl View {
     /// Whoever is not taken to be alive is told so, once a period: only its own word can change that.
     pub(super) fn accuse(&mut self, now: Moment, datagram: &Datagram) {
-        let period = self.terms.times.period;
-        let Some(member) = self.members.get_mut(&datagram.from) else { return };
-        let refuted = (datagram.life, datagram.edition) > (member.life, member.edition);
-        let lately = member.accused.is_some_and(|at| now.since(at) < period);
-        if member.standing == Standing::Alive || refuted || lately {
+        let period = self.config.timing.probe_interval;
+        let Some(member) = self.members.get_mut(&datagram.sender) else { return };
+        let refuted = (datagram.generation, datagram.incarnation) > (member.generation, member.incarnation);
+        let lately = member.last_accused.is_some_and(|at| now.since(at) < period);
+        if member.state == MemberState::Alive || refuted || lately {
             return;
         }
-        member.accused = Some(now);
-        let (news, at) = (self.news(&datagram.from, false), self.address(&datagram.from));
+        member.last_accused = Some(now);
+        let (news, at) = (self.news(&datagram.sender, false), self.address(&datagram.sender));
         self.tell(now, at.unwrap_or(datagram.address), news);
     }
 
     /// A datagram in this node's own name: a process beside it, or an echo.
     pub(super) fn namesake(&mut self, now: Moment, datagram: &Datagram) {
-        if datagram.address == self.card.address {
+        if datagram.address == self.info.address {
             return;
         }
-        if datagram.kind == Kind::Answer && self.asks.remove(&datagram.ask).is_some() {
-            if let Some(rival) = self.rival.as_mut().filter(|rival| rival.life <= datagram.life) {
+        if datagram.kind == Kind::Ack && self.pending_probes.remove(&datagram.probe_id).is_some() {
+            if let Some(rival) = self.rival.as_mut().filter(|rival| rival.generation <= datagram.generation) {
                 rival.tries = 0;
                 if !std::mem::replace(&mut rival.answered, true) {
-                    let (name, life) = (self.name.clone(), datagram.life);
-                    self.note(now, &name, life, What::Displaced, &datagram.address.to_string());
+                    let (name, generation) = (self.name.clone(), datagram.generation);
+                    self.note(now, &name, generation, ChangeKind::NameTaken, &datagram.address.to_string());
                 }
             }
-        } else if datagram.life > self.life {
-            self.rivalled(datagram.address, datagram.life);
-        } else if datagram.kind == Kind::Ask {
+        } else if datagram.generation > self.generation {
+            self.rivalled(datagram.address, datagram.generation);
+        } else if datagram.kind == Kind::Ping {
             // The earlier of the two asks whether there is a later one.
-            self.answer(now, datagram.address, None, datagram.ask, true);
+            self.answer(now, datagram.address, None, datagram.probe_id, true);
         }
     }
 
-    pub(super) fn rivalled(&mut self, address: SocketAddr, life: Life) {
+    pub(super) fn rivalled(&mut self, address: SocketAddr, generation: Generation) {
         match &mut self.rival {
-            Some(rival) => rival.life = rival.life.max(life),
-            None => self.rival = Some(Rival { address, life, tries: 0, answered: false }),
+            Some(rival) => rival.generation = rival.generation.max(generation),
+            None => self.rival = Some(Rival { address, generation, tries: 0, answered: false }),
         }
     }
 
     /// Something is said of this node itself: it knows better.
-    pub(super) fn about_me(&mut self, now: Moment, news: &News) {
-        if news.life < self.life {
+    pub(super) fn about_me(&mut self, now: Moment, news: &MemberUpdate) {
+        if news.generation < self.generation {
             return;
         }
-        if news.life == self.life {
-            if (news.edition, news.standing) > (self.edition, Standing::Alive) {
-                if news.standing == Standing::Suspected {
+        if news.generation == self.generation {
+            if (news.incarnation, news.state) > (self.incarnation, MemberState::Alive) {
+                if news.state == MemberState::Suspect {
                     self.trouble_by(1);
                 }
-                let carded = self.carded;
-                self.raise_edition(Edition(news.edition.0 + 1));
-                self.carded = carded;
+                let info_incarnation = self.info_incarnation;
+                self.raise_incarnation(Incarnation(news.incarnation.0 + 1));
+                self.info_incarnation = info_incarnation;
                 self.announce(now);
             }
             return;
         }
-        let elsewhere = news.card.as_ref().map(|card| card.address).filter(|at| *at != self.card.address);
+        let elsewhere = news.info.as_ref().map(|info| info.address).filter(|at| *at != self.info.address);
         match elsewhere {
-            _ if !news.standing.here() => self.raise_life(now, news.life),
-            Some(address) => self.rivalled(address, news.life),
-            None if news.card.is_some() => self.raise_life(now, news.life),
+            _ if !news.state.is_present() => self.raise_generation(now, news.generation),
+            Some(address) => self.rivalled(address, news.generation),
+            None if news.info.is_some() => self.raise_generation(now, news.generation),
             // Whoever it is, it may be there: without an address it cannot be asked.
             None => self.lacking = true,
         }
     }
 
     /// Takes what holds over what is believed, and passes it on.
-    pub(super) fn learn(&mut self, now: Moment, news: &News, teller: &str, spread: bool) {
+    pub(super) fn learn(&mut self, now: Moment, news: &MemberUpdate, teller: &str, spread: bool) {
         if news.name == self.name {
             return self.about_me(now, news);
         }
-        let by = news.by.as_deref().unwrap_or(teller);
-        if news.card.as_ref().is_some_and(|card| !self.terms.near(card.address)) {
-            self.counts.strangers += 1;
+        let by = news.reported_by.as_deref().unwrap_or(teller);
+        if news.info.as_ref().is_some_and(|info| !self.config.allows(info.address)) {
+            self.counters.outside_networks += 1;
             return;
         }
         let Some(member) = self.members.get_mut(&news.name) else {
             // What has been forgotten stays so: only somebody who is here is news.
-            if news.standing.here() {
+            if news.state.is_present() {
                 self.join(now, news, by);
                 if !spread {
                     self.gossip.drop(&news.name);
@@ -99,93 +99,98 @@
             }
             return;
         };
-        let mut standing = news.standing;
-        if standing == Standing::Dead && member.standing == Standing::Alive && news.life == member.life {
+        let mut state = news.state;
+        if state == MemberState::Dead
+            && member.state == MemberState::Alive
+            && news.generation == member.generation
+        {
             // Word from a side that was cut off: whoever is alive here is to have the time to refute it.
-            standing = Standing::Suspected;
+            state = MemberState::Suspect;
         }
-        let rank = (news.life, news.edition, standing);
+        let rank = (news.generation, news.incarnation, state);
         if rank <= member.rank() {
-            if rank == member.rank() && standing == Standing::Suspected && self.confirm(&news.name, by) {
+            if rank == member.rank() && state == MemberState::Suspect && self.confirm(&news.name, by) {
                 self.confirmed(&news.name);
             }
             return;
         }
-        let (life, edition, was) = (member.life, member.edition, member.standing);
-        let carded = (news.life, news.carded) == (member.life, member.carded);
-        let same = news.card.as_ref().is_none_or(|card| *card == member.card);
-        match &news.card {
-            Some(card) => (member.card, member.carded) = (card.clone(), news.carded),
-            None if carded => {}
+        let (generation, incarnation, was) = (member.generation, member.incarnation, member.state);
+        let info_incarnation =
+            (news.generation, news.info_incarnation) == (member.generation, member.info_incarnation);
+        let same = news.info.as_ref().is_none_or(|info| *info == member.info);
+        match &news.info {
+            Some(info) => (member.info, member.info_incarnation) = (info.clone(), news.info_incarnation),
+            None if info_incarnation => {}
             // It would be believed where it was before.
-            None if standing.here() || news.life != member.life => {
+            None if state.is_present() || news.generation != member.generation => {
                 self.lacking = true;
                 return;
             }
             None => {}
         }
-        (member.life, member.edition) = (news.life, news.edition);
-        if news.life > life {
-            (member.heard, member.load, member.trip) = (None, None, None);
+        (member.generation, member.incarnation) = (news.generation, news.incarnation);
+        if news.generation > generation {
+            (member.last_heard, member.load, member.rtt) = (None, None, None);
         }
-        if was.here() {
-            self.digest ^= sums::part(&news.name, life, edition);
-            self.digest ^= sums::part(&news.name, news.life, news.edition);
+        if was.is_present() {
+            self.digest ^= sums::part(&news.name, generation, incarnation);
+            self.digest ^= sums::part(&news.name, news.generation, news.incarnation);
         }
         let by = by.to_owned();
-        if news.life > life && standing == Standing::Alive {
-            self.set_for(now, &news.name, Standing::Alive, &by, What::Restarted);
-        } else if standing != was || standing == Standing::Suspected {
-            self.set(now, &news.name, standing, &by);
-            if standing != news.standing {
+        if news.generation > generation && state == MemberState::Alive {
+            self.set_for(now, &news.name, MemberState::Alive, &by, ChangeKind::Restarted);
+        } else if state != was || state == MemberState::Suspect {
+            self.set(now, &news.name, state, &by);
+            if state != news.state {
                 // No more is owed to it than the shortest suspicion.
-                let over = now + suspicion(self.terms.times.period, self.here, usize::MAX);
+                let over = now
+                    + suspicion_timeout(self.config.timing.probe_interval, self.present_count, usize::MAX);
                 self.set_timer(&news.name, Some(over));
             }
         } else if !same {
-            self.note(now, &news.name, news.life, What::Card, &by);
+            self.note(now, &news.name, news.generation, ChangeKind::InfoChanged, &by);
         }
         // Whoever is said to be dead is to hear of it in any case.
-        if spread || standing != Standing::Alive {
+        if spread || state != MemberState::Alive {
             self.gossip.add(&news.name);
         }
     }
 
-    pub(super) fn join(&mut self, now: Moment, news: &News, by: &str) {
-        let Some(card) = news.card.clone() else {
+    pub(super) fn join(&mut self, now: Moment, news: &MemberUpdate, by: &str) {
+        let Some(info) = news.info.clone() else {
             self.lacking = true;
             return;
         };
-        if self.members.len() + 1 >= self.terms.most_members {
-            self.counts.no_room += 1;
+        if self.members.len() + 1 >= self.config.max_members {
+            self.counters.member_limit_reached += 1;
             return;
         }
         let member = Member {
-            life: news.life,
-            edition: news.edition,
-            standing: Standing::Alive,
-            card,
-            carded: news.carded,
-            since: now,
-            by: by.to_owned(),
-            heard: None,
+            generation: news.generation,
+            incarnation: news.incarnation,
+            state: MemberState::Alive,
+            info,
+            info_incarnation: news.info_incarnation,
+            state_since: now,
+            reported_by: by.to_owned(),
+            last_heard: None,
             load: None,
-            trip: None,
-            asked: 0,
-            lost: 0,
+            rtt: None,
+            probes_sent: 0,
+            probes_lost: 0,
             timer: None,
-            suspecters: Vec::new(),
-            accused: None,
+            suspected_by: Vec::new(),
+            last_accused: None,
         };
         self.members.insert(news.name.clone(), member);
-        self.here += 1;
-        self.digest ^= sums::part(&news.name, news.life, news.edition);
+        self.present_count += 1;
+        self.digest ^= sums::part(&news.name, news.generation, news.incarnation);
         // Somewhere in the rest of this round.
         let place = self.chance.random_range(self.turn..=self.order.len());
         self.order.insert(place, news.name.clone());
-        self.note(now, &news.name, news.life, What::Joined, by);
-        if news.standing == Standing::Suspected {
-            self.set(now, &news.name, Standing::Suspected, by);
+        self.note(now, &news.name, news.generation, ChangeKind::Joined, by);
+        if news.state == MemberState::Suspect {
+            self.set(now, &news.name, MemberState::Suspect, by);
         }
         self.gossip.add(&news.name);
     }
--- a/crates/view/src/view/mod.rs
+++ b/crates/view/src/view/mod.rs
@@ -9,11 +9,11 @@
 mod send;
 
 use crate::checksums as sums;
-use crate::config::ViewTerms;
-use crate::gossip::{Gossip, Purse};
+use crate::config::ViewConfig;
+use crate::gossip::{ByteBudget, Gossip};
 use crate::member::Member;
-use crate::node_info::{Card, Edition, Life, Load, Standing};
-use crate::wire::{Datagram, Kind, Unread};
+use crate::node_info::{Generation, Incarnation, Load, MemberState, NodeInfo};
+use crate::wire::{Datagram, DecodeError, Kind};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -54,14 +54,14 @@
 pub struct Change {
     pub at: Moment,
     pub name: String,
-    pub life: Life,
-    pub what: What,
+    pub generation: Generation,
+    pub kind: ChangeKind,
     /// Whose word it is: a member's name, or this node's own.
-    pub by: String,
+    pub reported_by: String,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum ChangeKind {
     Joined,
     /// It is there under a new start.
     Restarted,
@@ -72,49 +72,49 @@
     Left,
     Forgotten,
     /// It tells something else of itself.
-    Card,
+    InfoChanged,
     /// This node has raised its own edition or life above what was said of it.
-    Raised,
+    SelfRefuted,
     /// Another process has this node's name, and a later start.
-    Displaced,
+    NameTaken,
     /// Nobody else is there any more, or somebody is there again.
     Alone,
-    Together,
+    NoLongerAlone,
 }
 
-impl What {
-    pub fn word(self) -> &'static str {
+impl ChangeKind {
+    pub fn as_str(self) -> &'static str {
         match self {
-            What::Joined => "joined",
-            What::Restarted => "started again",
-            What::Refuted => "alive after all",
-            What::Suspected => "suspected",
-            What::Dead => "dead",
-            What::Left => "left",
-            What::Forgotten => "forgotten",
-            What::Card => "tells something else of itself",
-            What::Raised => "this node refutes what was said of it",
-            What::Displaced => "another process has this node's name",
-            What::Alone => "this node is alone",
-            What::Together => "this node is no longer alone",
+            ChangeKind::Joined => "joined",
+            ChangeKind::Restarted => "started again",
+            ChangeKind::Refuted => "alive after all",
+            ChangeKind::Suspected => "suspected",
+            ChangeKind::Dead => "dead",
+            ChangeKind::Left => "left",
+            ChangeKind::Forgotten => "forgotten",
+            ChangeKind::InfoChanged => "tells something else of itself",
+            ChangeKind::SelfRefuted => "this node refutes what was said of it",
+            ChangeKind::NameTaken => "another process has this node's name",
+            ChangeKind::Alone => "this node is alone",
+            ChangeKind::NoLongerAlone => "this node is no longer alone",
         }
     }
 }
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    pub heard: u64,
-    pub sent: u64,
+pub struct Counters {
+    pub datagrams_received: u64,
+    pub datagrams_sent: u64,
     pub bytes_sent: u64,
     /// Dropped: from outside the networks, of another fleet, of another version, malformed, of an old life.
-    pub strangers: u64,
+    pub outside_networks: u64,
     pub other_fleet: u64,
     pub other_version: u64,
     pub malformed: u64,
-    pub old_life: u64,
+    pub old_generation: u64,
     /// New members for whom there is no room.
-    pub no_room: u64,
+    pub member_limit_reached: u64,
     pub changes: u64,
     /// Times that this node was stopped or kept from its work for longer than half a period.
     pub stalls: u64,
@@ -125,13 +125,13 @@
     /// The ask of this round.
     Round,
     /// Another one's ask, under its number there.
-    Relay { of: String, ask: u32, subject: String },
+    Relay { of: String, probe_id: u32, subject: String },
     /// Whether another process answers to this node's name.
     Rival,
 }
 
 #[derive(Clone)]
-struct Asked {
+struct PendingProbe {
     purpose: Purpose,
     until: Moment,
     sent: Moment,
@@ -140,9 +140,9 @@
 /// An ask of a round that is out.
 #[derive(Clone)]
 struct Round {
-    ask: u32,
+    probe_id: u32,
     target: String,
-    life: Life,
+    generation: Generation,
     /// When others are asked to ask, if they have not been.
     relay: Option<Moment>,
     relays: usize,
@@ -154,7 +154,7 @@
 #[derive(Clone)]
 struct Rival {
     address: SocketAddr,
-    life: Life,
+    generation: Generation,
     tries: u32,
     answered: bool,
 }
@@ -162,24 +162,24 @@
 /// Cloned by searches alone.
 #[derive(Clone)]
 pub struct View {
-    pub terms: ViewTerms,
+    pub config: ViewConfig,
     name: String,
-    life: Life,
-    edition: Edition,
-    carded: Edition,
-    card: Card,
+    generation: Generation,
+    incarnation: Incarnation,
+    info_incarnation: Incarnation,
+    info: NodeInfo,
     load: Load,
-    standing: Standing,
+    state: MemberState,
     chance: ChaCha8Rng,
     members: BTreeMap<String, Member>,
-    here: usize,
+    present_count: usize,
     digest: u64,
     /// Members in the order in which they are asked, and how far this round of them is.
     order: Vec<String>,
     turn: usize,
     rounds: Vec<Round>,
     round_at: Moment,
-    asks: BTreeMap<u32, Asked>,
+    pending_probes: BTreeMap<u32, PendingProbe>,
     last_ask: u32,
     trouble: u32,
     /// Of this node's own asks of late, the share that had no answer by themselves.
@@ -188,14 +188,14 @@
     seeds_at: Moment,
     rival: Option<Rival>,
     gossip: Gossip,
-    purse: Purse,
+    purse: ByteBudget,
     differs: Option<Moment>,
     exchange_at: Moment,
     /// News has come that was of no use without a card.
     lacking: bool,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
     changes: VecDeque<Change>,
-    counts: Counts,
+    counters: Counters,
     alone: bool,
     born: Moment,
     stalled: Option<Moment>,
@@ -204,27 +204,34 @@
 
 impl View {
     /// A node's view at its start: it knows itself, and where the seeds are.
-    pub fn new(now: Moment, terms: ViewTerms, name: &str, life: Life, card: Card, seed: u64) -> View {
+    pub fn new(
+        now: Moment,
+        config: ViewConfig,
+        name: &str,
+        generation: Generation,
+        info: NodeInfo,
+        seed: u64,
+    ) -> View {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let first = Span(chance.random_range(0..=terms.times.period.0));
-        let purse = Purse::new(now, f64::from(terms.bytes_per_s), BURST);
+        let first = Span(chance.random_range(0..=config.timing.probe_interval.0));
+        let purse = ByteBudget::new(now, f64::from(config.bytes_per_s), BURST);
         let mut view = View {
             name: name.to_owned(),
-            life,
-            edition: Edition(0),
-            carded: Edition(0),
-            card,
+            generation,
+            incarnation: Incarnation(0),
+            info_incarnation: Incarnation(0),
+            info,
             load: Load::default(),
-            standing: Standing::Alive,
+            state: MemberState::Alive,
             chance,
             members: BTreeMap::new(),
-            here: 1,
-            digest: sums::part(name, life, Edition(0)),
+            present_count: 1,
+            digest: sums::part(name, generation, Incarnation(0)),
             order: Vec::new(),
             turn: 0,
             rounds: Vec::new(),
             round_at: now + first,
-            asks: BTreeMap::new(),
+            pending_probes: BTreeMap::new(),
             last_ask: 0,
             trouble: 0,
             lossy: 0.0,
@@ -238,12 +245,12 @@
             lacking: false,
             out: VecDeque::new(),
             changes: VecDeque::new(),
-            counts: Counts::default(),
+            counters: Counters::default(),
             alone: true,
             born: now,
             stalled: None,
             answered: None,
-            terms,
+            config,
         };
         view.gossip.add(name);
         view
@@ -253,16 +260,16 @@
         &self.name
     }
 
-    pub fn life(&self) -> Life {
-        self.life
+    pub fn generation(&self) -> Generation {
+        self.generation
     }
 
-    pub fn edition(&self) -> Edition {
-        self.edition
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
-    pub fn card(&self) -> &Card {
-        &self.card
+    pub fn info(&self) -> &NodeInfo {
+        &self.info
     }
 
     pub fn load(&self) -> Load {
@@ -279,8 +286,8 @@
     }
 
     /// How many are here, this node among them.
-    pub fn here(&self) -> usize {
-        self.here
+    pub fn present_count(&self) -> usize {
+        self.present_count
     }
 
     /// Of all that are here, by name, life and edition: equal where two views are.
@@ -288,113 +295,120 @@
         self.digest
     }
 
-    pub fn counts(&self) -> Counts {
-        self.counts
+    pub fn counters(&self) -> Counters {
+        self.counters
     }
 
     /// How much this node's own troubles stretch its times: 0 for not at all.
-    pub fn trouble(&self) -> u32 {
+    pub fn local_health_score(&self) -> u32 {
         self.trouble
     }
 
-    pub fn alone(&self) -> bool {
-        self.here == 1
+    pub fn is_alone(&self) -> bool {
+        self.present_count == 1
     }
 
     /// Where another process with this node's name and a later start is, if one has answered.
-    pub fn displaced(&self) -> Option<SocketAddr> {
+    pub fn displaced_by(&self) -> Option<SocketAddr> {
         self.rival.as_ref().filter(|rival| rival.answered).map(|rival| rival.address)
     }
 
     /// When it began, or went on after being kept from its work for longer than it may be out of touch.
-    pub fn awake_since(&self) -> Moment {
+    pub fn running_since(&self) -> Moment {
         self.stalled.map_or(self.born, |at| at.max(self.born))
     }
 
     /// When an ask of this node's was last answered.
-    pub fn answered(&self) -> Option<Moment> {
+    pub fn last_answered(&self) -> Option<Moment> {
         self.answered
     }
 
-    pub fn change(&mut self) -> Option<Change> {
+    pub fn next_change(&mut self) -> Option<Change> {
         self.changes.pop_front()
     }
 
     /// The next datagram to send.
-    pub fn outgoing(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
+    pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.out.pop_front()
     }
 
     /// When it wants to be called next.
-    pub fn next(&self) -> Moment {
+    pub fn next_timeout(&self) -> Moment {
         let relay = self.rounds.iter().filter_map(|round| round.relay).min();
         let timer = self.timers.first().map(|(at, _)| *at);
-        let ask = self.asks.values().map(|asked| asked.until).min();
-        let soonest = [relay, timer, ask].into_iter().flatten().min();
+        let probe_id = self.pending_probes.values().map(|asked| asked.until).min();
+        let soonest = [relay, timer, probe_id].into_iter().flatten().min();
         let own = self.round_at.min(self.seeds_at);
         soonest.map_or(own, |at| at.min(own))
     }
 
-    fn note(&mut self, now: Moment, name: &str, life: Life, what: What, by: &str) {
-        self.counts.changes += 1;
+    fn note(&mut self, now: Moment, name: &str, generation: Generation, kind: ChangeKind, by: &str) {
+        self.counters.changes += 1;
         if self.changes.len() >= CHANGES {
             self.changes.pop_front();
         }
-        self.changes.push_back(Change { at: now, name: name.to_owned(), life, what, by: by.to_owned() });
+        self.changes.push_back(Change {
+            at: now,
+            name: name.to_owned(),
+            generation,
+            kind,
+            reported_by: by.to_owned(),
+        });
     }
 
     /// Other terms, as the operators' file now says. What is known stays.
-    pub fn follow(&mut self, now: Moment, terms: ViewTerms) {
-        self.purse = Purse::new(now, f64::from(terms.bytes_per_s), BURST);
-        self.terms = terms;
+    pub fn reconfigure(&mut self, now: Moment, config: ViewConfig) {
+        self.purse = ByteBudget::new(now, f64::from(config.bytes_per_s), BURST);
+        self.config = config;
         self.seeds_at = now;
     }
 
     /// What this node says of itself from now on.
-    pub fn told(&mut self, card: &Card, load: Load) {
+    pub fn update_self(&mut self, info: &NodeInfo, load: Load) {
         self.load = load;
-        if self.card != *card {
-            self.card = card.clone();
-            self.raise_edition(Edition(self.edition.0 + 1));
-            self.carded = self.edition;
+        if self.info != *info {
+            self.info = info.clone();
+            self.raise_incarnation(Incarnation(self.incarnation.0 + 1));
+            self.info_incarnation = self.incarnation;
             self.gossip.add(&self.name.clone());
         }
     }
 
-    fn raise_edition(&mut self, edition: Edition) {
-        self.digest ^= sums::part(&self.name, self.life, self.edition);
-        self.edition = edition;
-        self.digest ^= sums::part(&self.name, self.life, self.edition);
+    fn raise_incarnation(&mut self, incarnation: Incarnation) {
+        self.digest ^= sums::part(&self.name, self.generation, self.incarnation);
+        self.incarnation = incarnation;
+        self.digest ^= sums::part(&self.name, self.generation, self.incarnation);
     }
 
     /// Begins another life: the one that it was said to have is over, or was never its own.
-    pub fn raise_life(&mut self, now: Moment, above: Life) {
-        self.digest ^= sums::part(&self.name, self.life, self.edition);
-        (self.life, self.edition, self.carded) = (Life(above.0.max(self.life.0) + 1), Edition(0), Edition(0));
-        self.digest ^= sums::part(&self.name, self.life, self.edition);
-        (self.rival, self.standing) = (None, Standing::Alive);
+    pub fn raise_generation(&mut self, now: Moment, above: Generation) {
+        self.digest ^= sums::part(&self.name, self.generation, self.incarnation);
+        (self.generation, self.incarnation, self.info_incarnation) =
+            (Generation(above.0.max(self.generation.0) + 1), Incarnation(0), Incarnation(0));
+        self.digest ^= sums::part(&self.name, self.generation, self.incarnation);
+        (self.rival, self.state) = (None, MemberState::Alive);
         self.announce(now);
     }
 
     fn announce(&mut self, now: Moment) {
-        let (name, life) = (self.name.clone(), self.life);
+        let (name, generation) = (self.name.clone(), self.generation);
         self.gossip.add(&name);
-        self.note(now, &name, life, What::Raised, &name);
+        self.note(now, &name, generation, ChangeKind::SelfRefuted, &name);
     }
 
     /// Goes, and says so to some of those that are here. Nothing is sent after that.
     pub fn leave(&mut self, now: Moment) {
-        self.standing = Standing::Left;
+        self.state = MemberState::Left;
         let name = self.name.clone();
         self.gossip.add(&name);
         for other in self.some(2 * RELAYS, None) {
-            self.send(now, &other, Kind::Tell, 0, None);
+            self.send(now, &other, Kind::Updates, 0, None);
         }
     }
 
     fn address(&self, name: &str) -> Option<SocketAddr> {
-        let known = || self.members.get(name).map(|member| member.card.address);
-        self.terms.via.get(name).copied().or_else(known)
+        let known = || self.members.get(name).map(|member| member.info.address);
+        self.config.address_overrides.get(name).copied().or_else(known)
     }
 
     fn stretch(&self, span: Span) -> Span {
@@ -407,25 +421,25 @@
 
     /// Kept from its work for long, a node has no word on who was silent: nothing is held against anybody.
     fn wake(&mut self, now: Moment) {
-        let late = now.since(self.next());
-        if late.0 <= self.terms.times.period.0 / 2 {
+        let late = now.since(self.next_timeout());
+        if late.0 <= self.config.timing.probe_interval.0 / 2 {
             return;
         }
-        self.counts.stalls += 1;
-        if late > self.terms.times.release {
+        self.counters.stalls += 1;
+        if late > self.config.timing.release_after {
             self.stalled = Some(now);
         }
         self.rounds.clear();
-        self.asks.clear();
+        self.pending_probes.clear();
         (self.round_at, self.seeds_at) = (now, self.seeds_at.max(now));
-        let periods = late.0 / self.terms.times.period.0.max(1);
+        let periods = late.0 / self.config.timing.probe_interval.0.max(1);
         self.trouble_by(periods.clamp(1, u64::from(TROUBLE)) as i32);
         let timers: Vec<String> = self.timers.iter().map(|(_, name)| name.clone()).collect();
         self.timers.clear();
         for name in timers {
             let Some(member) = self.members.get_mut(&name) else { continue };
             let at = member.timer.map(|at| at + late);
-            member.since = member.since + late;
+            member.state_since = member.state_since + late;
             self.set_timer(&name, at);
         }
     }
@@ -442,26 +456,29 @@
     }
 
     /// Does what is due by now.
-    pub fn due(&mut self, now: Moment) {
+    pub fn handle_timeout(&mut self, now: Moment) {
         self.wake(now);
-        if self.standing == Standing::Left {
-            (self.round_at, self.seeds_at) = (now + self.terms.times.seeds, now + self.terms.times.seeds);
+        if self.state == MemberState::Left {
+            (self.round_at, self.seeds_at) =
+                (now + self.config.timing.seed_interval, now + self.config.timing.seed_interval);
             return;
         }
-        let over = |(number, asked): (&u32, &Asked)| (asked.until <= now).then_some(*number);
-        let over: Vec<u32> = self.asks.iter().filter_map(over).collect();
+        let over = |(number, asked): (&u32, &PendingProbe)| (asked.until <= now).then_some(*number);
+        let over: Vec<u32> = self.pending_probes.iter().filter_map(over).collect();
         for number in over {
-            if let Some(Asked { purpose: Purpose::Relay { of, ask, .. }, .. }) = self.asks.remove(&number) {
-                self.send(now, &of, Kind::Nothing, ask, None);
+            if let Some(PendingProbe { purpose: Purpose::Relay { of, probe_id, .. }, .. }) =
+                self.pending_probes.remove(&number)
+            {
+                self.send(now, &of, Kind::Nack, probe_id, None);
             }
         }
         while let Some((at, name)) = self.timers.first().filter(|(at, _)| *at <= now).cloned() {
             self.timers.remove(&(at, name.clone()));
             self.timer(now, &name);
         }
-        for ask in 0..self.rounds.len() {
-            if self.rounds[ask].relay.is_some_and(|at| at <= now) {
-                self.relay(now, ask);
+        for probe_id in 0..self.rounds.len() {
+            if self.rounds[probe_id].relay.is_some_and(|at| at <= now) {
+                self.relay(now, probe_id);
             }
         }
         if self.seeds_at <= now {
@@ -469,8 +486,8 @@
         }
         if self.round_at <= now {
             let again = self.end_round(now);
-            self.round_at = now + self.stretch(self.terms.times.period);
-            if self.displaced().is_none() {
+            self.round_at = now + self.stretch(self.config.timing.probe_interval);
+            if self.displaced_by().is_none() {
                 self.begin_round(now, again);
             }
         }
@@ -478,11 +495,11 @@
     }
 
     fn look_round(&mut self, now: Moment) {
-        if self.alone != self.alone() {
-            self.alone = self.alone();
-            let (name, life) = (self.name.clone(), self.life);
-            let what = if self.alone { What::Alone } else { What::Together };
-            self.note(now, &name, life, what, &name);
+        if self.alone != self.is_alone() {
+            self.alone = self.is_alone();
+            let (name, generation) = (self.name.clone(), self.generation);
+            let kind = if self.alone { ChangeKind::Alone } else { ChangeKind::NoLongerAlone };
+            self.note(now, &name, generation, kind, &name);
         }
     }
 
@@ -490,147 +507,154 @@
     fn timer(&mut self, now: Moment, name: &str) {
         let Some(member) = self.members.get_mut(name) else { return };
         member.timer = None;
-        let life = member.life;
-        match member.standing {
-            Standing::Suspected => {
+        let generation = member.generation;
+        match member.state {
+            MemberState::Suspect => {
                 let by = self.name.clone();
-                self.set(now, name, Standing::Dead, &by);
+                self.set(now, name, MemberState::Dead, &by);
                 self.gossip.add(name);
             }
-            Standing::Dead | Standing::Left => {
+            MemberState::Dead | MemberState::Left => {
                 self.members.remove(name);
                 self.gossip.drop(name);
                 let by = self.name.clone();
-                self.note(now, name, life, What::Forgotten, &by);
+                self.note(now, name, generation, ChangeKind::Forgotten, &by);
             }
-            Standing::Alive => {}
+            MemberState::Alive => {}
         }
     }
 
     /// Sets what is believed of a member, in the same life and edition.
-    fn set(&mut self, now: Moment, name: &str, standing: Standing, by: &str) {
-        let what = match standing {
-            Standing::Alive => What::Refuted,
-            Standing::Suspected => What::Suspected,
-            Standing::Dead => What::Dead,
-            Standing::Left => What::Left,
+    fn set(&mut self, now: Moment, name: &str, state: MemberState, by: &str) {
+        let kind = match state {
+            MemberState::Alive => ChangeKind::Refuted,
+            MemberState::Suspect => ChangeKind::Suspected,
+            MemberState::Dead => ChangeKind::Dead,
+            MemberState::Left => ChangeKind::Left,
         };
-        self.set_for(now, name, standing, by, what);
+        self.set_for(now, name, state, by, kind);
     }
 
-    fn set_for(&mut self, now: Moment, name: &str, standing: Standing, by: &str, what: What) {
+    fn set_for(&mut self, now: Moment, name: &str, state: MemberState, by: &str, kind: ChangeKind) {
         let Some(member) = self.members.get_mut(name) else { return };
-        let (was, life, edition) = (member.standing, member.life, member.edition);
-        (member.standing, member.since, member.by) = (standing, now, by.to_owned());
-        member.suspecters.clear();
-        if was.here() != standing.here() {
-            self.digest ^= sums::part(name, life, edition);
-            match standing.here() {
-                true => self.here += 1,
-                false => self.here -= 1,
+        let (was, generation, incarnation) = (member.state, member.generation, member.incarnation);
+        (member.state, member.state_since, member.reported_by) = (state, now, by.to_owned());
+        member.suspected_by.clear();
+        if was.is_present() != state.is_present() {
+            self.digest ^= sums::part(name, generation, incarnation);
+            match state.is_present() {
+                true => self.present_count += 1,
+                false => self.present_count -= 1,
             }
         }
-        self.set_timer(name, (!standing.here()).then(|| now + self.terms.times.forget));
-        if standing == Standing::Suspected {
+        self.set_timer(name, (!state.is_present()).then(|| now + self.config.timing.forget_after));
+        if state == MemberState::Suspect {
             self.confirm(name, by);
         }
-        self.note(now, name, life, what, by);
+        self.note(now, name, generation, kind, by);
     }
 
     /// A datagram that came from there.
-    pub fn heard(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
         self.wake(now);
-        if !self.terms.near(from) {
-            self.counts.strangers += 1;
+        if !self.config.allows(from) {
+            self.counters.outside_networks += 1;
             return;
         }
-        let datagram = match Datagram::read(bytes) {
+        let datagram = match Datagram::from_bytes(bytes) {
             Ok(datagram) => datagram,
-            Err(Unread::Malformed) => {
-                self.counts.malformed += 1;
+            Err(DecodeError::Malformed) => {
+                self.counters.malformed += 1;
                 return;
             }
-            Err(Unread::OtherVersion) => {
-                self.counts.other_version += 1;
+            Err(DecodeError::OtherVersion) => {
+                self.counters.other_version += 1;
                 return;
             }
         };
-        if datagram.fleet != self.terms.fleet {
-            self.counts.other_fleet += 1;
+        if datagram.fleet != self.config.fleet {
+            self.counters.other_fleet += 1;
             return;
         }
-        if !self.terms.near(datagram.address) {
-            self.counts.strangers += 1;
+        if !self.config.allows(datagram.address) {
+            self.counters.outside_networks += 1;
             return;
         }
-        self.counts.heard += 1;
-        if self.standing != Standing::Left {
+        self.counters.datagrams_received += 1;
+        if self.state != MemberState::Left {
             self.take(now, datagram);
             self.look_round(now);
         }
     }
 
     fn take(&mut self, now: Moment, datagram: Datagram) {
-        if datagram.from == self.name {
+        if datagram.sender == self.name {
             self.namesake(now, &datagram);
             return;
         }
-        let known =
-            self.members.get(&datagram.from).map(|member| (member.life, member.standing, member.edition));
-        if known.is_some_and(|(life, _, _)| life > datagram.life) {
+        let known = self
+            .members
+            .get(&datagram.sender)
+            .map(|member| (member.generation, member.state, member.incarnation));
+        if known.is_some_and(|(generation, _, _)| generation > datagram.generation) {
             // An old life, or a second process of that name: it is to know that there is a later one.
-            self.counts.old_life += 1;
-            let news = self.news(&datagram.from, true);
+            self.counters.old_generation += 1;
+            let news = self.news(&datagram.sender, true);
             self.tell(now, datagram.address, news);
             return;
         }
-        for news in datagram.news.iter().flatten() {
+        for news in datagram.updates.iter().flatten() {
             // What is told to mend a view is no news to all: whoever lacks it finds out in the same way.
-            let spread = datagram.kind != Kind::Tell || news.name == datagram.from;
-            self.learn(now, news, &datagram.from, spread);
+            let spread = datagram.kind != Kind::Updates || news.name == datagram.sender;
+            self.learn(now, news, &datagram.sender, spread);
         }
-        let said = (datagram.life, datagram.edition);
-        self.lacking |= self.members.get(&datagram.from).is_some_and(|m| (m.life, m.edition) < said);
-        let stranger =
-            match self.members.get_mut(&datagram.from).filter(|member| member.life == datagram.life) {
-                Some(member) => {
-                    member.heard = Some(now);
-                    member.load = datagram.load.or(member.load);
-                    false
-                }
-                None => true,
-            };
+        let said = (datagram.generation, datagram.incarnation);
+        self.lacking |=
+            self.members.get(&datagram.sender).is_some_and(|m| (m.generation, m.incarnation) < said);
+        let stranger = match self
+            .members
+            .get_mut(&datagram.sender)
+            .filter(|member| member.generation == datagram.generation)
+        {
+            Some(member) => {
+                member.last_heard = Some(now);
+                member.load = datagram.load.or(member.load);
+                false
+            }
+            None => true,
+        };
         self.accuse(now, &datagram);
         let at = match stranger {
             true => datagram.address,
-            false => self.address(&datagram.from).unwrap_or(datagram.address),
+            false => self.address(&datagram.sender).unwrap_or(datagram.address),
         };
         match datagram.kind {
-            Kind::Ask => {
-                let target = if stranger { None } else { Some(datagram.from.as_str()) };
-                self.answer(now, at, target, datagram.ask, stranger);
+            Kind::Ping => {
+                let target = if stranger { None } else { Some(datagram.sender.as_str()) };
+                self.answer(now, at, target, datagram.probe_id, stranger);
             }
-            Kind::Answer => {
+            Kind::Ack => {
                 self.answered_by(now, &datagram);
-                if stranger || datagram.whole == Some(true) {
+                if stranger || datagram.wants_info == Some(true) {
                     let own = self.news(&self.name.clone(), true);
                     self.tell(now, at, own);
                 }
             }
-            Kind::AskFor => self.ask_for(now, &datagram),
-            Kind::Nothing => {
-                if let Some(round) = self.rounds.iter_mut().find(|round| round.ask == datagram.ask) {
+            Kind::PingReq => self.ask_for(now, &datagram),
+            Kind::Nack => {
+                if let Some(round) = self.rounds.iter_mut().find(|round| round.probe_id == datagram.probe_id)
+                {
                     round.nothings += 1;
                 }
             }
-            Kind::Sums => self.sums(now, at, &datagram),
-            Kind::Tell => {}
+            Kind::Checksums => self.sums(now, at, &datagram),
+            Kind::Updates => {}
         }
         self.compare(now, at, &datagram);
     }
 
     /// Of what is held, to be tested against its bounds: asks out, and news still to be told.
-    pub fn held(&self) -> (usize, usize) {
-        (self.asks.len(), self.gossip.len())
+    pub fn pending_counts(&self) -> (usize, usize) {
+        (self.pending_probes.len(), self.gossip.len())
     }
 }
--- a/crates/view/tests/codec.rs
+++ b/crates/view/tests/codec.rs
@@ -4,10 +4,10 @@
 use proptest::prelude::*;
 use std::net::SocketAddr;
 use yarrowfront::times::Moment;
-use yarrowfront_view::config::ViewTerms;
-use yarrowfront_view::node_info::{Card, Edition, Life, Load, Phase, Standing};
+use yarrowfront_view::config::ViewConfig;
+use yarrowfront_view::node_info::{Generation, Incarnation, Load, MemberState, NodeInfo, Phase};
 use yarrowfront_view::view::View;
-use yarrowfront_view::wire::{Datagram, Kind, News, Unread, LARGEST, VERSION};
+use yarrowfront_view::wire::{Datagram, DecodeError, Kind, MemberUpdate, MAX_DATAGRAM_BYTES, VERSION};
 
 fn at() -> impl Strategy<Value = SocketAddr> {
     prop_oneof![
@@ -20,74 +20,87 @@
     "[a-z0-9.-]{1,20}"
 }
 
-fn card() -> impl Strategy<Value = Card> {
+fn info() -> impl Strategy<Value = NodeInfo> {
     (at(), text(), text(), any::<u64>(), any::<u8>(), any::<u32>(), any::<u32>()).prop_map(
-        |(address, site, build, digest, phase, place, places)| Card {
+        |(address, site, build, settings_digest, phase, slot, slots)| NodeInfo {
             address,
             site,
             build,
-            digest,
+            settings_digest,
             phase: Phase(phase),
-            place,
-            places,
+            slot,
+            slots,
         },
     )
 }
 
-fn news() -> impl Strategy<Value = News> {
-    let standing = prop_oneof![
-        Just(Standing::Alive),
-        Just(Standing::Suspected),
-        Just(Standing::Dead),
-        Just(Standing::Left)
+fn news() -> impl Strategy<Value = MemberUpdate> {
+    let state = prop_oneof![
+        Just(MemberState::Alive),
+        Just(MemberState::Suspect),
+        Just(MemberState::Dead),
+        Just(MemberState::Left)
     ];
-    (text(), 0..1u64 << 50, 0..1u32 << 30, standing, prop::option::of(text()), prop::option::of(card()))
-        .prop_map(|(name, life, edition, standing, by, card)| {
-            let (life, edition) = (Life(life), Edition(edition));
-            News { name, life, edition, standing, by, carded: edition, card }
+    (text(), 0..1u64 << 50, 0..1u32 << 30, state, prop::option::of(text()), prop::option::of(info()))
+        .prop_map(|(name, generation, incarnation, state, reported_by, info)| {
+            let (generation, incarnation) = (Generation(generation), Incarnation(incarnation));
+            MemberUpdate {
+                name,
+                generation,
+                incarnation,
+                state,
+                reported_by,
+                info_incarnation: incarnation,
+                info,
+            }
         })
 }
 
 fn datagram() -> impl Strategy<Value = Datagram> {
-    let kind = prop_oneof![Just(Kind::Ask), Just(Kind::Answer), Just(Kind::AskFor), Just(Kind::Sums)];
-    let load =
-        (any::<u32>(), any::<u64>()).prop_map(|(in_hand, taken)| Load { in_hand, taken, ..Load::default() });
+    let kind = prop_oneof![Just(Kind::Ping), Just(Kind::Ack), Just(Kind::PingReq), Just(Kind::Checksums)];
+    let load = (any::<u32>(), any::<u64>()).prop_map(|(in_flight, accepted)| Load {
+        in_flight,
+        accepted,
+        ..Load::default()
+    });
     let sums = prop::option::of(prop::collection::vec(any::<u8>(), 0..64));
     let rest = (prop::option::of(load), sums, prop::option::of(prop::collection::vec(news(), 0..5)));
     (kind, any::<u32>(), text(), 0..1u64 << 50, at(), prop::option::of(text()), any::<u64>(), rest).prop_map(
-        |(kind, ask, from, life, address, target, digest, (load, sums, news))| Datagram {
-            version: VERSION,
-            fleet: "f".into(),
-            kind,
-            ask,
-            from,
-            life: Life(life),
-            edition: Edition(3),
-            address,
-            target,
-            digest,
-            here: 9,
-            load,
-            sums,
-            last: None,
-            whole: Some(true),
-            news,
+        |(kind, probe_id, sender, generation, address, target, digest, (load, checksums, updates))| {
+            Datagram {
+                version: VERSION,
+                fleet: "f".into(),
+                kind,
+                probe_id,
+                sender,
+                generation: Generation(generation),
+                incarnation: Incarnation(3),
+                address,
+                target,
+                digest,
+                present_count: 9,
+                load,
+                checksums,
+                is_final: None,
+                wants_info: Some(true),
+                updates,
+            }
         },
     )
 }
 
 fn view() -> View {
     let listen = "127.0.0.1:7946".parse().expect("an address");
-    let card = Card {
+    let info = NodeInfo {
         address: listen,
         site: "s".into(),
         build: "b".into(),
-        digest: 0,
+        settings_digest: 0,
         phase: Phase::SERVING,
-        place: 0,
-        places: 3,
+        slot: 0,
+        slots: 3,
     };
-    View::new(Moment(0), ViewTerms::plain("f", listen), "me", Life(5), card, 1)
+    View::new(Moment(0), ViewConfig::with_defaults("f", listen), "me", Generation(5), info, 1)
 }
 
 proptest! {
@@ -96,9 +109,9 @@
     /// What is written is read as it was, or was too large for a datagram.
     #[test]
     fn round_trip(datagram in datagram()) {
-        if let Some(bytes) = datagram.bytes() {
-            prop_assert!(bytes.len() <= LARGEST);
-            prop_assert_eq!(Datagram::read(&bytes), Ok(datagram));
+        if let Some(bytes) = datagram.to_bytes() {
+            prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
+            prop_assert_eq!(Datagram::from_bytes(&bytes), Ok(datagram));
         }
     }
 
@@ -107,21 +120,21 @@
     fn any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..1500), said in prop::collection::vec(datagram(), 1..8)) {
         let mut view = view();
         let from = "127.0.0.9:1".parse().expect("an address");
-        view.heard(Moment(1000), from, &bytes);
+        view.receive(Moment(1000), from, &bytes);
         for datagram in said {
-            let Some(mut bytes) = datagram.bytes() else { continue };
-            view.heard(Moment(2000), from, &bytes);
+            let Some(mut bytes) = datagram.to_bytes() else { continue };
+            view.receive(Moment(2000), from, &bytes);
             let place = bytes.len() / 2;
             bytes[place] ^= 0x55;
-            view.heard(Moment(3000), from, &bytes);
+            view.receive(Moment(3000), from, &bytes);
             bytes.truncate(place);
-            view.heard(Moment(4000), from, &bytes);
+            view.receive(Moment(4000), from, &bytes);
         }
-        view.due(view.next());
-        while let Some((_, bytes)) = view.outgoing() {
-            prop_assert!(bytes.len() <= LARGEST);
+        view.handle_timeout(view.next_timeout());
+        while let Some((_, bytes)) = view.next_datagram() {
+            prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         }
-        prop_assert!(view.held().0 <= 512);
+        prop_assert!(view.pending_counts().0 <= 512);
     }
 }
 
@@ -154,10 +167,10 @@
         e.into_writer()
     };
     for newer in [false, true] {
-        let read = Datagram::read(&bytes(VERSION, newer));
-        let told = read.map(|d| (d.ask, d.from, d.news));
+        let read = Datagram::from_bytes(&bytes(VERSION, newer));
+        let told = read.map(|d| (d.probe_id, d.sender, d.updates));
         assert_eq!(told, Ok((77, "other".to_owned(), None)), "newer: {newer}");
     }
-    assert_eq!(Datagram::read(&bytes(VERSION + 1, false)), Err(Unread::OtherVersion));
-    assert_eq!(Datagram::read(b"GET / HTTP/1.1"), Err(Unread::Malformed));
+    assert_eq!(Datagram::from_bytes(&bytes(VERSION + 1, false)), Err(DecodeError::OtherVersion));
+    assert_eq!(Datagram::from_bytes(b"GET / HTTP/1.1"), Err(DecodeError::Malformed));
 }
