--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -5,4 +5,4 @@
 mod relay;
 pub mod schedule;
 
-pub use relay::{Law, Links};
+pub use relay::{Impairment, Links};
--- a/crates/links/src/relay.rs
+++ b/crates/links/src/relay.rs
@@ -16,27 +16,27 @@
 
 /// What happens to all that goes one way. The plain one passes everything on at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Law {
+pub struct Impairment {
     /// Nothing passes: datagrams are lost, connections that stand are silent, new ones are accepted and silent.
-    pub cut: bool,
+    pub blocked: bool,
     /// TCP alone: new connections are refused by a reset, and those that stand are reset.
-    pub reset: bool,
+    pub resets_connections: bool,
     /// Of a hundred datagrams so many are lost, come twice, or are held back until the next one has passed.
-    pub loss: u8,
-    pub twice: u8,
-    pub late_one: u8,
+    pub loss_percent: u8,
+    pub duplicate_percent: u8,
+    pub reorder_percent: u8,
     /// Everything comes so much later, and by chance up to so much more.
-    pub late: Duration,
+    pub latency: Duration,
     pub jitter: Duration,
     /// Bytes a second at the most; 0 for as many as there are. TCP alone.
-    pub bytes_per_s: u32,
+    pub bytes_per_second: u32,
 }
 
 type Pair = (String, String);
 
 #[derive(Default)]
 struct Table {
-    laws: BTreeMap<Pair, Law>,
+    laws: BTreeMap<Pair, Impairment>,
     /// What has passed each way: datagrams and pieces of streams.
     passed: BTreeMap<Pair, u64>,
 }
@@ -49,7 +49,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn law(&self, pair: &Pair) -> Law {
+    fn law(&self, pair: &Pair) -> Impairment {
         self.table().laws.get(pair).copied().unwrap_or_default()
     }
 
@@ -93,23 +93,23 @@
     }
 
     /// A way for datagrams from one to the other, who hears them at `to`: where the one has to send them.
-    pub fn udp(&self, from: &str, to: &str, at: SocketAddr, host: IpAddr) -> io::Result<SocketAddr> {
+    pub fn open_udp(&self, from: &str, to: &str, at: SocketAddr, host: IpAddr) -> io::Result<SocketAddr> {
         let socket = std::net::UdpSocket::bind((host, 0))?;
         let here = socket.local_addr()?;
-        self.open(Way::Udp(socket), from, to, at);
+        self.start_relay(Way::Udp(socket), from, to, at);
         Ok(here)
     }
 
     /// A way for connections from one to the other, who accepts them at `at`. Bytes go by the law of their own
     /// direction, the connection itself by that of `from` to `to`.
-    pub fn tcp(&self, from: &str, to: &str, at: SocketAddr, host: IpAddr) -> io::Result<SocketAddr> {
+    pub fn open_tcp(&self, from: &str, to: &str, at: SocketAddr, host: IpAddr) -> io::Result<SocketAddr> {
         let listener = std::net::TcpListener::bind((host, 0))?;
         let here = listener.local_addr()?;
-        self.open(Way::Tcp(listener), from, to, at);
+        self.start_relay(Way::Tcp(listener), from, to, at);
         Ok(here)
     }
 
-    fn open(&self, way: Way, from: &str, to: &str, at: SocketAddr) {
+    fn start_relay(&self, way: Way, from: &str, to: &str, at: SocketAddr) {
         let pair = (from.to_owned(), to.to_owned());
         let seed = pair
             .0
@@ -120,14 +120,14 @@
     }
 
     /// The law of one direction from now on.
-    pub fn set(&self, from: &str, to: &str, law: Law) {
+    pub fn set_impairment(&self, from: &str, to: &str, law: Impairment) {
         self.shared.table().laws.insert((from.to_owned(), to.to_owned()), law);
     }
 
     /// The law of both directions.
-    pub fn set_both(&self, one: &str, other: &str, law: Law) {
-        self.set(one, other, law);
-        self.set(other, one, law);
+    pub fn set_impairment_both_ways(&self, one: &str, other: &str, law: Impairment) {
+        self.set_impairment(one, other, law);
+        self.set_impairment(other, one, law);
     }
 
     /// All ways are plain from now on.
@@ -136,7 +136,7 @@
     }
 
     /// How much has passed from one to the other: datagrams, or pieces of streams.
-    pub fn passed(&self, from: &str, to: &str) -> u64 {
+    pub fn forwarded_count(&self, from: &str, to: &str) -> u64 {
         self.shared.table().passed.get(&(from.to_owned(), to.to_owned())).copied().unwrap_or_default()
     }
 }
@@ -145,8 +145,8 @@
     chance.random_range(0..100) < of
 }
 
-fn delay(chance: &mut ChaCha8Rng, law: &Law) -> Duration {
-    law.late + law.jitter.mul_f64(chance.random_range(0.0..1.0))
+fn delay(chance: &mut ChaCha8Rng, law: &Impairment) -> Duration {
+    law.latency + law.jitter.mul_f64(chance.random_range(0.0..1.0))
 }
 
 async fn udp(
@@ -163,16 +163,16 @@
     loop {
         let Ok((size, _)) = socket.recv_from(&mut bytes).await else { continue };
         let law = shared.law(&pair);
-        if law.cut || percent(&mut chance, law.loss) {
+        if law.blocked || percent(&mut chance, law.loss_percent) {
             continue;
         }
         shared.passes(&pair);
         let one = bytes[..size].to_vec();
-        if held.is_none() && percent(&mut chance, law.late_one) {
+        if held.is_none() && percent(&mut chance, law.reorder_percent) {
             held = Some(one);
             continue;
         }
-        let copies = 1 + usize::from(percent(&mut chance, law.twice));
+        let copies = 1 + usize::from(percent(&mut chance, law.duplicate_percent));
         let all = std::iter::repeat_n(one, copies).chain(held.take());
         for one in all {
             let wait = delay(&mut chance, &law);
@@ -194,13 +194,13 @@
     let Ok(listener) = listener else { return };
     loop {
         let Ok((near, _)) = listener.accept().await else { continue };
-        if shared.law(&pair).reset {
+        if shared.law(&pair).resets_connections {
             reset(&near);
             continue;
         }
         let (shared, pair) = (shared.clone(), pair.clone());
         spawn_local(async move {
-            while shared.law(&pair).cut {
+            while shared.law(&pair).blocked {
                 sleep(STEP).await;
             }
             let Ok(far) = TcpStream::connect(to).await else { return reset(&near) };
@@ -209,7 +209,7 @@
             // A reset is one of both directions.
             let (ends, law, pair_of_law) = (Rc::new((near, far)), shared.clone(), pair.clone());
             let broken = async {
-                while !law.law(&pair_of_law).reset {
+                while !law.law(&pair_of_law).resets_connections {
                     sleep(STEP).await;
                 }
             };
@@ -246,11 +246,12 @@
             break;
         }
         let law = shared.law(pair);
-        if law.cut {
+        if law.blocked {
             sleep(STEP).await;
             continue;
         }
-        let most = if law.bytes_per_s == 0 { bytes.len() } else { (law.bytes_per_s as usize / 50).max(1) };
+        let most =
+            if law.bytes_per_second == 0 { bytes.len() } else { (law.bytes_per_second as usize / 50).max(1) };
         let most = most.min(bytes.len());
         let size = match from.try_read(&mut bytes[..most]) {
             Ok(0) => break,
@@ -259,12 +260,12 @@
             Err(_) => break,
         };
         shared.passes(pair);
-        if !law.late.is_zero() {
-            sleep(law.late).await;
+        if !law.latency.is_zero() {
+            sleep(law.latency).await;
         }
-        if law.bytes_per_s > 0 {
-            free =
-                free.max(Instant::now()) + Duration::from_secs_f64(size as f64 / f64::from(law.bytes_per_s));
+        if law.bytes_per_second > 0 {
+            free = free.max(Instant::now())
+                + Duration::from_secs_f64(size as f64 / f64::from(law.bytes_per_second));
             tokio::time::sleep_until(free).await;
         }
         let mut rest = &bytes[..size];
--- a/crates/links/src/schedule.rs
+++ b/crates/links/src/schedule.rs
@@ -1,6 +1,6 @@
 //! Faults in time: a schedule is drawn from a seed, written as text, read again, and shrunk to what it takes to fail.
 
-use crate::{Law, Links};
+use crate::{Impairment, Links};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,44 +12,44 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Nothing passes between these and the others, or only nothing from the first to the second.
-    Apart(Vec<String>),
-    OneWay(String, String),
+    Partition(Vec<String>),
+    BlockOneWay(String, String),
     /// Of a hundred datagrams to and from it so many are lost.
-    Lossy(String, u8),
+    Loss(String, u8),
     /// Everything to and from it is late by so many milliseconds, and by chance as much again.
-    Late(String, u64),
+    Latency(String, u64),
     /// All ways are whole again.
     Heal,
     /// SIGKILL, SIGTERM, SIGSTOP, SIGCONT; and started again from nothing.
     Kill(String),
-    Term(String),
-    Stop(String),
-    Cont(String),
+    Terminate(String),
+    Pause(String),
+    Resume(String),
     Start(String),
 }
 
 /// When, in milliseconds from the beginning, and what.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
-    pub at: u64,
+pub struct ScheduledFault {
+    pub at_ms: u64,
     pub fault: Fault,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Schedule(pub Vec<Step>);
+pub struct Schedule(pub Vec<ScheduledFault>);
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Apart(names) => write!(f, "apart {}", names.join(" ")),
-            Fault::OneWay(from, to) => write!(f, "one-way {from} {to}"),
-            Fault::Lossy(name, part) => write!(f, "lossy {name} {part}"),
-            Fault::Late(name, millis) => write!(f, "late {name} {millis}"),
+            Fault::Partition(names) => write!(f, "apart {}", names.join(" ")),
+            Fault::BlockOneWay(from, to) => write!(f, "one-way {from} {to}"),
+            Fault::Loss(name, part) => write!(f, "lossy {name} {part}"),
+            Fault::Latency(name, millis) => write!(f, "late {name} {millis}"),
             Fault::Heal => f.write_str("heal"),
             Fault::Kill(name) => write!(f, "kill {name}"),
-            Fault::Term(name) => write!(f, "term {name}"),
-            Fault::Stop(name) => write!(f, "stop {name}"),
-            Fault::Cont(name) => write!(f, "cont {name}"),
+            Fault::Terminate(name) => write!(f, "term {name}"),
+            Fault::Pause(name) => write!(f, "stop {name}"),
+            Fault::Resume(name) => write!(f, "cont {name}"),
             Fault::Start(name) => write!(f, "start {name}"),
         }
     }
@@ -57,16 +57,16 @@
 
 impl Fault {
     /// Whom it meets.
-    pub fn names(&self) -> Vec<&String> {
+    pub fn targets(&self) -> Vec<&String> {
         match self {
-            Fault::Apart(names) => names.iter().collect(),
-            Fault::OneWay(from, to) => vec![from, to],
-            Fault::Lossy(name, _) | Fault::Late(name, _) => vec![name],
+            Fault::Partition(names) => names.iter().collect(),
+            Fault::BlockOneWay(from, to) => vec![from, to],
+            Fault::Loss(name, _) | Fault::Latency(name, _) => vec![name],
             Fault::Heal => Vec::new(),
             Fault::Kill(name)
-            | Fault::Term(name)
-            | Fault::Stop(name)
-            | Fault::Cont(name)
+            | Fault::Terminate(name)
+            | Fault::Pause(name)
+            | Fault::Resume(name)
             | Fault::Start(name) => {
                 vec![name]
             }
@@ -74,15 +74,18 @@
     }
 
     /// Whether it is done to a process and not to ways.
-    pub fn of_process(&self) -> bool {
-        matches!(self, Fault::Kill(_) | Fault::Term(_) | Fault::Stop(_) | Fault::Cont(_) | Fault::Start(_))
+    pub fn is_process_fault(&self) -> bool {
+        matches!(
+            self,
+            Fault::Kill(_) | Fault::Terminate(_) | Fault::Pause(_) | Fault::Resume(_) | Fault::Start(_)
+        )
     }
 }
 
 /// One step a line: when, what, whom.
 impl fmt::Display for Schedule {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        self.0.iter().try_for_each(|step| writeln!(f, "{} {}", step.at, step.fault))
+        self.0.iter().try_for_each(|step| writeln!(f, "{} {}", step.at_ms, step.fault))
     }
 }
 
@@ -95,22 +98,24 @@
             let bad = || format!("line {}: no step: {line:?}", number + 1);
             let words: Vec<&str> = line.split_whitespace().collect();
             let (at, rest) = words.split_first().ok_or_else(bad)?;
-            let at = at.parse().map_err(|_| bad())?;
+            let at_ms = at.parse().map_err(|_| bad())?;
             let name = |n: &&str| (*n).to_owned();
             let fault = match rest {
-                ["apart", names @ ..] if !names.is_empty() => Fault::Apart(names.iter().map(name).collect()),
-                ["one-way", from, to] => Fault::OneWay(name(from), name(to)),
-                ["lossy", one, part] => Fault::Lossy(name(one), part.parse().map_err(|_| bad())?),
-                ["late", one, millis] => Fault::Late(name(one), millis.parse().map_err(|_| bad())?),
+                ["apart", names @ ..] if !names.is_empty() => {
+                    Fault::Partition(names.iter().map(name).collect())
+                }
+                ["one-way", from, to] => Fault::BlockOneWay(name(from), name(to)),
+                ["lossy", one, part] => Fault::Loss(name(one), part.parse().map_err(|_| bad())?),
+                ["late", one, millis] => Fault::Latency(name(one), millis.parse().map_err(|_| bad())?),
                 ["heal"] => Fault::Heal,
                 ["kill", one] => Fault::Kill(name(one)),
-                ["term", one] => Fault::Term(name(one)),
-                ["stop", one] => Fault::Stop(name(one)),
-                ["cont", one] => Fault::Cont(name(one)),
+                ["term", one] => Fault::Terminate(name(one)),
+                ["stop", one] => Fault::Pause(name(one)),
+                ["cont", one] => Fault::Resume(name(one)),
                 ["start", one] => Fault::Start(name(one)),
                 _ => return Err(bad()),
             };
-            Ok(Step { at, fault })
+            Ok(ScheduledFault { at_ms, fault })
         };
         lines.map(step).collect::<Result<_, _>>().map(Schedule)
     }
@@ -119,22 +124,24 @@
 impl Schedule {
     /// So many faults among those in so long, drawn from the seed; what is stopped goes on and what is killed starts
     /// again at the end, and all ways are whole then.
-    pub fn draw(seed: u64, names: &[String], faults: usize, span: Duration) -> Schedule {
+    pub fn generate(seed: u64, names: &[String], faults: usize, span: Duration) -> Schedule {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let millis = span.as_millis() as u64;
         let mut times: Vec<u64> = (0..faults).map(|_| chance.random_range(0..millis)).collect();
         times.sort_unstable();
         let (mut steps, mut down, mut stopped) = (Vec::new(), Vec::new(), Vec::<String>::new());
-        for at in times {
+        for at_ms in times {
             let up: Vec<&String> =
                 names.iter().filter(|n| !down.contains(*n) && !stopped.contains(*n)).collect();
             let Some(one) = up.choose(&mut chance).map(|one| (*one).clone()) else { continue };
             let other = names.choose(&mut chance).cloned().unwrap_or_default();
             let fault = match chance.random_range(0..9) {
-                0 => Fault::Apart(names.iter().filter(|_| chance.random_range(0..3) == 0).cloned().collect()),
-                1 if one != other => Fault::OneWay(one, other),
-                2 => Fault::Lossy(one, 30),
-                3 => Fault::Late(one, 40),
+                0 => Fault::Partition(
+                    names.iter().filter(|_| chance.random_range(0..3) == 0).cloned().collect(),
+                ),
+                1 if one != other => Fault::BlockOneWay(one, other),
+                2 => Fault::Loss(one, 30),
+                3 => Fault::Latency(one, 40),
                 // A majority stays: what is judged is what the others make of it.
                 4 if up.len() * 2 > names.len() + 1 => {
                     down.push(one.clone());
@@ -142,18 +149,18 @@
                 }
                 5 if up.len() * 2 > names.len() + 1 => {
                     stopped.push(one.clone());
-                    Fault::Stop(one)
+                    Fault::Pause(one)
                 }
                 6 if !down.is_empty() => Fault::Start(down.remove(0)),
-                7 if !stopped.is_empty() => Fault::Cont(stopped.remove(0)),
+                7 if !stopped.is_empty() => Fault::Resume(stopped.remove(0)),
                 _ => Fault::Heal,
             };
-            if fault != Fault::Apart(Vec::new()) {
-                steps.push(Step { at, fault });
+            if fault != Fault::Partition(Vec::new()) {
+                steps.push(ScheduledFault { at_ms, fault });
             }
         }
-        let last = stopped.into_iter().map(Fault::Cont).chain(down.into_iter().map(Fault::Start));
-        steps.extend(last.chain([Fault::Heal]).map(|fault| Step { at: millis, fault }));
+        let last = stopped.into_iter().map(Fault::Resume).chain(down.into_iter().map(Fault::Start));
+        steps.extend(last.chain([Fault::Heal]).map(|fault| ScheduledFault { at_ms: millis, fault }));
         Schedule(steps)
     }
 
@@ -178,26 +185,32 @@
 }
 
 /// Does to the ways among these what a fault says; what it says of processes is for whoever has them.
-pub fn apply(fault: &Fault, links: &Links, names: &[String]) {
-    let cut = Law { cut: true, ..Law::default() };
+pub fn apply_to_links(fault: &Fault, links: &Links, names: &[String]) {
+    let cut = Impairment { blocked: true, ..Impairment::default() };
     match fault {
-        Fault::Apart(some) => {
+        Fault::Partition(some) => {
             for one in names.iter().filter(|name| some.contains(name)) {
                 names
                     .iter()
                     .filter(|other| !some.contains(other))
-                    .for_each(|other| links.set_both(one, other, cut));
+                    .for_each(|other| links.set_impairment_both_ways(one, other, cut));
             }
         }
-        Fault::OneWay(from, to) => links.set(from, to, cut),
-        Fault::Lossy(one, part) => {
-            let law = Law { loss: *part, ..Law::default() };
-            names.iter().filter(|other| *other != one).for_each(|other| links.set_both(one, other, law));
+        Fault::BlockOneWay(from, to) => links.set_impairment(from, to, cut),
+        Fault::Loss(one, part) => {
+            let law = Impairment { loss_percent: *part, ..Impairment::default() };
+            names
+                .iter()
+                .filter(|other| *other != one)
+                .for_each(|other| links.set_impairment_both_ways(one, other, law));
         }
-        Fault::Late(one, millis) => {
+        Fault::Latency(one, millis) => {
             let late = Duration::from_millis(*millis);
-            let law = Law { late, jitter: late, ..Law::default() };
-            names.iter().filter(|other| *other != one).for_each(|other| links.set_both(one, other, law));
+            let law = Impairment { latency: late, jitter: late, ..Impairment::default() };
+            names
+                .iter()
+                .filter(|other| *other != one)
+                .for_each(|other| links.set_impairment_both_ways(one, other, law));
         }
         Fault::Heal => links.heal(),
         _ => {}
--- a/crates/links/tests/ways.rs
+++ b/crates/links/tests/ways.rs
@@ -1,7 +1,7 @@
 //! The ways and the schedules themselves: what a law says happens, and a schedule is the same after it was written and read.
 
-use links::schedule::{apply, Fault, Schedule};
-use links::{Law, Links};
+use links::schedule::{apply_to_links, Fault, Schedule};
+use links::{Impairment, Links};
 use std::io::{Read, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::thread::{sleep, spawn};
@@ -9,21 +9,21 @@
 
 const HERE: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-fn law(change: impl FnOnce(&mut Law)) -> Law {
-    let mut law = Law::default();
+fn law(change: impl FnOnce(&mut Impairment)) -> Impairment {
+    let mut law = Impairment::default();
     change(&mut law);
     law
 }
 
 /// Sends a hundred datagrams by a way with that law: which came, in their order.
-fn datagrams(law: Law) -> Vec<u8> {
+fn datagrams(law: Impairment) -> Vec<u8> {
     let links = Links::new(3);
     let (near, far) =
         (UdpSocket::bind((HERE, 0)).expect("a port"), UdpSocket::bind((HERE, 0)).expect("a port"));
-    let way = links.udp("a", "b", far.local_addr().expect("its address"), HERE).expect("a way");
-    links.set("a", "b", law);
+    let way = links.open_udp("a", "b", far.local_addr().expect("its address"), HERE).expect("a way");
+    links.set_impairment("a", "b", law);
     // The other direction's law is another.
-    links.set("b", "a", Law { cut: true, ..Law::default() });
+    links.set_impairment("b", "a", Impairment { blocked: true, ..Impairment::default() });
     far.set_read_timeout(Some(Duration::from_millis(300))).expect("a limit");
     for number in 0..100u8 {
         near.send_to(&[number], way).expect("sent");
@@ -36,17 +36,17 @@
 /// Each law of datagrams: plain, cut, lossy, doubled, out of order, late.
 #[test]
 fn laws_of_datagrams() {
-    let plain = datagrams(Law::default());
+    let plain = datagrams(Impairment::default());
     assert_eq!(plain, (0..100).collect::<Vec<u8>>());
-    assert_eq!(datagrams(law(|law| law.cut = true)), Vec::<u8>::new());
-    let lossy = datagrams(law(|law| law.loss = 30)).len();
+    assert_eq!(datagrams(law(|law| law.blocked = true)), Vec::<u8>::new());
+    let lossy = datagrams(law(|law| law.loss_percent = 30)).len();
     assert!((50..90).contains(&lossy), "{lossy} of 100");
-    let doubled = datagrams(law(|law| law.twice = 30)).len();
+    let doubled = datagrams(law(|law| law.duplicate_percent = 30)).len();
     assert!((110..150).contains(&doubled), "{doubled} of 100");
-    let late_ones = datagrams(law(|law| law.late_one = 20));
+    let late_ones = datagrams(law(|law| law.reorder_percent = 20));
     assert!(late_ones.len() >= 99 && late_ones.windows(2).any(|pair| pair[0] > pair[1]), "{late_ones:?}");
     let start = Instant::now();
-    let late = datagrams(law(|law| law.late = Duration::from_millis(150)));
+    let late = datagrams(law(|law| law.latency = Duration::from_millis(150)));
     assert!(late.len() == 100 && start.elapsed() > Duration::from_millis(150));
 }
 
@@ -64,7 +64,7 @@
             });
         }
     });
-    links.tcp("a", "b", at, HERE).expect("a way")
+    links.open_tcp("a", "b", at, HERE).expect("a way")
 }
 
 fn said_back(stream: &mut TcpStream, text: &[u8], wait: u64) -> std::io::Result<Vec<u8>> {
@@ -83,7 +83,7 @@
     let mut stream = TcpStream::connect(way).expect("a connection");
     assert_eq!(said_back(&mut stream, b"one", 2000).expect("plain"), b"one");
     for (from, to) in [("a", "b"), ("b", "a")] {
-        links.set(from, to, law(|law| law.cut = true));
+        links.set_impairment(from, to, law(|law| law.blocked = true));
         assert!(said_back(&mut stream, b"two", 200).is_err(), "silent from {from} to {to}");
         links.heal();
         let mut back = [0; 3];
@@ -91,12 +91,12 @@
         stream.read_exact(&mut back).expect("nothing is lost by a cut");
         assert_eq!(&back, b"two");
     }
-    links.set("b", "a", law(|law| law.bytes_per_s = 2000));
+    links.set_impairment("b", "a", law(|law| law.bytes_per_second = 2000));
     let start = Instant::now();
     assert!(said_back(&mut stream, &[7; 1000], 3000).is_ok());
     assert!(start.elapsed() > Duration::from_millis(300), "{:?}", start.elapsed());
     links.heal();
-    links.set("a", "b", law(|law| law.reset = true));
+    links.set_impairment("a", "b", law(|law| law.resets_connections = true));
     sleep(Duration::from_millis(100));
     let broken = said_back(&mut stream, b"three", 1000).or_else(|_| said_back(&mut stream, b"three", 1000));
     assert!(broken.is_err(), "it is reset");
@@ -112,7 +112,7 @@
 fn ends_are_passed_on() {
     let links = Links::new(6);
     let listener = TcpListener::bind((HERE, 0)).expect("a port");
-    let way = links.tcp("a", "b", listener.local_addr().expect("its address"), HERE).expect("a way");
+    let way = links.open_tcp("a", "b", listener.local_addr().expect("its address"), HERE).expect("a way");
     for client_first in [true, false] {
         let near = TcpStream::connect(way).expect("a connection");
         let (far, _) = listener.accept().expect("a connection");
@@ -128,15 +128,15 @@
 fn schedules_are_written_and_read() {
     let names: Vec<String> = (0..5).map(|node| format!("n{node}")).collect();
     for seed in 0..200 {
-        let drawn = Schedule::draw(seed, &names, 14, Duration::from_secs(20));
-        assert_eq!(drawn, Schedule::draw(seed, &names, 14, Duration::from_secs(20)));
+        let drawn = Schedule::generate(seed, &names, 14, Duration::from_secs(20));
+        assert_eq!(drawn, Schedule::generate(seed, &names, 14, Duration::from_secs(20)));
         assert_eq!(drawn.to_string().parse::<Schedule>(), Ok(drawn.clone()), "{drawn}");
-        assert!(drawn.0.windows(2).all(|pair| pair[0].at <= pair[1].at), "{drawn}");
+        assert!(drawn.0.windows(2).all(|pair| pair[0].at_ms <= pair[1].at_ms), "{drawn}");
         let (mut down, mut cut) = (Vec::new(), false);
         for step in &drawn.0 {
             match &step.fault {
-                Fault::Kill(one) | Fault::Term(one) | Fault::Stop(one) => down.push(one.clone()),
-                Fault::Start(one) | Fault::Cont(one) => down.retain(|other| other != one),
+                Fault::Kill(one) | Fault::Terminate(one) | Fault::Pause(one) => down.push(one.clone()),
+                Fault::Start(one) | Fault::Resume(one) => down.retain(|other| other != one),
                 Fault::Heal => cut = false,
                 _ => cut = true,
             }
@@ -152,7 +152,7 @@
 #[test]
 fn shrinking_leaves_what_is_to_blame() {
     let names: Vec<String> = (0..4).map(|node| format!("n{node}")).collect();
-    let mut schedule = Schedule::draw(9, &names, 30, Duration::from_secs(30));
+    let mut schedule = Schedule::generate(9, &names, 30, Duration::from_secs(30));
     let guilty: Schedule = "3 kill n9\n7 one-way n9 n0".parse().expect("a schedule");
     let middle = schedule.0.len() / 2;
     schedule.0.insert(middle, guilty.0[0].clone());
@@ -172,11 +172,11 @@
     let links = Links::new(1);
     let names: Vec<String> = ["a", "b", "c"].map(String::from).to_vec();
     let way = echo(&links);
-    apply(&"0 apart c".parse::<Schedule>().expect("a schedule").0[0].fault, &links, &names);
+    apply_to_links(&"0 apart c".parse::<Schedule>().expect("a schedule").0[0].fault, &links, &names);
     let mut stream = TcpStream::connect(way).expect("a connection");
     assert!(said_back(&mut stream, b"x", 1000).is_ok(), "a and b are together");
-    apply(&"0 one-way a b".parse::<Schedule>().expect("a schedule").0[0].fault, &links, &names);
+    apply_to_links(&"0 one-way a b".parse::<Schedule>().expect("a schedule").0[0].fault, &links, &names);
     assert!(said_back(&mut stream, b"x", 200).is_err());
-    apply(&Fault::Heal, &links, &names);
+    apply_to_links(&Fault::Heal, &links, &names);
     assert!(said_back(&mut TcpStream::connect(way).expect("a connection"), b"y", 1000).is_ok());
 }
--- a/crates/node/tests/bodies.rs
+++ b/crates/node/tests/bodies.rs
@@ -32,16 +32,16 @@
 /// breaks off does not look whole.
 #[test]
 fn answers_in_every_form() {
-    type Case = (fn(usize) -> Act, Option<usize>);
+    type Case = (fn(usize) -> BackendAction, Option<usize>);
     let cases: [Case; 8] = [
-        (|_| Act::Sized(3 * MIB), Some(3 * MIB)),
-        (|_| Act::Sized((64 << 10) + 1), Some((64 << 10) + 1)),
-        (|_| Act::Chunked(MIB), Some(MIB)),
-        (|_| Act::Chunked(100), Some(100)),
-        (|_| Act::ByEnd(MIB), Some(MIB)),
-        (|_| Act::Pause(MIB), Some(MIB)),
-        (|_| Act::Half(MIB), None),
-        (|_| Act::Half(100), None),
+        (|_| BackendAction::Sized(3 * MIB), Some(3 * MIB)),
+        (|_| BackendAction::Sized((64 << 10) + 1), Some((64 << 10) + 1)),
+        (|_| BackendAction::Chunked(MIB), Some(MIB)),
+        (|_| BackendAction::Chunked(100), Some(100)),
+        (|_| BackendAction::ByEnd(MIB), Some(MIB)),
+        (|_| BackendAction::Pause(MIB), Some(MIB)),
+        (|_| BackendAction::Half(MIB), None),
+        (|_| BackendAction::Half(100), None),
     ];
     for (number, (acts, length)) in cases.into_iter().enumerate() {
         let world = World::new(1, acts, patient);
@@ -50,7 +50,7 @@
         let mut stream = world.connect();
         for _ in 0..2 {
             stream.write_all(asked("mark", "a body", millis).as_bytes()).expect("written");
-            match (read(&mut stream), length) {
+            match (read_message(&mut stream), length) {
                 (Some(reply), Some(length)) => {
                     assert_eq!(reply.status(), 200, "case {number}");
                     assert!(reply.body == bytes(length), "case {number}: {} bytes", reply.body.len());
@@ -63,7 +63,7 @@
             }
         }
     }
-    let world = World::new(1, |_| Act::Trickle, patient);
+    let world = World::new(1, |_| BackendAction::Trickle, patient);
     assert_eq!(world.ask(&asked("read", "a body", 20_000)).status(), 200);
 }
 
@@ -71,7 +71,7 @@
 /// there when they read on.
 #[test]
 fn slow_readers() {
-    let acts = |n| if n < 12 { Act::Sized(24 * MIB) } else { Act::Finish };
+    let acts = |n| if n < 12 { BackendAction::Sized(24 * MIB) } else { BackendAction::Succeed };
     let world = World::new(14, acts, |config| {
         patient(config);
         config["limits"]["memory_mb"] = 48.into();
@@ -81,17 +81,17 @@
         let mut stream = world.connect();
         stream.write_all(asked("pay", "a body", 20_000).as_bytes()).expect("written");
         slow.push(stream);
-        until("the launch is out", || world.launched() == n);
+        wait_until("the launch is out", || world.launched() == n);
     }
     let begun = |s: &TcpStream| s.peek(&mut [0; 8]).is_ok_and(|n| n > 0);
-    until("all have begun", || slow.iter().all(begun));
+    wait_until("all have begun", || slow.iter().all(begun));
     for _ in 0..20 {
         assert_eq!(world.ask(&asked("read", "a body", 20_000)).status(), 200);
     }
     sleep(Duration::from_millis(300));
     assert!(resident(&world) < 48, "{} MiB", resident(&world));
     for (n, stream) in slow.iter_mut().enumerate() {
-        let reply = read(stream).expect("whole");
+        let reply = read_message(stream).expect("whole");
         assert!(reply.body == bytes(24 * MIB), "{n}: {} bytes", reply.body.len());
     }
     assert!(resident(&world) < 48, "{} MiB", resident(&world));
@@ -125,7 +125,7 @@
 /// is gone is not sent again.
 #[test]
 fn bodies_of_commands() {
-    let world = World::new(2, |_| Act::Finish, patient);
+    let world = World::new(2, |_| BackendAction::Succeed, patient);
     let mut stream = world.connect();
     for (n, (count, chunked, pause)) in
         [(3 * MIB, false, 0), (MIB, true, 0), (MIB, false, 1500), (300_000, true, 1500)]
@@ -133,7 +133,7 @@
             .enumerate()
     {
         upload(&mut stream, "pay", count, chunked, pause);
-        assert_eq!(read(&mut stream).unwrap_or_default().status(), 200, "case {n}");
+        assert_eq!(read_message(&mut stream).unwrap_or_default().status(), 200, "case {n}");
         let launches = world.launches.lock().expect("launches");
         assert_eq!(launches.len(), n + 1);
         assert!(launches[n].1.body == bytes(count), "case {n}: {} bytes", launches[n].1.body.len());
@@ -150,14 +150,14 @@
     assert_eq!(world.ask(&asked("read", "a body", 20_000)).status(), 200);
     assert_eq!(world.launched(), 5, "half a body never ran");
     for (profile, acts, status) in [
-        ("read", (|_| Act::Break) as fn(usize) -> Act, 503),
-        ("pay", |_| Act::Break, 502),
-        ("pay", |_| Act::Status(503, "X-Unprocessed: 1\r\n"), 503),
+        ("read", (|_| BackendAction::Break) as fn(usize) -> BackendAction, 503),
+        ("pay", |_| BackendAction::Break, 502),
+        ("pay", |_| BackendAction::Status(503, "X-Unprocessed: 1\r\n"), 503),
     ] {
         let world = World::new(2, acts, patient);
         let mut stream = world.connect();
         upload(&mut stream, profile, MIB, false, 0);
-        assert_eq!(read(&mut stream).unwrap_or_default().status(), status, "{profile}");
+        assert_eq!(read_message(&mut stream).unwrap_or_default().status(), status, "{profile}");
         assert_eq!(world.launched(), 1, "{profile}: its start is gone");
     }
 }
@@ -167,16 +167,16 @@
 fn turned_back_while_it_writes() {
     let world = World::new(
         1,
-        |_| Act::Finish,
+        |_| BackendAction::Succeed,
         |config| {
             config["known"] = json!({"index": 1, "snapshot": true, "endpoints": []});
         },
     );
     let mut stream = world.connect();
     upload(&mut stream, "pay", 8 * MIB, false, 100);
-    assert_eq!(read(&mut stream).unwrap_or_default().status(), 503);
+    assert_eq!(read_message(&mut stream).unwrap_or_default().status(), 503);
     stream.write_all(b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n").expect("written");
-    assert_eq!(read(&mut stream).unwrap_or_default().status(), 200);
+    assert_eq!(read_message(&mut stream).unwrap_or_default().status(), 200);
     assert_eq!(stream.set_read_timeout(Some(Duration::from_millis(50))).ok(), Some(()));
     assert!(stream.read(&mut [0]).is_err(), "nothing more comes");
 }
@@ -187,7 +187,7 @@
 fn a_stop_between_bodies() {
     let mut world = World::new(
         2,
-        |_| Act::Sized(24 * MIB),
+        |_| BackendAction::Sized(24 * MIB),
         |config| {
             patient(config);
             for profile in config["settings"]["profiles"].as_array_mut().expect("profiles") {
@@ -197,7 +197,7 @@
     );
     let [mut reads, mut writes, mut begins] = [(); 3].map(|()| world.connect());
     reads.write_all(asked("pay", "a body", 20_000).as_bytes()).expect("written");
-    until("it has begun", || reads.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
+    wait_until("it has begun", || reads.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
     for (stream, first) in [(&mut writes, MIB), (&mut begins, 100)] {
         let head = asked("pay", "", 20_000).replace("Length: 0", &format!("Length: {}", first + MIB));
         stream.write_all(head.as_bytes()).expect("written");
@@ -206,13 +206,13 @@
     sleep(Duration::from_millis(100));
     world.signal("-TERM");
     for (stream, what) in [(&mut writes, "flows"), (&mut begins, "is read")] {
-        let reply = read(stream).unwrap_or_default();
+        let reply = read_message(stream).unwrap_or_default();
         assert_eq!((reply.status(), reply.header("connection")), (503, Some("close")), "{what}");
         assert!(stream.write_all(&bytes(MIB)).is_ok(), "{what}: it is read on");
     }
     // Past the time limit, and what else an end may wait for.
     sleep(Duration::from_millis(3000));
-    let reply = read(&mut reads).expect("whole");
+    let reply = read_message(&mut reads).expect("whole");
     assert!(reply.body == bytes(24 * MIB), "{} bytes", reply.body.len());
     assert!(world.node.wait().expect("an end").success());
     assert_eq!(world.launched(), 1, "what did not come whole never ran");
--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -26,7 +26,7 @@
 
 impl Held {
     fn new() -> Held {
-        let (listener, at) = listener(&own_address());
+        let (listener, at) = bind_listener(&unique_loopback_address());
         rustix::net::listen(&listener, 0).expect("a queue of one");
         let _first = TcpStream::connect(at).expect("the one");
         Held { listener, at, _first }
@@ -47,7 +47,7 @@
     fn let_go(&self, world: &World) {
         rustix::net::listen(&self.listener, 128).expect("a queue");
         let listener = self.listener.try_clone().expect("the same");
-        stand(listener, HELD, |_| Act::Finish, &world.launches, &world.probes);
+        stand(listener, HELD, |_| BackendAction::Succeed, &world.launches, &world.probes);
     }
 
     fn entry(&self, status: &str) -> Value {
@@ -80,8 +80,8 @@
 
 /// A node whose one ready backend holds its handshakes, beside one that is gone for now.
 fn held_world() -> (World, Held) {
-    let (world, held) = (World::new(1, |_| Act::Finish, patient), Held::new());
-    until("a watch", || world.watches.load(SeqCst) >= 1);
+    let (world, held) = (World::new(1, |_| BackendAction::Succeed, patient), Held::new());
+    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
     tell(&world, "only-held", &[with_status(&world.entries[0], "gone"), held.entry("ready")]);
     (world, held)
 }
@@ -105,8 +105,8 @@
     entries.push(json!({"name": mark, "status": "gone"}));
     let line = json!({"index": 9, "snapshot": false, "endpoints": entries}).to_string();
     world.list.send(line).expect("a watch");
-    until("the list is taken", || {
-        call(world.admin(), &format!("PUT /backends/{mark}/ready")).status() == 200
+    wait_until("the list is taken", || {
+        call_admin(world.admin(), &format!("PUT /backends/{mark}/ready")).status() == 200
     });
 }
 
@@ -119,7 +119,7 @@
         // Neither listening nor ended, and still held by a process.
         words.get(1) == Some(&&*at) && words[3] != "0A" && words[9] != "0"
     };
-    until("no client's connection is open", || {
+    wait_until("no client's connection is open", || {
         !std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table").lines().any(open)
     });
     let told = Instant::now();
@@ -167,16 +167,16 @@
                 let (world, held) = held_world();
                 let mut stream = world.connect();
                 stream.write_all((command.clone() + behind).as_bytes()).expect("written");
-                until(what, || held.dialled());
+                wait_until(what, || held.dialled());
                 let (kept, since) = (leave(stream), Instant::now());
                 if command.len() + behind.len() > 16 << 10 {
                     // Its end lies behind what nobody reads: looked for ten times a second, and so not seen at once. Before,
                     // it was not seen until the connection was up or given up, eight seconds later.
-                    until("its launch is called off", || !held.dialled());
+                    wait_until("its launch is called off", || !held.dialled());
                     assert!(since.elapsed() < Duration::from_secs(4), "{what}: {:?}", since.elapsed());
                 }
                 held.let_go(&world);
-                until("nobody waits for a connection", || !held.dialled());
+                wait_until("nobody waits for a connection", || !held.dialled());
                 assert_eq!(world.ask(&asks("read", "later")).status(), 200, "{what}");
                 assert_eq!(world.bodies(), [(HELD, "later".to_owned())], "{what}");
                 drop(kept);
@@ -192,7 +192,7 @@
 /// Before, all of them were.
 #[test]
 fn clients_that_had_left_before_they_were_accepted() {
-    let world = World::new(1, |_| Act::Finish, patient);
+    let world = World::new(1, |_| BackendAction::Succeed, patient);
     world.signal("-STOP");
     for n in 0..50 {
         let mut stream = world.connect();
@@ -203,7 +203,7 @@
     }
     world.signal("-CONT");
     // Turned back while the node still takes them all for clients that wait.
-    until("served again", || world.ask(&asks("read", "later")).status() == 200);
+    wait_until("served again", || world.ask(&asks("read", "later")).status() == 200);
     assert_eq!(world.bodies(), [(0, "later".to_owned())]);
     at_rest(world);
 }
@@ -227,7 +227,7 @@
         }),
         ("is left out", |world, _| {
             tell(world, "m", &[with_status(&world.entries[0], "ready")]);
-            assert_eq!(call(world.admin(), "PUT /backends/held/maint").status(), 200);
+            assert_eq!(call_admin(world.admin(), "PUT /backends/held/maint").status(), 200);
         }),
     ];
     scope(|all| {
@@ -236,10 +236,10 @@
                 let (world, held) = held_world();
                 let mut stream = world.connect();
                 stream.write_all(asks("pay", "once").as_bytes()).expect("written");
-                until("it waits for a connection", || held.dialled());
+                wait_until("it waits for a connection", || held.dialled());
                 change(&world, &held);
                 held.let_go(&world);
-                assert_eq!(read(&mut stream).unwrap_or_default().status(), 200, "{what}");
+                assert_eq!(read_message(&mut stream).unwrap_or_default().status(), 200, "{what}");
                 assert_eq!(world.bodies(), [(0, "once".to_owned())], "{what}");
                 drop(stream);
                 at_rest(world);
@@ -252,8 +252,8 @@
 /// nothing along. Before, each of its lines was left out, and with them the drain.
 #[test]
 fn an_indented_list_in_pieces() {
-    let world = World::new(2, |_| Act::Finish, patient);
-    until("a watch", || world.watches.load(SeqCst) >= 1);
+    let world = World::new(2, |_| BackendAction::Succeed, patient);
+    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
     let entries = [with_status(&world.entries[0], "draining"), json!({"name": "m", "status": "gone"})];
     let message = json!({"index": 9, "snapshot": false, "endpoints": entries});
     let indented = serde_json::to_string_pretty(&message).expect("a text");
@@ -261,7 +261,7 @@
     for line in ["{\"index\": 8, \"endpo"].into_iter().chain(indented.lines()) {
         world.list.send(line.to_owned()).expect("a watch");
     }
-    until("the list is taken", || call(world.admin(), "PUT /backends/m/ready").status() == 200);
+    wait_until("the list is taken", || call_admin(world.admin(), "PUT /backends/m/ready").status() == 200);
     for n in 0..8 {
         assert_eq!(world.command("read").status(), 200);
         assert_eq!(world.bodies()[n].0, 1);
@@ -275,13 +275,13 @@
 fn a_command_half_here_outlives_a_crowd() {
     let world = World::new(
         1,
-        |_| Act::Finish,
+        |_| BackendAction::Succeed,
         |config| {
             patient(config);
             config["limits"]["sockets"] = 110.into();
         },
     );
-    until("the rest has come in the time that a body has", || {
+    wait_until("the rest has come in the time that a body has", || {
         let since = Instant::now();
         let mut halves = [40, 3].map(|part| {
             let (whole, mut stream) = (asks("read", "half"), world.connect());
@@ -298,7 +298,7 @@
         }
         // A body has two seconds from its head on.
         let took = since.elapsed();
-        let said = halves.each_mut().map(|(_, stream)| read(stream).unwrap_or_default().status());
+        let said = halves.each_mut().map(|(_, stream)| read_message(stream).unwrap_or_default().status());
         drop(crowd);
         let in_time = took < Duration::from_secs(2);
         assert!(!in_time || said == [200, 200], "{said:?} after {took:?}");
@@ -310,7 +310,7 @@
 /// Commands that come at once on one connection are answered in turn, each whole.
 #[test]
 fn commands_behind_each_other() {
-    let world = World::new(1, |_| Act::Finish, patient);
+    let world = World::new(1, |_| BackendAction::Succeed, patient);
     let mut stream = world.connect();
     let texts = ["a", "b", "c"].map(|body| asks("read", body));
     let bytes = format!("{}\r\n{}{}", texts[0], texts[1], texts[2]);
@@ -318,7 +318,7 @@
         stream.write_all(part).expect("written");
     }
     for body in ["a", "b", "c"] {
-        assert_eq!(read(&mut stream).unwrap_or_default().status(), 200, "{body}");
+        assert_eq!(read_message(&mut stream).unwrap_or_default().status(), 200, "{body}");
     }
     assert_eq!(world.bodies(), ["a", "b", "c"].map(|body| (0, body.to_owned())));
     stream.shutdown(Shutdown::Write).expect("an end");
@@ -332,7 +332,7 @@
 fn second_launch() -> Option<(World, Held, TcpStream)> {
     let world = World::new(
         0,
-        |_| Act::Finish,
+        |_| BackendAction::Succeed,
         |config| {
             patient(config);
             for profile in config["settings"]["profiles"].as_array_mut().expect("profiles") {
@@ -340,15 +340,15 @@
             }
         },
     );
-    let (held, (failing, at)) = (Held::new(), listener(&own_address()));
-    until("a watch", || world.watches.load(SeqCst) >= 1);
+    let (held, (failing, at)) = (Held::new(), bind_listener(&unique_loopback_address()));
+    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
     tell(&world, "m", &[entry("failing", at)]);
     let (mut stream, since) = (world.connect(), Instant::now());
     stream.write_all(asks("mark", "tagged").as_bytes()).expect("written");
     let (mut first, _) = failing.accept().expect("a connection");
-    assert_eq!(read(&mut first).expect("a launch").body, b"tagged");
+    assert_eq!(read_message(&mut first).expect("a launch").body, b"tagged");
     tell(&world, "m2", &[held.entry("ready")]);
-    act(Act::Status(500, ""), &mut first);
+    respond(BackendAction::Status(500, ""), &mut first);
     while !held.dialled() {
         if since.elapsed() > Duration::from_millis(800) {
             return None;
@@ -368,7 +368,7 @@
 fn a_second_launch_whose_time_passes_while_it_waits() {
     let (world, held, mut stream) = second_launch_held();
     held.let_go(&world);
-    assert_eq!(read(&mut stream).unwrap_or_default().status(), 503);
+    assert_eq!(read_message(&mut stream).unwrap_or_default().status(), 503);
     assert!(world.bodies().is_empty());
     drop(stream);
     at_rest(world);
@@ -379,7 +379,7 @@
 #[test]
 fn what_is_given_up_while_it_waits() {
     let soon = |what: &str, stream: &mut TcpStream, since: Instant| {
-        assert_eq!(read(stream).unwrap_or_default().status(), 503, "{what}");
+        assert_eq!(read_message(stream).unwrap_or_default().status(), 503, "{what}");
         assert!(since.elapsed() < Duration::from_secs(4), "{what}: {:?}", since.elapsed());
     };
     let (_world, _held, mut stream) = second_launch_held();
@@ -387,7 +387,7 @@
     let (world, held) = held_world();
     let (mut stream, since) = (world.connect(), Instant::now());
     stream.write_all(asked("pay", "short", 700).as_bytes()).expect("written");
-    until("it waits for a connection", || held.dialled());
+    wait_until("it waits for a connection", || held.dialled());
     soon("its own time", &mut stream, since);
     assert!(world.bodies().is_empty());
     drop(stream);
@@ -401,9 +401,9 @@
     let (world, held) = held_world();
     let (mut stream, since) = (world.connect(), Instant::now());
     stream.write_all(asks("pay", "waited").as_bytes()).expect("written");
-    until("it waits for a connection", || held.dialled());
+    wait_until("it waits for a connection", || held.dialled());
     held.let_go(&world);
-    assert_eq!(read(&mut stream).unwrap_or_default().status(), 200);
+    assert_eq!(read_message(&mut stream).unwrap_or_default().status(), 200);
     assert!(since.elapsed() > Duration::from_millis(700), "the handshake was not held");
     let left = world.launches.lock().expect("launches")[0].1.header("x-time-left-ms").map(str::to_owned);
     assert!(left.as_ref().is_some_and(|left| left.parse::<u32>().is_ok_and(|ms| ms < 11_400)), "{left:?}");
@@ -415,8 +415,8 @@
 /// that answer, and the first is never written. Before, it was, after the command's end.
 #[test]
 fn a_launch_that_waits_while_another_is_answered() {
-    let (world, held) = (World::new(1, |_| Act::Finish, patient), Held::new());
-    until("a watch", || world.watches.load(SeqCst) >= 1);
+    let (world, held) = (World::new(1, |_| BackendAction::Succeed, patient), Held::new());
+    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
     // From here on the node knows how soon an answer is to be expected, and waits for ten times that.
     for _ in 0..30 {
         assert_eq!(world.ask(&asks("read", "before")).status(), 200);
@@ -424,12 +424,12 @@
     tell(&world, "only-held", &[with_status(&world.entries[0], "gone"), held.entry("ready")]);
     let mut stream = world.connect();
     stream.write_all(asks("read", "two launches").as_bytes()).expect("written");
-    until("it waits for a connection", || held.dialled());
+    wait_until("it waits for a connection", || held.dialled());
     tell(&world, "m", &[with_status(&world.entries[0], "ready")]);
-    let reply = read(&mut stream).unwrap_or_default();
+    let reply = read_message(&mut stream).unwrap_or_default();
     assert_eq!(reply.status(), 200);
     held.let_go(&world);
-    until("nobody waits for a connection", || !held.dialled());
+    wait_until("nobody waits for a connection", || !held.dialled());
     assert_eq!(world.ask(&asks("read", "later")).status(), 200);
     let both = world.bodies().into_iter().filter(|(_, body)| body == "two launches");
     assert_eq!(both.collect::<Vec<_>>(), [(0, "two launches".to_owned())]);
@@ -439,12 +439,13 @@
 
 /// A discovery that gives each watch one beat and then ends it, or falls silent; its address and how many came.
 fn dying_watches(ends: bool) -> (SocketAddr, Arc<AtomicUsize>) {
-    let ((listener, at), watches) = (listener(&own_address()), Arc::new(AtomicUsize::new(0)));
+    let ((listener, at), watches) =
+        (bind_listener(&unique_loopback_address()), Arc::new(AtomicUsize::new(0)));
     let came = watches.clone();
     spawn(move || {
         let mut kept = Vec::new();
         for mut stream in listener.incoming().flatten() {
-            if read(&mut stream).is_some() {
+            if read_message(&mut stream).is_some() {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
                 came.fetch_add(1, SeqCst);
             }
@@ -464,16 +465,16 @@
     scope(|all| {
         for (how, ends, most) in [("ask", false, 6), ("push", false, 6), ("push", true, 2)] {
             all.spawn(move || {
-                let mut world = World::new(1, |_| Act::Finish, |_| {});
+                let mut world = World::new(1, |_| BackendAction::Succeed, |_| {});
                 let (at, watches) = dying_watches(ends);
                 let mut config = world.config.clone();
                 config["discovery"] = at.to_string().into();
                 config["settings"]["balancers"] = 300.into();
                 config["settings"]["discovery"] = how.into();
                 assert!(world.reload(&config.to_string()).contains(&at.to_string()));
-                until("a watch", || watches.load(SeqCst) >= 1);
+                wait_until("a watch", || watches.load(SeqCst) >= 1);
                 let came = Instant::now();
-                until("another one", || watches.load(SeqCst) >= 2);
+                wait_until("another one", || watches.load(SeqCst) >= 2);
                 assert!(
                     came.elapsed() < Duration::from_secs(most),
                     "{how}, ended {ends}: {:?}",
@@ -492,15 +493,15 @@
         let (mut world, held) = held_world();
         let mut stream = world.connect();
         stream.write_all(asks("pay", "held").as_bytes()).expect("written");
-        until("it waits for a connection", || held.dialled());
+        wait_until("it waits for a connection", || held.dialled());
         let told = Instant::now();
         world.signal("-TERM");
         world.signal("-HUP");
         world.signal("-TERM");
-        until("it stops", || call(world.admin(), "GET /healthcheck").status() == 503);
+        wait_until("it stops", || call_admin(world.admin(), "GET /healthcheck").status() == 503);
         if stays {
             held.let_go(&world);
-            let reply = read(&mut stream).unwrap_or_default();
+            let reply = read_message(&mut stream).unwrap_or_default();
             assert_eq!((reply.status(), reply.header("connection")), (200, Some("close")));
         }
         drop(stream);
@@ -516,21 +517,21 @@
 #[test]
 fn a_stop_answers_before_the_kill() {
     const KILL: Duration = Duration::from_millis(3700);
-    let mut world = World::new(4, |_| Act::Text(""), patient);
+    let mut world = World::new(4, |_| BackendAction::Text(""), patient);
     let mut early = ["read", "mark", "pay"].map(|profile| (profile, world.connect()));
     for (profile, stream) in &mut early {
         stream.write_all(asks(profile, "held").as_bytes()).expect("written");
     }
     let mut kept = world.connect();
     kept.write_all(UP.as_bytes()).expect("written");
-    assert_eq!(read(&mut kept).unwrap_or_default().status(), 200);
-    until("all are at the backend", || world.launched() == early.len());
+    assert_eq!(read_message(&mut kept).unwrap_or_default().status(), 200);
+    wait_until("all are at the backend", || world.launched() == early.len());
     let told = Instant::now();
     world.signal("-TERM");
     kept.write_all(asks("pay", "after the signal").as_bytes()).expect("written");
     for (what, stream) in early.iter_mut().map(|(what, stream)| (*what, stream)).chain([("kept", &mut kept)])
     {
-        let reply = read(stream).unwrap_or_default();
+        let reply = read_message(stream).unwrap_or_default();
         // Only what must not run twice may not be turned back while it may have run.
         let wanted: &[u16] = if what == "pay" { &[502] } else { &[502, 503] };
         assert!(
@@ -547,14 +548,14 @@
 /// the command behind it, which goes on another connection. Before, that got the first one's answer again.
 #[test]
 fn a_second_answer_that_comes_late() {
-    until("two commands are answered in the time that connections rest", second_answers);
+    wait_until("two commands are answered in the time that connections rest", second_answers);
 }
 
 /// Whether they were: past that time nothing tells whose answer one is.
 fn second_answers() -> bool {
-    let world = World::new(0, |_| Act::Finish, patient);
-    let (doubling, at) = listener(&own_address());
-    until("a watch", || world.watches.load(SeqCst) >= 1);
+    let world = World::new(0, |_| BackendAction::Succeed, patient);
+    let (doubling, at) = bind_listener(&unique_loopback_address());
+    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
     tell(&world, "m", &[entry("doubling", at)]);
     let answer = |body: &[u8]| {
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -564,9 +565,9 @@
     let mut asker = world.connect();
     asker.write_all(asks("read", "one").as_bytes()).expect("written");
     let (mut first, _) = doubling.accept().expect("a connection");
-    assert_eq!(read(&mut first).expect("a launch").body, b"one");
+    assert_eq!(read_message(&mut first).expect("a launch").body, b"one");
     first.write_all(&answer(b"one")).expect("written");
-    assert_eq!(read(&mut asker).unwrap_or_default().body, b"one");
+    assert_eq!(read_message(&mut asker).unwrap_or_default().body, b"one");
     first.write_all(&answer(b"one")).expect("written");
     assert_eq!(first.read(&mut [0]).ok(), Some(0), "nobody uses it again");
     // From here on each comes before that to the next command on its connection.
@@ -574,7 +575,7 @@
         for mut stream in doubling.incoming().flatten() {
             spawn(move || {
                 let mut before = None;
-                while let Some(message) = read(&mut stream) {
+                while let Some(message) = read_message(&mut stream) {
                     let own = answer(&message.body);
                     if let Some(owed) = before.replace(own.clone()) {
                         let _ = stream.write_all(&owed);
@@ -588,7 +589,7 @@
     // At once, so that the second is there when the first is answered.
     asker.write_all((asks("read", "two") + &asks("read", "three")).as_bytes()).expect("written");
     let said = [(); 2].map(|()| {
-        let reply = read(&mut asker).unwrap_or_default();
+        let reply = read_message(&mut asker).unwrap_or_default();
         (reply.status(), String::from_utf8_lossy(&reply.body).into_owned())
     });
     let in_time = since.elapsed() < Duration::from_millis(10);
@@ -608,7 +609,7 @@
     let asks: String = (0..100).map(|n| asks("read", &n.to_string())).collect();
     stream.write_all(asks.as_bytes()).expect("written");
     let (mut launched, mut since) = (0, Instant::now());
-    until("no more is written", || {
+    wait_until("no more is written", || {
         if world.launched() > launched {
             (launched, since) = (world.launched(), Instant::now());
         }
@@ -622,8 +623,8 @@
 /// all commands are answered, and where others crowd in. Each answer that was begun comes whole.
 #[test]
 fn answers_not_yet_read() {
-    let large = |_| Act::Sized(60_000);
-    let whole = |stream: &mut TcpStream| (0..100).map_while(|_| read(stream)).count();
+    let large = |_| BackendAction::Sized(60_000);
+    let whole = |stream: &mut TcpStream| (0..100).map_while(|_| read_message(stream)).count();
     let mut world = World::new(1, large, |config| {
         for profile in config["settings"]["profiles"].as_array_mut().expect("profiles") {
             profile["timeLimit"] = 100_000_000.into();
@@ -656,7 +657,7 @@
 #[test]
 fn signals_during_a_start() {
     for signal_name in ["-HUP", "-TERM"] {
-        let mut world = World::new(1, |_| Act::Finish, patient);
+        let mut world = World::new(1, |_| BackendAction::Succeed, patient);
         world.node.kill().expect("killed");
         world.node.wait().expect("an end");
         let (node, file, mut told) = start_held(&world.folder, &[]);
@@ -692,11 +693,11 @@
 #[test]
 fn a_log_that_nobody_reads() {
     for stands_still in [false, true] {
-        let mut world = World::new(1, |_| Act::Finish, patient);
+        let mut world = World::new(1, |_| BackendAction::Succeed, patient);
         world.node.kill().expect("killed");
         world.node.wait().expect("an end");
         // A backend that is not there has something to be said of it.
-        let gone = listener(&own_address()).1;
+        let gone = bind_listener(&unique_loopback_address()).1;
         world.config["known"]["endpoints"].as_array_mut().expect("a list").push(entry("gone", gone));
         let file = world.folder.join("config.json");
         std::fs::write(&file, world.config.to_string()).expect("a file");
@@ -705,19 +706,19 @@
         if kept.is_some() {
             writer.write_all(&[b'.'; 65_536]).expect("all that it holds");
         }
-        let mut command = Command::new(program());
+        let mut command = Command::new(node_program());
         command.env_clear().env("ROUTER_CONFIG", &file).env("TMPDIR", &world.folder).stderr(writer);
         world.node = {
-            let _alone = alone();
+            let _alone = lock_process_start();
             command.spawn().expect("the node starts")
         };
         drop(command);
-        until("it is up", || TcpStream::connect(world.listen).is_ok());
+        wait_until("it is up", || TcpStream::connect(world.listen).is_ok());
         for n in 0..20 {
             assert_eq!(world.ask(&asks("read", &n.to_string())).status(), 200, "{n}");
         }
         world.signal("-HUP");
-        until("it has read it again", || world.ask(UP).status() == 200);
+        wait_until("it has read it again", || world.ask(UP).status() == 200);
         at_rest(world);
         drop(kept);
     }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -4,8 +4,8 @@
 #[allow(dead_code)]
 mod world;
 
-use links::schedule::{apply, Fault, Schedule};
-use links::{Law, Links};
+use links::schedule::{apply_to_links, Fault, Schedule};
+use links::{Impairment, Links};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt::Write as _;
@@ -21,15 +21,15 @@
 
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-const CUT: Law = Law {
-    cut: true,
-    reset: false,
-    loss: 0,
-    twice: 0,
-    late_one: 0,
-    late: Duration::ZERO,
+const CUT: Impairment = Impairment {
+    blocked: true,
+    resets_connections: false,
+    loss_percent: 0,
+    duplicate_percent: 0,
+    reorder_percent: 0,
+    latency: Duration::ZERO,
     jitter: Duration::ZERO,
-    bytes_per_s: 0,
+    bytes_per_second: 0,
 };
 
 /// A node's process, and where it is.
@@ -81,25 +81,29 @@
     /// The same, where each node's operators' file is changed first.
     fn with(count: usize, change: impl Fn(usize, &mut String)) -> Fleet {
         let alone_here = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
-        let own = own_address();
+        let own = unique_loopback_address();
         let host: IpAddr = own.parse().expect("an address");
         let (launches, probes): (Launches, Arc<Mutex<Vec<Message>>>) = Default::default();
-        let backends: Vec<Value> =
-            (0..4).map(|number| backend(&own, number, |_| Act::Finish, &launches, &probes)).collect();
-        let (list, told, _) = discovery(&own);
+        let backends: Vec<Value> = (0..4)
+            .map(|number| backend(&own, number, |_| BackendAction::Succeed, &launches, &probes))
+            .collect();
+        let (list, told, _) = start_discovery(&own);
         // The ways have a host of their own: a place kept free for a node must not become one of them.
-        let (links, beside) = (Links::new(7), own_address().parse().expect("an address"));
+        let (links, beside) = (Links::new(7), unique_loopback_address().parse().expect("an address"));
         // Places that are free until their node has them.
         let places: Vec<[SocketAddr; 3]> = {
-            let _alone = alone();
+            let _alone = lock_process_start();
             let held: Vec<_> = (0..count)
-                .map(|_| (listener(&own), listener(&own), UdpSocket::bind((host, 0)).expect("a port")))
+                .map(|_| {
+                    (bind_listener(&own), bind_listener(&own), UdpSocket::bind((host, 0)).expect("a port"))
+                })
                 .collect();
             held.iter().map(|(a, b, udp)| [a.1, b.1, udp.local_addr().expect("its address")]).collect()
         };
         let mut nodes = Vec::new();
         for (node, [listen, admin, udp]) in places.iter().enumerate() {
-            let way = |to: usize| links.udp(&name(node), &name(to), places[to][2], beside).expect("a way");
+            let way =
+                |to: usize| links.open_udp(&name(node), &name(to), places[to][2], beside).expect("a way");
             let ways: BTreeMap<usize, SocketAddr> =
                 (0..count).filter(|to| *to != node).map(|to| (to, way(to))).collect();
             let mut file = format!("fleet = \"tested\"\nlisten = \"{udp}\"\nnetworks = [\"127.0.0.0/8\"]\n");
@@ -116,11 +120,12 @@
             let entry = |backend: &Value| {
                 let (mut entry, to) = (backend.clone(), backend["name"].as_str().expect("a name"));
                 let at = backend["address"].as_str().and_then(|at| at.parse().ok()).expect("an address");
-                entry["address"] = links.tcp(&name(node), to, at, beside).expect("a way").to_string().into();
+                entry["address"] =
+                    links.open_tcp(&name(node), to, at, beside).expect("a way").to_string().into();
                 entry
             };
             let entries: Vec<Value> = backends.iter().map(entry).collect();
-            let mut settings = settings();
+            let mut settings = default_settings();
             (settings["balancers"], settings["me"]) = (count.into(), node.into());
             let config = json!({
                 "name": name(node), "listen": listen.to_string(), "discovery": told.to_string(),
@@ -146,7 +151,7 @@
 
     fn start(&mut self, node: usize) {
         let process = &mut self.nodes[node];
-        let mut child = start_in(&process.folder, &process.folder.join("config.json"), &[]);
+        let mut child = start_node_in(&process.folder, &process.folder.join("config.json"), &[]);
         process.follow(&mut child);
         process.child = Some(child);
     }
@@ -158,7 +163,7 @@
     }
 
     fn signal(&self, node: usize, name: &str) {
-        signal(self.nodes[node].child.as_ref().expect("it runs"), name);
+        send_signal(self.nodes[node].child.as_ref().expect("it runs"), name);
     }
 
     /// Whom this node takes to be here, itself among them; none where it does not answer.
@@ -196,8 +201,10 @@
         self.nodes.iter().flat_map(of).collect()
     }
 
-    fn cut(&self, one: &[usize], other: &[usize], law: Law) {
-        one.iter().for_each(|a| other.iter().for_each(|b| self.links.set_both(&name(*a), &name(*b), law)));
+    fn cut(&self, one: &[usize], other: &[usize], law: Impairment) {
+        one.iter().for_each(|a| {
+            other.iter().for_each(|b| self.links.set_impairment_both_ways(&name(*a), &name(*b), law))
+        });
     }
 
     /// What the portions of these sum to, each as it was told last, in thousandths.
@@ -219,8 +226,8 @@
                 while !over.load(SeqCst) {
                     let Ok(mut stream) = std::net::TcpStream::connect(listen) else { continue };
                     let _ = stream.set_read_timeout(Some(Duration::from_secs(5)));
-                    let sent = stream.write_all(command("pay", "a body", "").as_bytes());
-                    let reply = sent.ok().and_then(|()| read(&mut stream)).unwrap_or_default();
+                    let sent = stream.write_all(command_request("pay", "a body", "").as_bytes());
+                    let reply = sent.ok().and_then(|()| read_message(&mut stream)).unwrap_or_default();
                     answers.push(reply.status());
                     sleep(Duration::from_millis(20));
                 }
@@ -270,7 +277,7 @@
         let mut stream = std::net::TcpStream::connect(self.admin).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
         stream.write_all(b"GET /fleet HTTP/1.1\r\nHost: n\r\n\r\n").ok()?;
-        serde_json::from_slice(&read(&mut stream)?.body).ok()
+        serde_json::from_slice(&read_message(&mut stream)?.body).ok()
     }
 
     fn said(&self, what: &str) -> bool {
@@ -363,13 +370,14 @@
             sleep(Duration::from_millis(200));
         }
     };
-    fleet.links.set("n0", "n1", CUT);
-    fleet.links.set("n4", "n2", CUT);
+    fleet.links.set_impairment("n0", "n1", CUT);
+    fleet.links.set_impairment("n4", "n2", CUT);
     watch(6);
     assert_eq!(fleet.deaths(), BTreeSet::new());
     fleet.links.heal();
     // What becomes of the lossy one itself is chance; the rest are not to flap.
-    let lossy = Law { loss: 30, twice: 10, late_one: 10, ..Law::default() };
+    let lossy =
+        Impairment { loss_percent: 30, duplicate_percent: 10, reorder_percent: 10, ..Impairment::default() };
     fleet.cut(&[5], &[0, 1, 2, 3, 4], lossy);
     watch(6);
     fleet.links.heal();
@@ -386,7 +394,7 @@
     fleet.agree(&[0, 1, 2, 3], 8);
     sleep(Duration::from_secs(7));
     fleet.signal(4, "-CONT");
-    until("it takes no portion by what it knew", || {
+    wait_until("it takes no portion by what it knew", || {
         fleet.nodes[4].view().is_some_and(|view| view["portion"]["nodes"] == 10)
     });
     fleet.agree(&[0, 1, 2, 3, 4], 8);
@@ -401,7 +409,7 @@
     let load = fleet.load(&[0, 1, 2]);
     fleet.cut(&[2], &[0, 1], CUT);
     fleet.agree(&[2], 8);
-    let text = call(fleet.nodes[2].admin, "GET /fleet.txt");
+    let text = call_admin(fleet.nodes[2].admin, "GET /fleet.txt");
     assert!(String::from_utf8_lossy(&text.body).contains("THIS NODE IS ALONE"), "{text:?}");
     assert!(fleet.nodes[2].said("this node is alone"));
     fleet.links.heal();
@@ -418,16 +426,29 @@
     sleep(Duration::from_millis(500));
     // The way that a node has used most: one that has seen a backend idle goes there again.
     let used = |node: usize| {
-        let backend =
-            (0..4).max_by_key(|b| fleet.links.passed(&name(node), &format!("b{b}"))).unwrap_or_default();
+        let backend = (0..4)
+            .max_by_key(|b| fleet.links.forwarded_count(&name(node), &format!("b{b}")))
+            .unwrap_or_default();
         (name(node), format!("b{backend}"))
     };
     let ways: Vec<(String, String)> = (0..4).map(used).collect();
-    assert!(ways.iter().all(|(node, backend)| fleet.links.passed(node, backend) > 5), "{ways:?}");
-    fleet.links.set(&ways[0].0, &ways[0].1, CUT);
-    fleet.links.set(&ways[1].0, &ways[1].1, Law { reset: true, ..Law::default() });
-    fleet.links.set(&ways[2].1, &ways[2].0, Law { late: Duration::from_millis(20), ..Law::default() });
-    fleet.links.set(&ways[3].1, &ways[3].0, Law { bytes_per_s: 4000, ..Law::default() });
+    assert!(ways.iter().all(|(node, backend)| fleet.links.forwarded_count(node, backend) > 5), "{ways:?}");
+    fleet.links.set_impairment(&ways[0].0, &ways[0].1, CUT);
+    fleet.links.set_impairment(
+        &ways[1].0,
+        &ways[1].1,
+        Impairment { resets_connections: true, ..Impairment::default() },
+    );
+    fleet.links.set_impairment(
+        &ways[2].1,
+        &ways[2].0,
+        Impairment { latency: Duration::from_millis(20), ..Impairment::default() },
+    );
+    fleet.links.set_impairment(
+        &ways[3].1,
+        &ways[3].0,
+        Impairment { bytes_per_second: 4000, ..Impairment::default() },
+    );
     sleep(Duration::from_secs(3));
     fleet.links.heal();
     sleep(Duration::from_millis(500));
@@ -444,7 +465,7 @@
     fleet.agree(&[0, 1, 2, 3, 4], 10);
     let of =
         |fleet: &Fleet, node: usize| fleet.nodes[node].view().and_then(|v| v["portion"]["nodes"].as_u64());
-    until("five of ten are no majority", || (0..5).all(|node| of(&fleet, node) == Some(20)));
+    wait_until("five of ten are no majority", || (0..5).all(|node| of(&fleet, node) == Some(20)));
     (5..10).for_each(|node| fleet.start(node));
     fleet.agree(&(0..10).collect::<Vec<_>>(), 10);
     assert!(fleet.deaths().iter().all(|(_, whom)| whom.as_str() >= "n5"), "{:?}", fleet.deaths());
@@ -491,13 +512,13 @@
     fleet.start(0);
     fleet.start(1);
     let process = &mut fleet.nodes[2];
-    let limited = ["-c", "ulimit -n 48; exec \"$0\"", program()];
+    let limited = ["-c", "ulimit -n 48; exec \"$0\"", node_program()];
     let mut child = {
         let mut command = std::process::Command::new("sh");
         command.args(limited).env_clear().env("ROUTER_CONFIG", process.folder.join("config.json"));
         command.env("TMPDIR", &process.folder).stdout(std::process::Stdio::null());
         command.stderr(std::process::Stdio::piped());
-        let _alone = alone();
+        let _alone = lock_process_start();
         command.spawn().expect("the node starts")
     };
     process.follow(&mut child);
@@ -506,7 +527,7 @@
     let load = fleet.load(&[0, 1]);
     let listen = fleet.nodes[2].listen;
     let held: Vec<_> = (0..90).filter_map(|_| std::net::TcpStream::connect(listen).ok()).collect();
-    until("its table is full", || fleet.nodes[2].said("accept: "));
+    wait_until("its table is full", || fleet.nodes[2].said("accept: "));
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(4) {
         let all = fleet.here(0).expect("a view");
@@ -515,11 +536,11 @@
     }
     assert_eq!(fleet.deaths(), BTreeSet::new());
     drop(held);
-    until("it serves again", || {
+    wait_until("it serves again", || {
         let mut stream = std::net::TcpStream::connect(listen).expect("a connection");
         let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
-        let _ = stream.write_all(command("read", "a body", "").as_bytes());
-        read(&mut stream).is_some_and(|reply| reply.status() == 200)
+        let _ = stream.write_all(command_request("read", "a body", "").as_bytes());
+        read_message(&mut stream).is_some_and(|reply| reply.status() == 200)
     });
     fleet.agree(&[0, 1, 2], 5);
     fleet.served(load);
@@ -532,13 +553,13 @@
     let fleet = Fleet::settled(4);
     let load = fleet.load(&[0, 1, 2]);
     let idle = fleet.load(&[3]);
-    (0..4).for_each(|b| fleet.links.set_both("n3", &format!("b{b}"), CUT));
+    (0..4).for_each(|b| fleet.links.set_impairment_both_ways("n3", &format!("b{b}"), CUT));
     let held = |node: usize| {
         let view = fleet.nodes[node].view()?;
         let members = view["members"].as_array()?.clone();
         members.iter().find(|m| m["name"] == "n3")?["load"]["in_hand"].as_u64()
     };
-    until("the others see what it holds", || (0..3).all(|node| held(node).is_some_and(|held| held > 0)));
+    wait_until("the others see what it holds", || (0..3).all(|node| held(node).is_some_and(|held| held > 0)));
     sleep(Duration::from_secs(3));
     assert_eq!(fleet.deaths(), BTreeSet::new());
     fleet.agree(&[0, 1, 2, 3], 1);
@@ -560,12 +581,16 @@
             std::fs::write(&file, config.to_string()).expect("a file");
         }
         (0..4).for_each(|node| fleet.start(node));
-        fleet.nodes.iter().for_each(|node| ready(node.admin));
+        fleet.nodes.iter().for_each(|node| wait_until_ready(node.admin));
         let load = fleet.load(&[0, 1]);
         sleep(Duration::from_secs(1));
         fleet.kill(3);
         fleet.cut(&[0], &[1, 2], CUT);
-        fleet.links.set_both("n1", "b1", Law { reset: true, ..Law::default() });
+        fleet.links.set_impairment_both_ways(
+            "n1",
+            "b1",
+            Impairment { resets_connections: true, ..Impairment::default() },
+        );
         sleep(Duration::from_secs(3));
         fleet.links.heal();
         fleet.start(3);
@@ -591,9 +616,9 @@
     let admin = second_address(&json!({"listen": fleet.nodes[2].listen.to_string()}));
     let process = &mut fleet.nodes[2];
     let file = process.folder.join("config.json");
-    let mut second = start_in(&process.folder, &file, &[("ROUTER_ADMIN", &admin.to_string())]);
+    let mut second = start_node_in(&process.folder, &file, &[("ROUTER_ADMIN", &admin.to_string())]);
     process.follow(&mut second);
-    until("both know the fleet", || {
+    wait_until("both know the fleet", || {
         let here = |node| fleet.here(node).map(|here| here.len());
         [here(0), here(1)] == [Some(3), Some(3)]
     });
@@ -643,7 +668,7 @@
             assert!(ours.is_subset(&names), "{names:?}");
             assert_eq!(fleet.deaths(), BTreeSet::new(), "sent {sent}");
         }
-        until("all know of all", || {
+        wait_until("all know of all", || {
             (0..4).all(|node| fleet.here(node).is_some_and(|names| ours.is_subset(&names)))
         });
         println!("sent {sent}, thought dead: {:?}", fleet.deaths());
@@ -689,8 +714,8 @@
     fleet.agree(&[0, 1, 2], 8);
     std::fs::write(&file, config.to_string()).expect("a file");
     fleet.start(3);
-    until("the earlier one gives way", || fleet.nodes[2].said("another process has this node's name"));
-    let text = call(fleet.nodes[2].admin, "GET /fleet.txt");
+    wait_until("the earlier one gives way", || fleet.nodes[2].said("another process has this node's name"));
+    let text = call_admin(fleet.nodes[2].admin, "GET /fleet.txt");
     assert!(String::from_utf8_lossy(&text.body).contains("ANOTHER PROCESS HAS THIS NAME"), "{text:?}");
     fleet.kill(3);
     fleet.agree(&[0, 1, 2], 15);
@@ -712,13 +737,13 @@
     let variables = [("ROUTER_ADMIN", admin.to_string())];
     let process = &mut fleet.nodes[0];
     let variables: Vec<(&str, &str)> = variables.iter().map(|(k, v)| (*k, v.as_str())).collect();
-    let mut new = start_in(&process.folder, &process.folder.join("config.json"), &variables);
+    let mut new = start_node_in(&process.folder, &process.folder.join("config.json"), &variables);
     process.follow(&mut new);
     process.admin = admin;
-    ready(admin);
+    wait_until_ready(admin);
     let mut old = process.child.replace(new).expect("it ran");
     assert_ne!(second, admin);
-    signal(&old, "-TERM");
+    send_signal(&old, "-TERM");
     old.wait().expect("an end");
     fleet.agree(&[0, 1, 2], 8);
     let now = fleet.nodes[0].view().expect("a view")["life"].as_u64();
@@ -754,7 +779,7 @@
     fleet.agree(&[2], 2);
     std::fs::write(&path, text.replace("period = 200", "period = 0")).expect("a file");
     fleet.signal(2, "-HUP");
-    until("it is told why", || fleet.nodes[2].said("the old configuration stays: fleet"));
+    wait_until("it is told why", || fleet.nodes[2].said("the old configuration stays: fleet"));
     let line = seeds.iter().take(3).last().expect("the third node's seeds");
     let first = line.split('"').nth(1).expect("an address").to_owned();
     std::fs::write(folder.join("seeds"), format!("# the first node\n{first}\n")).expect("a file");
@@ -769,8 +794,8 @@
 /// Without an operators' file nothing is opened and nothing is told.
 #[test]
 fn off_without_its_file() {
-    let (world, admin) = World::with_admin(1, |_| Act::Finish);
-    assert_eq!(call(admin, "GET /fleet").status(), 404);
+    let (world, admin) = World::with_admin(1, |_| BackendAction::Succeed);
+    assert_eq!(call_admin(admin, "GET /fleet").status(), 404);
     let pid = world.node.id();
     let sockets = std::fs::read_to_string(format!("/proc/{pid}/net/udp")).expect("sockets");
     let own: BTreeSet<String> = std::fs::read_dir(format!("/proc/{pid}/fd"))
@@ -789,19 +814,19 @@
     for seed in [3, 11] {
         let mut fleet = Fleet::settled(5);
         let names: Vec<String> = (0..5).map(name).collect();
-        let schedule = Schedule::draw(seed, &names, 10, Duration::from_secs(12));
+        let schedule = Schedule::generate(seed, &names, 10, Duration::from_secs(12));
         println!("seed {seed}:\n{schedule}");
         let start = Instant::now();
         for step in &schedule.0 {
-            sleep((start + Duration::from_millis(step.at)).saturating_duration_since(Instant::now()));
+            sleep((start + Duration::from_millis(step.at_ms)).saturating_duration_since(Instant::now()));
             let of = |one: &String| names.iter().position(|n| n == one).expect("a node");
             match &step.fault {
                 Fault::Kill(one) => fleet.kill(of(one)),
-                Fault::Term(one) => fleet.signal(of(one), "-TERM"),
-                Fault::Stop(one) => fleet.signal(of(one), "-STOP"),
-                Fault::Cont(one) => fleet.signal(of(one), "-CONT"),
+                Fault::Terminate(one) => fleet.signal(of(one), "-TERM"),
+                Fault::Pause(one) => fleet.signal(of(one), "-STOP"),
+                Fault::Resume(one) => fleet.signal(of(one), "-CONT"),
                 Fault::Start(one) => fleet.start(of(one)),
-                fault => apply(fault, &fleet.links, &names),
+                fault => apply_to_links(fault, &fleet.links, &names),
             }
         }
         fleet.agree(&[0, 1, 2, 3, 4], 10);
@@ -834,7 +859,7 @@
             std::fs::write(&file, config.to_string()).expect("a file");
         }
         (0..3).for_each(|node| fleet.start(node));
-        fleet.nodes.iter().for_each(|node| ready(node.admin));
+        fleet.nodes.iter().for_each(|node| wait_until_ready(node.admin));
         sleep(Duration::from_secs(2));
         let pid = fleet.nodes[0].child.as_ref().expect("it runs").id();
         let cpu = || {
@@ -849,8 +874,8 @@
             let mut stream = std::net::TcpStream::connect(listen).expect("a connection");
             let _ = stream.set_nodelay(true);
             for _ in 0..4000 {
-                stream.write_all(command("read", "a body", "").as_bytes()).expect("sent");
-                assert_eq!(read(&mut stream).map(|reply| reply.status()), Some(200));
+                stream.write_all(command_request("read", "a body", "").as_bytes()).expect("sent");
+                assert_eq!(read_message(&mut stream).map(|reply| reply.status()), Some(200));
             }
         };
         std::thread::scope(|scope| {
--- a/crates/node/tests/list_calls.rs
+++ b/crates/node/tests/list_calls.rs
@@ -43,7 +43,7 @@
 
 impl Discovery {
     fn start(list: Value) -> Discovery {
-        let (listener, at) = listener(&own_address());
+        let (listener, at) = bind_listener(&unique_loopback_address());
         let answers = Answers::Watch(Duration::ZERO);
         let state = State { answers, list, calls: Vec::new(), watches: Vec::new() };
         let discovery = Discovery { at, state: Arc::new(Mutex::new(state)) };
@@ -52,8 +52,8 @@
         discovery
     }
 
-    fn with<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
-        act(&mut self.state.lock().expect("the discovery's state"))
+    fn with<T>(&self, update: impl FnOnce(&mut State) -> T) -> T {
+        update(&mut self.state.lock().expect("the discovery's state"))
     }
 
     fn calls(&self) -> usize {
@@ -84,7 +84,7 @@
 }
 
 fn answer(mut stream: TcpStream, state: &Mutex<State>) {
-    if read(&mut stream).is_none() {
+    if read_message(&mut stream).is_none() {
         return;
     }
     let answers = {
@@ -127,7 +127,7 @@
 /// Waits until the node has that list, and sees that it goes by it.
 fn until_known(world: &World) {
     let known = format!("PUT /backends/{NEW}/ready");
-    until("the list is known", || call(world.admin(), &known).status() == 200);
+    wait_until("the list is known", || call_admin(world.admin(), &known).status() == 200);
     let before = launches_at(world, 0);
     (0..8).for_each(|_| assert_eq!(world.command("read").status(), 200));
     assert_eq!(launches_at(world, 0), before);
@@ -135,10 +135,10 @@
 
 /// A node among so many, on a list of two backends, with a watch on a discovery that is asked.
 fn watching_node(nodes: u32) -> (World, Discovery) {
-    let (mut world, _) = World::with_admin(2, |_| Act::Finish);
+    let (mut world, _) = World::with_admin(2, |_| BackendAction::Succeed);
     let discovery = Discovery::start(whole_list(5, &world.entries));
     configure(&mut world, &discovery, |config| config["settings"]["balancers"] = nodes.into());
-    until("a watch", || discovery.with(|state| !state.watches.is_empty()));
+    wait_until("a watch", || discovery.with(|state| !state.watches.is_empty()));
     (world, discovery)
 }
 
@@ -170,7 +170,7 @@
                 let before = discovery.calls();
                 let ended = Instant::now();
                 discovery.reset_watches(without_the_first(&world));
-                until("another call", || discovery.calls() > before);
+                wait_until("another call", || discovery.calls() > before);
                 let paused = ended.elapsed();
                 assert!(paused < Duration::from_millis(1000), "{nodes} nodes: {paused:?} before the call");
                 until_known(&world);
@@ -192,7 +192,7 @@
                 discovery.with(|state| state.answers = Answers::Unavailable(hangs));
                 let first = discovery.calls();
                 discovery.reset_watches(without_the_first(&world));
-                until("three calls", || discovery.calls() >= first + 3);
+                wait_until("three calls", || discovery.calls() >= first + 3);
                 for span in discovery.spans_from(first) {
                     assert!(span < hangs + Duration::from_millis(most), "{nodes} nodes: {span:?}");
                 }
@@ -245,7 +245,7 @@
                 let ended = Instant::now();
                 let before = discovery.calls();
                 discovery.reset_watches(without_the_first(&world));
-                until("a call that waits", || discovery.calls() > before);
+                wait_until("a call that waits", || discovery.calls() > before);
                 let list = whole_list(5, &world.entries);
                 let next: Vec<_> = (0..moves).map(|_| Discovery::start(list.clone())).collect();
                 for discovery in &next {
@@ -260,7 +260,7 @@
                 );
                 let (last, passed) = next.split_last().expect("a move");
                 last.with(|state| state.list = without_the_first(&world));
-                until("a watch at the new address", || last.with(|state| !state.watches.is_empty()));
+                wait_until("a watch at the new address", || last.with(|state| !state.watches.is_empty()));
                 let calls: Vec<_> = next.iter().map(Discovery::calls).collect();
                 assert_eq!(calls, [vec![0; passed.len()], vec![1]].concat(), "one call, at the last address");
             });
@@ -276,7 +276,7 @@
     discovery.with(|state| state.answers = Answers::Watch(Duration::from_secs(10)));
     let before = discovery.calls();
     discovery.reset_watches(whole_list(5, &world.entries));
-    until("a call that hangs", || discovery.calls() > before);
+    wait_until("a call that hangs", || discovery.calls() > before);
     let next = Discovery::start(without_the_first(&world));
     move_discovery(&mut world, &next);
     let moved = Instant::now();
--- a/crates/node/tests/sites.rs
+++ b/crates/node/tests/sites.rs
@@ -41,13 +41,13 @@
 
 impl Planned {
     fn new() -> Planned {
-        let world = World::new(3, |_| Act::Finish, with_plan);
+        let world = World::new(3, |_| BackendAction::Succeed, with_plan);
         let admin = world.config["admin"].as_str().and_then(|at| at.parse().ok()).expect("an address");
         Planned { world, admin }
     }
 
     fn told(&self) -> Value {
-        serde_json::from_slice(&call(self.admin, "GET /sites").body).expect("JSON")
+        serde_json::from_slice(&call_admin(self.admin, "GET /sites").body).expect("JSON")
     }
 
     /// Commands of both profiles for so long: of each how many came in, of how many, and the times to come back.
@@ -76,10 +76,10 @@
     let planned = Planned::new();
     assert_eq!(planned.ask(500).0, [1.0, 1.0], "nothing is lost");
     assert_eq!(planned.told()["in_force"], false);
-    assert_eq!(call(planned.admin, "PUT /sites/nowhere/lost").status(), 404);
-    assert_eq!(call(planned.admin, "PUT /sites/there/melted").status(), 404);
-    assert_eq!(call(planned.admin, "PUT /sites/there/lost").status(), 200);
-    until("it is in force", || planned.told()["in_force"] == true);
+    assert_eq!(call_admin(planned.admin, "PUT /sites/nowhere/lost").status(), 404);
+    assert_eq!(call_admin(planned.admin, "PUT /sites/there/melted").status(), 404);
+    assert_eq!(call_admin(planned.admin, "PUT /sites/there/lost").status(), 200);
+    wait_until("it is in force", || planned.told()["in_force"] == true);
     planned.ask(2500);
     let (shares, times) = planned.ask(2500);
     assert!(shares[0] > shares[1] + 0.1 && shares[1] < 0.8, "{shares:?} {}", planned.told());
@@ -94,7 +94,7 @@
     let told = planned.told();
     assert_eq!(told["sites"][1]["state"], "lost", "{told}");
     assert!(told["turned_back"].as_u64().is_some_and(|count| count >= times.len() as u64), "{told}");
-    assert_eq!(call(planned.admin, "PUT /sites/there/free").status(), 200);
+    assert_eq!(call_admin(planned.admin, "PUT /sites/there/free").status(), 200);
 }
 
 /// Another plan by SIGHUP, of the same sites alone; a bad one changes nothing. Without a plan there is nothing to call.
@@ -113,9 +113,9 @@
         let line = planned.world.reload(&config);
         assert!(line.contains(said), "{said}: {line}");
     }
-    until("it goes by the other plan", || planned.told()["room"] == json!(80.0));
-    let (world, admin) = World::with_admin(1, |_| Act::Finish);
-    assert_eq!(call(admin, "GET /sites").status(), 404);
-    assert_eq!(call(admin, "PUT /sites/there/lost").status(), 404);
+    wait_until("it goes by the other plan", || planned.told()["room"] == json!(80.0));
+    let (world, admin) = World::with_admin(1, |_| BackendAction::Succeed);
+    assert_eq!(call_admin(admin, "GET /sites").status(), 404);
+    assert_eq!(call_admin(admin, "PUT /sites/there/lost").status(), 404);
     drop(world);
 }
--- a/crates/node/tests/sockets.rs
+++ b/crates/node/tests/sockets.rs
@@ -18,27 +18,27 @@
 /// What is no command gets its own answer, or its connection's end, at once, and never reaches a backend.
 #[test]
 fn bad_input_is_refused() {
-    let world = World::new(1, |_| Act::Finish, |_| {});
-    let good = command("mark", "a body", "");
+    let world = World::new(1, |_| BackendAction::Succeed, |_| {});
+    let good = command_request("mark", "a body", "");
     let without =
         |name: &str| good.split("\r\n").filter(|l| !l.starts_with(name)).collect::<Vec<_>>().join("\r\n");
-    let big = command("mark", "", "").replace("Length: 0", "Length: 33554433");
-    let chunks_last = command("mark", "", "")
+    let big = command_request("mark", "", "").replace("Length: 0", "Length: 33554433");
+    let chunks_last = command_request("mark", "", "")
         .replace("Length: 0\r\n", "Length: 9\r\nTransfer-Encoding: chunked\r\n")
         + "body";
     let cases: &[(&str, String, u16)] = &[
         ("as it should be", good.clone(), 200),
-        ("the largest body", command("mark", &"x".repeat(64 << 10), ""), 200),
+        ("the largest body", command_request("mark", &"x".repeat(64 << 10), ""), 200),
         ("unknown path", good.replace("/api", "/apis"), 404),
         ("no id", without("X-Correlation-Id"), 400),
-        ("two ids", command("mark", "a body", "X-Correlation-Id: 7\r\n"), 400),
+        ("two ids", command_request("mark", "a body", "X-Correlation-Id: 7\r\n"), 400),
         ("a length below nothing", good.replace("Length: 6", "Length: -6"), 400),
-        ("two unlike lengths", command("mark", "a body", "Content-Length: 5\r\n"), 400),
+        ("two unlike lengths", command_request("mark", "a body", "Content-Length: 5\r\n"), 400),
         ("a length that nobody has", good.replace("Length: 6", "Length: 62914560"), 413),
-        ("two lengths, chunks first", command("mark", CHUNKS, "Transfer-Encoding: chunked\r\n"), 400),
+        ("two lengths, chunks first", command_request("mark", CHUNKS, "Transfer-Encoding: chunked\r\n"), 400),
         ("two lengths, chunks last", chunks_last.replace("body", CHUNKS), 400),
         ("no profile", without("X-Service-Class"), 400),
-        ("unknown profile", command("steal", "", ""), 400),
+        ("unknown profile", command_request("steal", "", ""), 400),
         ("no time left", without("X-Time-Left-Ms"), 400),
         ("time left that is none", good.replace("450", "4.5e2"), 400),
         ("less than no time", good.replace("450", "-450"), 400),
@@ -63,14 +63,14 @@
 /// its own client is answered all the same.
 #[test]
 fn an_open_id_goes_on_once() {
-    let world = World::new(2, |_| Act::Late, |_| {});
-    let text = command("pay", "a body", "");
+    let world = World::new(2, |_| BackendAction::Late, |_| {});
+    let text = command_request("pay", "a body", "");
     let mut first = world.connect();
     first.write_all(text.as_bytes()).expect("written");
-    until("the launch is out", || world.launched() == 1);
+    wait_until("the launch is out", || world.launched() == 1);
     let reply = world.ask(&text);
     assert_eq!((reply.status(), reply.header("connection")), (409, Some("close")));
-    assert_eq!(read(&mut first).unwrap_or_default().status(), 200);
+    assert_eq!(read_message(&mut first).unwrap_or_default().status(), 200);
     assert_eq!(world.launched(), 1);
     // Answered, its name is free.
     assert_eq!(world.ask(&text).status(), 200);
@@ -80,8 +80,8 @@
 /// a command is.
 #[test]
 fn strangers_are_not_kept() {
-    let world = World::new(1, |_| Act::Finish, |_| {});
-    let text = command("read", "a body", "");
+    let world = World::new(1, |_| BackendAction::Succeed, |_| {});
+    let text = command_request("read", "a body", "");
     let parts = [0, 40, text.len() - 3, text.len()].map(|part| {
         let mut stream = world.connect();
         stream.write_all(&text.as_bytes()[..part]).expect("written");
@@ -89,7 +89,7 @@
     });
     for (part, mut stream) in parts {
         match part == text.len() {
-            true => assert_eq!(read(&mut stream).expect("an answer").status(), 200),
+            true => assert_eq!(read_message(&mut stream).expect("an answer").status(), 200),
             false => {
                 // An error or just the end, but before the read gives up.
                 let mut rest = Vec::new();
@@ -99,8 +99,8 @@
             }
         }
         if part == text.len() {
-            stream.write_all(command("read", "", "").as_bytes()).expect("written");
-            assert_eq!(read(&mut stream).expect("an answer").status(), 200);
+            stream.write_all(command_request("read", "", "").as_bytes()).expect("written");
+            assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
         }
     }
 }
@@ -108,14 +108,38 @@
 /// Rule 2 on sockets: what an end of the first launch proves, and so what may follow, by profile.
 #[test]
 fn outcomes_of_a_launch() {
-    type Acts = fn(usize) -> Act;
+    type Acts = fn(usize) -> BackendAction;
     let first: &[(&str, Acts, bool)] = &[
-        ("an error", |n| if n == 0 { Act::Status(500, "") } else { Act::Finish }, true),
-        ("full", |n| if n == 0 { Act::Status(503, "X-Unprocessed: 1\r\n") } else { Act::Finish }, false),
-        ("over", |n| if n == 0 { Act::Status(504, "X-Unprocessed: 1\r\n") } else { Act::Finish }, false),
-        ("503 that proves nothing", |n| if n == 0 { Act::Status(503, "") } else { Act::Finish }, true),
-        ("broken off", |n| if n == 0 { Act::Break } else { Act::Finish }, true),
-        ("half an answer", |n| if n == 0 { Act::HalfAnswer } else { Act::Finish }, true),
+        ("an error", |n| if n == 0 { BackendAction::Status(500, "") } else { BackendAction::Succeed }, true),
+        (
+            "full",
+            |n| {
+                if n == 0 {
+                    BackendAction::Status(503, "X-Unprocessed: 1\r\n")
+                } else {
+                    BackendAction::Succeed
+                }
+            },
+            false,
+        ),
+        (
+            "over",
+            |n| {
+                if n == 0 {
+                    BackendAction::Status(504, "X-Unprocessed: 1\r\n")
+                } else {
+                    BackendAction::Succeed
+                }
+            },
+            false,
+        ),
+        (
+            "503 that proves nothing",
+            |n| if n == 0 { BackendAction::Status(503, "") } else { BackendAction::Succeed },
+            true,
+        ),
+        ("broken off", |n| if n == 0 { BackendAction::Break } else { BackendAction::Succeed }, true),
+        ("half an answer", |n| if n == 0 { BackendAction::HalfAnswer } else { BackendAction::Succeed }, true),
     ];
     for (what, acts, may_have_run) in first {
         for (profile, repeats) in [("read", true), ("mark", true), ("pay", false)] {
@@ -134,14 +158,14 @@
 /// known as spoilt by its head: waiting for the rest would cost its command the time for another launch.
 #[test]
 fn large_answers() {
-    let world = World::new(1, |_| Act::Large, |config| config["limits"]["memory_mb"] = 32.into());
+    let world = World::new(1, |_| BackendAction::Large, |config| config["limits"]["memory_mb"] = 32.into());
     for n in 1..=20 {
         let reply = world.command("pay");
         assert_eq!((reply.status(), reply.body.len()), (200, 400_009), "command {n}");
         assert!(reply.body.starts_with(b"from \x01\x02") && reply.body.ends_with(b"x"));
         assert_eq!(world.launched(), n);
     }
-    let world = World::new(2, |n| if n == 0 { Act::Huge } else { Act::Finish }, |_| {});
+    let world = World::new(2, |n| if n == 0 { BackendAction::Huge } else { BackendAction::Succeed }, |_| {});
     assert_eq!((world.command("read").status(), world.launched()), (200, 2));
 }
 
@@ -150,7 +174,7 @@
 fn a_refused_connection_is_no_launch() {
     let world = World::new(
         1,
-        |_| Act::Finish,
+        |_| BackendAction::Succeed,
         |config| {
             let entries = config["known"]["endpoints"].as_array_mut().expect("entries");
             let mut dead = entries[0].clone();
@@ -167,7 +191,7 @@
 /// A backend closes idle connections as it likes: what is surely unsent goes out on another, and only once.
 #[test]
 fn connections_closed_by_backends() {
-    let world = World::new(1, |_| Act::FinishAndClose, |_| {});
+    let world = World::new(1, |_| BackendAction::FinishAndClose, |_| {});
     for n in 1..=20 {
         assert_eq!(world.command("pay").status(), 200, "command {n}");
         assert_eq!(world.launched(), n);
@@ -178,15 +202,15 @@
 /// Bytes go through as they came, both ways; what belongs to one connection does not.
 #[test]
 fn bytes_and_headers_go_on() {
-    let world = World::new(1, |_| Act::Finish, |_| {});
+    let world = World::new(1, |_| BackendAction::Succeed, |_| {});
     let more = "X-Facts: a=1,b=2\r\nConnection: X-Mine, keep-alive\r\nX-Mine: 1\r\nTE: trailers\r\n";
-    let text = command("mark", "\u{1}\r\n\r\nbody", more).replace("/api", "/api/a%20b?obj=7&x=%2F");
+    let text = command_request("mark", "\u{1}\r\n\r\nbody", more).replace("/api", "/api/a%20b?obj=7&x=%2F");
     let reply = world.ask(&text);
     assert_eq!(reply.body, b"from \x01\x02\r\n");
     assert_eq!((reply.header("x-kept"), reply.header("keep-alive")), (Some("yes"), None));
     let launches = world.launches.lock().expect("launches");
     let launch = &launches[0].1;
-    assert_eq!(launch.first, "POST /api/a%20b?obj=7&x=%2F HTTP/1.1");
+    assert_eq!(launch.start_line, "POST /api/a%20b?obj=7&x=%2F HTTP/1.1");
     assert_eq!(launch.body, "\u{1}\r\n\r\nbody".as_bytes());
     for (name, value) in [
         ("x-correlation-id", text.split("Id: ").nth(1).and_then(|t| t.split('\r').next())),
@@ -204,20 +228,20 @@
 /// A client that goes leaves nothing behind: its launch runs on, and the node serves the next.
 #[test]
 fn clients_that_leave() {
-    let world = World::new(2, |_| Act::Late, |_| {});
+    let world = World::new(2, |_| BackendAction::Late, |_| {});
     for n in 1..=6 {
         let mut stream = world.connect();
-        let text = command("pay", "a body", "");
+        let text = command_request("pay", "a body", "");
         // Every other one goes in the middle of its head.
         let part = if n % 2 == 0 { 40 } else { text.len() };
         stream.write_all(&text.as_bytes()[..part]).expect("written");
         if n % 2 == 1 {
-            until("the launch is out", || world.launched() > n / 2);
+            wait_until("the launch is out", || world.launched() > n / 2);
         }
         drop(stream);
         sleep(Duration::from_millis(200));
     }
-    until("served again", || world.command("read").status() == 200);
+    wait_until("served again", || world.command("read").status() == 200);
 }
 
 /// Where the settings allow it the module's probes go out and come back, and none looks like a command.
@@ -225,7 +249,7 @@
 fn probes_go_out() {
     let world = World::new(
         3,
-        |_| Act::Finish,
+        |_| BackendAction::Succeed,
         |config| {
             let settings = &mut config["settings"];
             settings["balancers"] = 4.into();
@@ -247,8 +271,12 @@
 fn turned_back_with_a_time() {
     for (allowed, said) in [(true, true), (false, false)] {
         let world = match allowed {
-            true => World::new(0, |_| Act::Finish, |_| {}),
-            false => World::new(0, |_| Act::Finish, |c| c["settings"]["limits"]["retryAfter"] = false.into()),
+            true => World::new(0, |_| BackendAction::Succeed, |_| {}),
+            false => World::new(
+                0,
+                |_| BackendAction::Succeed,
+                |c| c["settings"]["limits"]["retryAfter"] = false.into(),
+            ),
         };
         let reply = world.command("pay");
         assert_eq!(reply.status(), 503);
@@ -260,8 +288,8 @@
 /// Rule 3, and lines that no one can read: they are left out and the others count.
 #[test]
 fn lines_of_the_list() {
-    let world = World::new(2, |_| Act::Finish, |_| {});
-    until("a watch", || world.watches.load(SeqCst) >= 1);
+    let world = World::new(2, |_| BackendAction::Succeed, |_| {});
+    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
     let entry = |n: usize, key: &str, value: Value| {
         let mut entry = world.entries[n].clone();
         entry[key] = value;
@@ -281,14 +309,14 @@
         world.list.send(line).expect("a watch");
     }
     // Its entry had a name and a state, no more: enough to send nothing there.
-    until("b1 drains", || {
+    wait_until("b1 drains", || {
         let before = world.launched();
         (0..8).all(|_| world.command("read").status() == 200)
             && world.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n == 0)
     });
     world.list.send(entry(1, "status", "ready".into())).expect("a watch");
     world.list.send(entry(0, "status", "gone".into())).expect("a watch");
-    until("b1 serves", || {
+    wait_until("b1 serves", || {
         world.command("read").status() == 200
             && world.launches.lock().expect("launches").last().map(|l| l.0) == Some(1)
     });
@@ -297,12 +325,12 @@
 /// A watch ends with its connection, or in silence when the network is cut; either way there is a new one.
 #[test]
 fn a_lost_watch_is_made_again() {
-    let world = World::new(1, |_| Act::Finish, |_| {});
-    until("a watch", || world.watches.load(SeqCst) >= 1);
+    let world = World::new(1, |_| BackendAction::Succeed, |_| {});
+    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
     world.list.send(String::new()).expect("a watch");
-    until("a second one", || world.watches.load(SeqCst) >= 2);
+    wait_until("a second one", || world.watches.load(SeqCst) >= 2);
     world.list.send(SILENCE.to_owned()).expect("a watch");
-    until("a third one, after silence", || world.watches.load(SeqCst) >= 3);
+    wait_until("a third one, after silence", || world.watches.load(SeqCst) >= 3);
     assert_eq!(world.command("read").status(), 200);
 }
 
@@ -310,9 +338,9 @@
 /// comes from where the file says. A bad file changes nothing, and its fault stands in one line.
 #[test]
 fn a_new_configuration_moves_the_watch() {
-    let mut world = World::new(2, |_| Act::Finish, |_| {});
-    until("a watch", || world.watches.load(SeqCst) >= 1);
-    let (list, told, watches) = discovery(&own_address());
+    let mut world = World::new(2, |_| BackendAction::Succeed, |_| {});
+    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
+    let (list, told, watches) = start_discovery(&unique_loopback_address());
     let mut config = world.config.clone();
     config["discovery"] = told.to_string().into();
     let (good, mut bad) = (config.to_string(), config);
@@ -326,13 +354,13 @@
         assert!(world.reload(&good).contains(&told.to_string()));
         assert_eq!(world.command("read").status(), 200);
         // Told the same again it stays with the watch that it has.
-        until("the watch has moved", || watches.load(SeqCst) == 1);
+        wait_until("the watch has moved", || watches.load(SeqCst) == 1);
     }
     let mut gone = world.entries[0].clone();
     gone["status"] = "gone".into();
     let line = json!({"index": 9, "snapshot": false, "endpoints": [gone]}).to_string();
     list.send(line).expect("a watch");
-    until("b0 is gone", || {
+    wait_until("b0 is gone", || {
         let before = world.launched();
         (0..8).all(|_| world.command("read").status() == 200)
             && world.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n == 1)
@@ -342,12 +370,12 @@
 /// A planned stop answers all that was taken, also on connections that come after the signal, and ends well.
 #[test]
 fn a_planned_stop_loses_nothing() {
-    let mut world = World::new(2, |_| Act::Late, |_| {});
+    let mut world = World::new(2, |_| BackendAction::Late, |_| {});
     let (mut early, mut kept) = (world.connect(), world.connect());
-    let text = command("pay", "a body", "");
+    let text = command_request("pay", "a body", "");
     early.write_all(text.as_bytes()).expect("written");
     kept.write_all("GET /up HTTP/1.1\r\nHost: n\r\n\r\n".as_bytes()).expect("written");
-    assert_eq!(read(&mut kept).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut kept).expect("an answer").status(), 200);
     world.signal("-TERM");
     let mut late = world.connect();
     // Half of a command that never comes whole must not hold the node up.
@@ -356,10 +384,10 @@
     sleep(Duration::from_millis(200));
     assert_eq!(world.ask("GET /up HTTP/1.1\r\nHost: n\r\n\r\n").status(), 503);
     for stream in [&mut late, &mut kept] {
-        stream.write_all(command("pay", "a body", "").as_bytes()).expect("written");
+        stream.write_all(command_request("pay", "a body", "").as_bytes()).expect("written");
     }
     for (what, mut stream) in [("early", early), ("late", late), ("kept", kept)] {
-        let reply = read(&mut stream).unwrap_or_default();
+        let reply = read_message(&mut stream).unwrap_or_default();
         // Whether there is room for it is the module's to say; that it is answered whole is the node's.
         assert!(reply.status() == 200 || reply.status() == 503 && what != "early", "{what}: {reply:?}");
         assert_eq!(reply.header("connection"), Some("close"), "{what}");
@@ -371,14 +399,14 @@
 /// nothing, or stop in the middle, make room, and no command is turned back for their sake.
 #[test]
 fn a_full_budget_leaves_nobody_unread() {
-    let world = World::new(1, |_| Act::Finish, |config| config["limits"]["sockets"] = 110.into());
-    let whole = command("read", "a body", "");
+    let world = World::new(1, |_| BackendAction::Succeed, |config| config["limits"]["sockets"] = 110.into());
+    let whole = command_request("read", "a body", "");
     for part in [0, 40, whole.len() - 3, whole.len()] {
         let mut idle: Vec<TcpStream> = (0..40).map(|_| world.connect()).collect();
         for stream in &mut idle {
             let _ = stream.write_all(&whole.as_bytes()[..part]);
             if part == whole.len() {
-                let _ = read(stream);
+                let _ = read_message(stream);
             }
         }
         for n in 0..10 {
@@ -391,21 +419,21 @@
 /// answer ends the connection, and new ones are served as before.
 #[test]
 fn one_time_askers_make_room() {
-    let world = World::new(1, |_| Act::Finish, |config| config["limits"]["sockets"] = 240.into());
+    let world = World::new(1, |_| BackendAction::Succeed, |config| config["limits"]["sockets"] = 240.into());
     let mut kept = Vec::new();
     let mut ended = 0;
     for n in 0..80 {
         let mut stream = world.connect();
-        stream.write_all(command("read", "", "").as_bytes()).expect("written");
-        let reply = read(&mut stream).expect("an answer");
+        stream.write_all(command_request("read", "", "").as_bytes()).expect("written");
+        let reply = read_message(&mut stream).expect("an answer");
         assert_eq!(reply.status(), 200, "connection {n}");
         ended += usize::from(reply.header("connection") == Some("close"));
         kept.push(stream);
     }
     assert!((30..=70).contains(&ended), "{ended} of 80 ended");
     // The first ones may still ask.
-    kept[0].write_all(command("read", "", "").as_bytes()).expect("written");
-    assert_eq!(read(&mut kept[0]).expect("an answer").status(), 200);
+    kept[0].write_all(command_request("read", "", "").as_bytes()).expect("written");
+    assert_eq!(read_message(&mut kept[0]).expect("an answer").status(), 200);
 }
 
 /// A bad start file ends the node with one line that names the key.
@@ -414,7 +442,7 @@
     let good = json!({
         "name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"index": 4, "snapshot": true, "endpoints": []}, "settings": settings(),
+        "known": {"index": 4, "snapshot": true, "endpoints": []}, "settings": default_settings(),
     });
     type Change = fn(&mut Value);
     let cases: &[(&str, Change)] = &[
@@ -480,9 +508,9 @@
             profile["timeLimit"] = 2_000_000_000.into();
         }
     };
-    let mut world = World::new(3, |_| Act::Late, patient);
+    let mut world = World::new(3, |_| BackendAction::Late, patient);
     let (first, second) = (world.config.clone(), other_shape(&world.config));
-    until("a watch", || world.watches.load(SeqCst) >= 1);
+    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
     for (shape, gone, new) in
         [(&second, "mark", "lookup"), (&first, "lookup", "mark"), (&second, "mark", "lookup")]
     {
@@ -493,22 +521,22 @@
             let profile = ["read", "pay", gone][n % 3];
             let mut stream = world.connect();
             // Far longer than any launch takes, also on a busy machine.
-            let text = command(profile, profile, "").replace("Left-Ms: 450", "Left-Ms: 5000");
+            let text = command_request(profile, profile, "").replace("Left-Ms: 450", "Left-Ms: 5000");
             stream.write_all(text.as_bytes()).expect("written");
             streams.push(stream);
         }
-        until("launches are out", || world.launched() >= before + 2);
+        wait_until("launches are out", || world.launched() >= before + 2);
         let line = world.reload(&shape.to_string());
         assert!(line.contains("changed: ") && line.contains("settings.profiles"), "{line}");
         assert_eq!(world.command(gone).status(), 400, "{gone} is no profile now");
         assert_ne!(world.command(new).status(), 400, "{new} is one now");
         let mut finished = 0;
         for mut stream in streams {
-            let status = read(&mut stream).expect("an answer").status();
+            let status = read_message(&mut stream).expect("an answer").status();
             assert!([200, 503].contains(&status), "{status}");
             finished += usize::from(status == 200);
             stream.set_read_timeout(Some(Duration::from_millis(20))).expect("a limit");
-            assert!(read(&mut stream).is_none(), "a second answer");
+            assert!(read_message(&mut stream).is_none(), "a second answer");
         }
         assert!(finished >= 2, "{finished}");
         let launches = world.launches.lock().expect("launches");
@@ -528,7 +556,7 @@
         .list
         .send(json!({"index": 9, "snapshot": false, "endpoints": [gone]}).to_string())
         .expect("a watch");
-    until("b0 drains", || {
+    wait_until("b0 drains", || {
         let before = world.launched();
         (0..6).for_each(|_| drop(world.command("read")));
         world.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n != 0)
@@ -543,7 +571,7 @@
 /// Whatever is wrong with a new file, nothing changes, and one line names the key.
 #[test]
 fn bad_new_files() {
-    let mut world = World::new(1, |_| Act::Finish, |_| {});
+    let mut world = World::new(1, |_| BackendAction::Succeed, |_| {});
     let good = other_shape(&world.config);
     type Change = fn(&mut Value);
     let cases: &[(&str, Change)] = &[
--- a/crates/node/tests/system_calls.rs
+++ b/crates/node/tests/system_calls.rs
@@ -21,7 +21,7 @@
     let library = shim::library().to_str().expect("a path in UTF-8");
     let mut all = vec![("LD_PRELOAD", library)];
     all.extend_from_slice(variables);
-    World::with_variables(backends, |_| Act::Finish, patient, &all)
+    World::with_variables(backends, |_| BackendAction::Succeed, patient, &all)
 }
 
 fn patient(config: &mut Value) {
@@ -32,7 +32,7 @@
 }
 
 fn asks(profile: &str) -> String {
-    command(profile, &"body ".repeat(40), "").replace("X-Time-Left-Ms: 480", "X-Time-Left-Ms: 5000")
+    command_request(profile, &"body ".repeat(40), "").replace("X-Time-Left-Ms: 480", "X-Time-Left-Ms: 5000")
 }
 
 /// Several clients ask on kept connections; what was not answered by 200 in time.
@@ -43,7 +43,7 @@
         for n in 0..COMMANDS {
             let since = Instant::now();
             stream.write_all(asks(profile).as_bytes()).expect("written");
-            let answer = read(&mut stream);
+            let answer = read_message(&mut stream);
             let status = answer.as_ref().map_or(0, Message::status);
             if status != 200 || since.elapsed() > PROMPT {
                 failed.push(format!("command {n}: {status} after {:?}", since.elapsed()));
@@ -90,7 +90,7 @@
     let library = shim::library().to_str().expect("a path in UTF-8");
     let variables = [("LD_PRELOAD", library), ("SHIM_ACCEPT", "3")];
     let sockets = |config: &mut Value| config["limits"]["sockets"] = 4096.into();
-    let world = World::with_variables(2, |_| Act::Finish, sockets, &variables);
+    let world = World::with_variables(2, |_| BackendAction::Succeed, sockets, &variables);
     assert_eq!(world.command("pay").status(), 200);
     let since = Instant::now();
     let _crowd: Vec<_> = (0..CROWD).map(|_| world.connect()).collect();
--- a/crates/node/tests/trial.rs
+++ b/crates/node/tests/trial.rs
@@ -38,13 +38,13 @@
 
 impl Tried {
     fn new() -> Tried {
-        let world = World::new(2, |_| Act::Finish, with_trials);
+        let world = World::new(2, |_| BackendAction::Succeed, with_trials);
         let admin = world.config["admin"].as_str().and_then(|at| at.parse().ok()).expect("an address");
         Tried { world, admin }
     }
 
     fn counts(&self, after: u64) -> Value {
-        serde_json::from_slice(&call(self.admin, &format!("GET /counts/{after}")).body).expect("JSON")
+        serde_json::from_slice(&call_admin(self.admin, &format!("GET /counts/{after}")).body).expect("JSON")
     }
 
     /// A leader's word: the status, and what is said.
@@ -55,7 +55,7 @@
         let mut stream = dial(self.admin);
         let head = format!("PUT /rollout HTTP/1.1\r\nHost: n\r\nContent-Length: {}\r\n\r\n", body.len());
         stream.write_all((head + &body).as_bytes()).expect("written");
-        let reply = read(&mut stream).expect("an answer");
+        let reply = read_message(&mut stream).expect("an answer");
         (reply.status(), String::from_utf8_lossy(&reply.body).into_owned())
     }
 
@@ -101,9 +101,9 @@
         later["seconds"].as_array().is_some_and(|s| s.iter().all(|second| taken(second) == 0)),
         "{later}"
     );
-    let (world, admin) = World::with_admin(1, |_| Act::Finish);
-    assert_eq!(call(admin, "GET /counts").status(), 404);
-    assert_eq!(call(admin, "PUT /rollout").status(), 404);
+    let (world, admin) = World::with_admin(1, |_| BackendAction::Succeed);
+    assert_eq!(call_admin(admin, "GET /counts").status(), 404);
+    assert_eq!(call_admin(admin, "PUT /rollout").status(), 404);
     drop(world);
 }
 
@@ -128,7 +128,7 @@
     assert_eq!(status, 200, "{said}");
     let changed = tried.digest();
     assert!(changed != former && weighed.trim() == changed, "{weighed} {changed}");
-    let told: Value = serde_json::from_slice(&call(tried.admin, "GET /settings").body).expect("JSON");
+    let told: Value = serde_json::from_slice(&call_admin(tried.admin, "GET /settings").body).expect("JSON");
     assert_eq!(told["profiles"][0]["payoff"], 3.0);
     assert_eq!(tried.say(1, attempt(&former, &other, 900)).0, 200, "told again it is the same");
     assert_eq!(tried.world.command("read").status(), 200);
@@ -141,7 +141,7 @@
     assert_eq!(tried.digest(), changed, "its leader has said so");
     assert_eq!(tried.say(2, json!({"what": "lead"})).0, 200);
     assert_eq!(tried.say(1, json!({"what": "keep", "for_ms": 900})).0, 409, "another leads");
-    until("it goes back by itself", || tried.digest() == former);
+    wait_until("it goes back by itself", || tried.digest() == former);
     assert_eq!(tried.counts(0)["lapsed"], 1);
     assert_eq!(tried.say(2, json!({"what": "keep", "for_ms": 900})).0, 409, "nothing is on trial");
     assert_eq!(tried.say(2, attempt(&former, &other, 9000)).0, 200);
@@ -163,8 +163,8 @@
         let _ = tried.world.node.kill();
         let _ = tried.world.node.wait();
         let file = tried.world.folder.join("config.json");
-        tried.world.node = start_in(&tried.world.folder, &file, &[]);
-        ready(tried.admin);
+        tried.world.node = start_node_in(&tried.world.folder, &file, &[]);
+        wait_until_ready(tried.admin);
     };
     assert_eq!(tried.say(6, json!({"what": "lead"})).0, 200);
     assert_eq!(tried.say(6, attempt(&former, &other)).0, 200);
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -19,15 +19,15 @@
 fn beside(world: &World) -> (Child, SocketAddr) {
     let admin = second_address(&world.config);
     let file = world.folder.join("config.json");
-    (start_in(&world.folder, &file, &[("ROUTER_ADMIN", &admin.to_string())]), admin)
+    (start_node_in(&world.folder, &file, &[("ROUTER_ADMIN", &admin.to_string())]), admin)
 }
 
 /// Puts the second process in the place of the first, which is to end well.
 fn upgrade(world: &mut World) -> SocketAddr {
     let (new, admin) = beside(world);
-    ready(admin);
+    wait_until_ready(admin);
     let mut old = std::mem::replace(&mut world.node, new);
-    signal(&old, "-TERM");
+    send_signal(&old, "-TERM");
     assert!(old.wait().expect("an end").success());
     admin
 }
@@ -36,7 +36,7 @@
 /// keep their connection are told to go before it ends.
 #[test]
 fn nothing_is_lost() {
-    let (mut world, _) = World::with_admin(4, |_| Act::Finish);
+    let (mut world, _) = World::with_admin(4, |_| BackendAction::Succeed);
     let over = Arc::new(AtomicBool::new(false));
     let load = |kept: bool| {
         let (over, listen) = (over.clone(), world.listen);
@@ -45,8 +45,8 @@
             let mut stream = None;
             while !over.load(SeqCst) {
                 let mut open = stream.take().unwrap_or_else(|| dial(listen));
-                open.write_all(command("pay", "a body", "").as_bytes()).expect("written");
-                let reply = read(&mut open).unwrap_or_default();
+                open.write_all(command_request("pay", "a body", "").as_bytes()).expect("written");
+                let reply = read_message(&mut open).unwrap_or_default();
                 let close = reply.header("connection") == Some("close");
                 answers.push(reply.status());
                 stream = (kept && !close).then_some(open);
@@ -75,17 +75,17 @@
 /// so, clients stay sent away, and so does the list as discovery told it last.
 #[test]
 fn what_was_said_holds() {
-    let (mut world, first) = World::with_admin(3, |_| Act::Finish);
-    until("a watch", || world.watches.load(SeqCst) > 0);
+    let (mut world, first) = World::with_admin(3, |_| BackendAction::Succeed);
+    wait_until("a watch", || world.watches.load(SeqCst) > 0);
     let mut gone = world.entries[2].clone();
     gone["status"] = "gone".into();
     let line = json!({"index": 10, "snapshot": false, "endpoints": [gone]}).to_string();
     world.list.send(line).expect("a watch");
-    assert_eq!(call(first, "PUT /backends/b0/maint").status(), 200);
-    assert_eq!(call(first, "PUT /healthcheck/fail").status(), 200);
+    assert_eq!(call_admin(first, "PUT /backends/b0/maint").status(), 200);
+    assert_eq!(call_admin(first, "PUT /healthcheck/fail").status(), 200);
     let second = upgrade(&mut world);
     assert_eq!(world.ask(UP).status(), 503, "clients are sent away still");
-    assert_eq!(call(second, "PUT /healthcheck/ok").status(), 200);
+    assert_eq!(call_admin(second, "PUT /healthcheck/ok").status(), 200);
     assert_eq!(world.ask(UP).status(), 200);
     for _ in 0..12 {
         assert_eq!(world.command("read").status(), 200);
@@ -95,26 +95,26 @@
     // While two run: said to the old one, it holds in the new one, and the other way round.
     let mut kept = world.connect();
     kept.write_all(UP.as_bytes()).expect("written");
-    assert_eq!(read(&mut kept).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut kept).expect("an answer").status(), 200);
     let (new, third) = beside(&world);
-    ready(third);
-    assert_eq!(call(second, "PUT /backends/b0/ready").status(), 200);
-    assert_eq!(call(second, "PUT /backends/b1/maint").status(), 200);
+    wait_until_ready(third);
+    assert_eq!(call_admin(second, "PUT /backends/b0/ready").status(), 200);
+    assert_eq!(call_admin(second, "PUT /backends/b1/maint").status(), 200);
     let before = world.launched();
     assert_eq!(world.command("read").status(), 200);
     assert_eq!(world.launches.lock().expect("launches")[before].0, 0, "the new process heard it");
-    assert_eq!(call(third, "PUT /backends/b0/maint").status(), 200);
-    kept.write_all(command("read", "a body", "").as_bytes()).expect("written");
-    let reply = read(&mut kept).expect("an answer");
+    assert_eq!(call_admin(third, "PUT /backends/b0/maint").status(), 200);
+    kept.write_all(command_request("read", "a body", "").as_bytes()).expect("written");
+    let reply = read_message(&mut kept).expect("an answer");
     assert_eq!(
         (reply.status(), reply.header("connection")),
         (503, Some("close")),
         "the old process heard it"
     );
     let old = std::mem::replace(&mut world.node, new);
-    signal(&old, "-KILL");
+    send_signal(&old, "-KILL");
     old.wait_with_output().expect("an end");
-    assert_eq!(call(third, "PUT /backends/b0/ready").status(), 200, "no wait for one that is gone");
+    assert_eq!(call_admin(third, "PUT /backends/b0/ready").status(), 200, "no wait for one that is gone");
     assert_eq!(world.command("read").status(), 200);
 }
 
@@ -122,7 +122,7 @@
 /// is refused while two run.
 #[test]
 fn the_old_process_goes_on() {
-    let (mut world, first) = World::with_admin(2, |_| Act::Finish);
+    let (mut world, first) = World::with_admin(2, |_| BackendAction::Succeed);
     let bad = world.folder.join("bad.json");
     std::fs::write(&bad, "{").expect("a file");
     let taken = first.to_string();
@@ -130,7 +130,7 @@
         [("a bad file", &bad, ""), ("a taken address", &world.folder.join("config.json"), &*taken)]
     {
         let variables = [("ROUTER_ADMIN", admin)];
-        let new = start_in(&world.folder, file, &variables[usize::from(admin.is_empty())..]);
+        let new = start_node_in(&world.folder, file, &variables[usize::from(admin.is_empty())..]);
         let output = new.wait_with_output().expect("an end");
         let text = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success() && text.lines().count() == 1, "{what}: {text}");
@@ -138,7 +138,7 @@
     }
     for round in 0..3 {
         let (mut new, admin) = beside(&world);
-        ready(admin);
+        wait_until_ready(admin);
         let (third, _) = beside(&world);
         let output = third.wait_with_output().expect("an end");
         let text = String::from_utf8_lossy(&output.stderr);
@@ -147,7 +147,7 @@
         new.kill().expect("killed");
         new.wait().expect("an end");
         assert_eq!(world.command("read").status(), 200, "{round}: by the old one again");
-        assert_eq!(call(first, "GET /healthcheck").status(), 200);
+        assert_eq!(call_admin(first, "GET /healthcheck").status(), 200);
     }
     upgrade(&mut world);
     assert_eq!(world.command("read").status(), 200, "and then one that holds");
@@ -174,7 +174,7 @@
     for (what, peer, says) in
         [("stale", stale, false), ("hangs", hangs, true), ("another version", other, true)]
     {
-        let (mut first, _) = World::with_admin(1, |_| Act::Finish);
+        let (mut first, _) = World::with_admin(1, |_| BackendAction::Succeed);
         first.node.kill().expect("killed");
         first.node.wait().expect("an end");
         let path = first.folder.join(format!("{}.sock", first.listen));
@@ -183,7 +183,7 @@
         let (mut new, admin) = beside(&first);
         let mut log = BufReader::new(new.stderr.take().expect("a log"));
         first.node = new;
-        ready(admin);
+        wait_until_ready(admin);
         assert_eq!(first.command("read").status(), 200, "{what}");
         let mut text = String::new();
         while !text.contains("listening on") {
@@ -196,25 +196,25 @@
 /// An id that is in hand in either of two processes is open in both: passed on again its command would run twice.
 #[test]
 fn ids_in_hand_of_both() {
-    let acts = |n| if n < 2 { Act::Sized(24 << 20) } else { Act::Finish };
+    let acts = |n| if n < 2 { BackendAction::Sized(24 << 20) } else { BackendAction::Succeed };
     let (mut world, first) = World::with_admin(4, acts);
-    let (old, new) = (command("pay", "a body", ""), command("pay", "a body", ""));
+    let (old, new) = (command_request("pay", "a body", ""), command_request("pay", "a body", ""));
     let [mut by_old, mut kept] = [(); 2].map(|()| world.connect());
     by_old.write_all(old.as_bytes()).expect("written");
-    until("it is in hand", || by_old.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
+    wait_until("it is in hand", || by_old.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
     kept.write_all(UP.as_bytes()).expect("written");
-    assert_eq!(read(&mut kept).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut kept).expect("an answer").status(), 200);
     let (process, admin) = beside(&world);
-    ready(admin);
+    wait_until_ready(admin);
     assert_eq!(world.ask(&old).status(), 409, "asked again of the new one");
     let mut by_new = world.connect();
     by_new.write_all(new.as_bytes()).expect("written");
-    until("it is in hand", || by_new.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
+    wait_until("it is in hand", || by_new.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
     // The old one hears of it with the next beat, a call's answer behind that.
     sleep(Duration::from_millis(500));
-    assert_eq!(call(first, "PUT /healthcheck/ok").status(), 200);
+    assert_eq!(call_admin(first, "PUT /healthcheck/ok").status(), 200);
     kept.write_all(new.as_bytes()).expect("written");
-    assert_eq!(read(&mut kept).unwrap_or_default().status(), 409, "asked again of the old one");
+    assert_eq!(read_message(&mut kept).unwrap_or_default().status(), 409, "asked again of the old one");
     assert_eq!(world.launched(), 2);
     let mut old = std::mem::replace(&mut world.node, process);
     old.kill().expect("killed");
@@ -226,7 +226,7 @@
 /// process it would be warm.
 #[test]
 fn what_a_new_process_is_told() {
-    let (world, admin) = World::with_admin(2, |_| Act::Finish);
+    let (world, admin) = World::with_admin(2, |_| BackendAction::Succeed);
     let path = world.folder.join(format!("{}.sock", world.listen));
     let ask = |text: &str| {
         let mut stream = UnixStream::connect(&path).expect("a door");
@@ -240,13 +240,13 @@
         assert_eq!(ask(text), None, "{text}");
     }
     for text in ["PUT /backends/b0/maint", "PUT /backends/b0/ready", "PUT /backends/b1/maint"] {
-        assert_eq!(call(admin, text).status(), 200);
+        assert_eq!(call_admin(admin, text).status(), 200);
     }
-    until("a watch", || world.watches.load(SeqCst) > 0);
+    wait_until("a watch", || world.watches.load(SeqCst) > 0);
     let line = json!({"index": 77, "snapshot": true, "endpoints": world.entries}).to_string();
     world.list.send(line).expect("a watch");
     let mut state = Value::Null;
-    until("the list of that index", || {
+    wait_until("the list of that index", || {
         state = ask("{\"hello\":{\"version\":1}}\n").unwrap_or_default()["state"].clone();
         state["list"]["index"] == 77
     });
@@ -260,9 +260,9 @@
 /// room, and the first one's end makes room again. Before, both were let in.
 #[test]
 fn two_new_processes_at_once() {
-    let (world, _) = World::with_admin(1, |_| Act::Finish);
+    let (world, _) = World::with_admin(1, |_| BackendAction::Succeed);
     let path = world.folder.join(format!("{}.sock", world.listen));
-    until("a watch", || world.watches.load(SeqCst) > 0);
+    wait_until("a watch", || world.watches.load(SeqCst) > 0);
     let many = (0..6000).map(|n| {
         let mut entry = world.entries[0].clone();
         (entry["name"], entry["status"]) =
@@ -282,13 +282,13 @@
         let line = BufReader::new(stream).lines().nth(1).and_then(Result::ok).unwrap_or_default();
         (line.split('"').nth(1).unwrap_or_default().to_owned(), line.len())
     };
-    until("the list is taken", || word(hello()).1 > 600_000);
+    wait_until("the list is taken", || word(hello()).1 > 600_000);
     let being_told = || {
         let (mut first, mut begin) = (hello(), [0; 8]);
         let told = first.read_exact(&mut begin).is_ok() && &begin == b"\n{\"state";
         told.then_some(first)
     };
-    until("a second one has come in the time that the first has", || {
+    wait_until("a second one has come in the time that the first has", || {
         let since = Instant::now();
         let Some(_first) = being_told() else { return false };
         let said = word(hello()).0;
@@ -297,7 +297,7 @@
         assert!(!in_time || said == "no", "{said}");
         in_time
     });
-    until("there is room again", || word(hello()).0 == "state");
+    wait_until("there is room again", || word(hello()).0 == "state");
     assert_eq!(world.command("read").status(), 200);
 }
 
@@ -305,14 +305,14 @@
 /// again as it ends: who comes meanwhile is served, and then the old one serves on, until another comes that stays.
 #[test]
 fn a_new_process_that_is_told_to_stop() {
-    let (mut world, _) = World::with_admin(2, |_| Act::Finish);
+    let (mut world, _) = World::with_admin(2, |_| BackendAction::Succeed);
     let admin = second_address(&world.config).to_string();
     let (mut new, _, mut told) = start_held(&world.folder, &[("ROUTER_ADMIN", &admin)]);
-    signal(&new, "-TERM");
+    send_signal(&new, "-TERM");
     told.write_all(world.config.to_string().as_bytes()).expect("written");
     drop(told);
     let mut after = 0;
-    until("it has ended, and the old one serves", || {
+    wait_until("it has ended, and the old one serves", || {
         assert_eq!(world.command("read").status(), 200, "{after} after its end");
         after += u32::from(new.try_wait().expect("a process").is_some_and(|end| end.success()));
         after == 10
@@ -327,7 +327,7 @@
 fn what_is_spare_is_had_once() {
     let mut world = World::new(
         4,
-        |n| if n < 2 { Act::Status(503, "X-Unprocessed: 1\r\n") } else { Act::Finish },
+        |n| if n < 2 { BackendAction::Status(503, "X-Unprocessed: 1\r\n") } else { BackendAction::Succeed },
         |config| {
             config["admin"] = second_address(config).to_string().into();
             let rules = &mut config["settings"]["guarantees"];
@@ -337,10 +337,10 @@
         },
     );
     let (new, admin) = beside(&world);
-    ready(admin);
+    wait_until_ready(admin);
     assert_eq!((world.command("read").status(), world.launched()), (503, 1), "while the old one runs");
     let mut old = std::mem::replace(&mut world.node, new);
-    signal(&old, "-TERM");
+    send_signal(&old, "-TERM");
     assert!(old.wait().expect("an end").success());
     sleep(Duration::from_millis(200));
     assert_eq!((world.command("read").status(), world.launched()), (200, 3), "a window after it has ended");
--- a/crates/node/tests/world/mod.rs
+++ b/crates/node/tests/world/mod.rs
@@ -17,23 +17,23 @@
 /// A message as it was read: the first line, the headers in lower case, the body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    pub first: String,
-    pub head: Vec<(String, String)>,
+    pub start_line: String,
+    pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.head.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 }
 
 /// The next message on a connection; none when it has ended.
-pub fn read(stream: &mut TcpStream) -> Option<Message> {
+pub fn read_message(stream: &mut TcpStream) -> Option<Message> {
     let (mut bytes, mut one) = (Vec::new(), [0]);
     while !bytes.ends_with(b"\r\n\r\n") {
         stream.read_exact(&mut one).ok()?;
@@ -43,7 +43,7 @@
     let mut lines = text.lines();
     let first = lines.next()?.to_owned();
     let head = lines.filter_map(|l| l.split_once(": ").map(|(n, v)| (n.to_lowercase(), v.to_owned())));
-    let mut message = Message { first, head: head.collect(), body: Vec::new() };
+    let mut message = Message { start_line: first, headers: head.collect(), body: Vec::new() };
     let length = message.header("content-length").and_then(|l| l.parse().ok());
     if message.header("transfer-encoding") == Some("chunked") {
         message.body = chunks(stream)?;
@@ -88,15 +88,15 @@
 pub const SILENCE: &str = "silence";
 
 /// A discovery that tells its watches what it is sent: its channel, its address, and how many watches came.
-pub fn discovery(own: &str) -> (mpsc::Sender<String>, SocketAddr, Arc<AtomicUsize>) {
+pub fn start_discovery(own: &str) -> (mpsc::Sender<String>, SocketAddr, Arc<AtomicUsize>) {
     let (list, lines) = mpsc::channel::<String>();
     let watches = Arc::new(AtomicUsize::new(0));
-    let (discovery, told) = listener(own);
+    let (discovery, told) = bind_listener(own);
     let watched = watches.clone();
     spawn(move || {
         let mut silent = Vec::new();
         for mut stream in discovery.incoming().flatten() {
-            if read(&mut stream).is_none() {
+            if read_message(&mut stream).is_none() {
                 continue;
             }
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
@@ -126,8 +126,8 @@
 
 /// What a backend does with a launch.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
-    Finish,
+pub enum BackendAction {
+    Succeed,
     Late,
     Status(u16, &'static str),
     Break,
@@ -156,51 +156,53 @@
     "HTTP/1.1 200 OK\r\nX-Kept: yes\r\nKeep-Alive: timeout=9\r\nContent-Length: 9\r\n\r\nfrom \x01\x02\r\n";
 
 /// What every backend says to a probe.
-pub const LOAD: &str = r#"{"inflight":0,"queue":0,"util":0.1}"#;
+pub const LOAD_REPORT: &str = r#"{"inflight":0,"queue":0,"util":0.1}"#;
 
-pub fn act(act: Act, stream: &mut TcpStream) -> bool {
-    if act == Act::Late {
+pub fn respond(act: BackendAction, stream: &mut TcpStream) -> bool {
+    if act == BackendAction::Late {
         sleep(Duration::from_millis(150));
     }
     if let Some(ok) = long(act, stream) {
         return ok;
     }
     let text = match act {
-        Act::Finish | Act::Late | Act::FinishAndClose => DONE.to_owned(),
-        Act::Text(text) => text.to_owned(),
-        Act::Status(code, more) => format!("HTTP/1.1 {code} Odd\r\n{more}Content-Length: 0\r\n\r\n"),
-        Act::Break => String::new(),
-        Act::Large => DONE.replace("Length: 9", "Length: 400009") + &"x".repeat(400_000),
-        Act::Huge => DONE.replace("Length: 9", "Length: 3221225472"),
-        Act::HalfAnswer => DONE[..DONE.len() - 4].to_owned(),
+        BackendAction::Succeed | BackendAction::Late | BackendAction::FinishAndClose => DONE.to_owned(),
+        BackendAction::Text(text) => text.to_owned(),
+        BackendAction::Status(code, more) => {
+            format!("HTTP/1.1 {code} Odd\r\n{more}Content-Length: 0\r\n\r\n")
+        }
+        BackendAction::Break => String::new(),
+        BackendAction::Large => DONE.replace("Length: 9", "Length: 400009") + &"x".repeat(400_000),
+        BackendAction::Huge => DONE.replace("Length: 9", "Length: 3221225472"),
+        BackendAction::HalfAnswer => DONE[..DONE.len() - 4].to_owned(),
         _ => String::new(),
     };
     stream.write_all(text.as_bytes()).is_ok()
-        && !matches!(act, Act::Break | Act::HalfAnswer | Act::FinishAndClose)
+        && !matches!(act, BackendAction::Break | BackendAction::HalfAnswer | BackendAction::FinishAndClose)
 }
 
 /// The acts that need more than one text to write.
-fn long(act: Act, stream: &mut TcpStream) -> Option<bool> {
+fn long(act: BackendAction, stream: &mut TcpStream) -> Option<bool> {
     let mut write = |bytes: &[u8]| stream.write_all(bytes).is_ok();
     let head = |more: String| format!("HTTP/1.1 200 OK\r\n{more}\r\n");
     let sized = |count: usize| head(format!("Content-Length: {count}\r\n"));
     let ok = match act {
-        Act::Sized(count) => write(sized(count).as_bytes()) && write(&bytes(count)),
-        Act::Pause(count) => {
+        BackendAction::Sized(count) => write(sized(count).as_bytes()) && write(&bytes(count)),
+        BackendAction::Pause(count) => {
             let (all, first) = (bytes(count), count / 2);
             let started = write(sized(count).as_bytes()) && write(&all[..first]);
             sleep(Duration::from_millis(2500));
             started && write(&all[first..])
         }
-        Act::Half(count) => {
+        BackendAction::Half(count) => {
             let _ = write(sized(count).as_bytes()) && write(&bytes(count / 2));
             false
         }
-        Act::ByEnd(count) => {
+        BackendAction::ByEnd(count) => {
             let _ = write(b"HTTP/1.0 200 OK\r\n\r\n") && write(&bytes(count));
             false
         }
-        Act::Chunked(count) => {
+        BackendAction::Chunked(count) => {
             let all = bytes(count);
             let mut sent = write(head("Transfer-Encoding: chunked\r\n".to_owned()).as_bytes());
             let mut rest = &all[..];
@@ -214,7 +216,7 @@
             }
             sent && write(b"0\r\nX-Trailer: yes\r\n\r\n")
         }
-        Act::Trickle => DONE.bytes().all(|byte| {
+        BackendAction::Trickle => DONE.bytes().all(|byte| {
             sleep(Duration::from_millis(1));
             write(&[byte])
         }),
@@ -252,7 +254,7 @@
 /// this one, and a port that is closed meanwhile is still taken when its node comes up.
 pub static STARTING: Mutex<()> = Mutex::new(());
 
-pub fn alone() -> std::sync::MutexGuard<'static, ()> {
+pub fn lock_process_start() -> std::sync::MutexGuard<'static, ()> {
     STARTING.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
@@ -260,18 +262,18 @@
 
 /// A loopback address of its own for each node and its surroundings: ports that are free for a moment only
 /// must not be taken by another test.
-pub fn own_address() -> String {
+pub fn unique_loopback_address() -> String {
     let (number, process) = (WORLDS.fetch_add(1, SeqCst), std::process::id());
     format!("127.{}.{}.{}", 16 + process / 250 % 200, 1 + process % 250, 1 + number % 250)
 }
 
-pub fn listener(address: &str) -> (TcpListener, SocketAddr) {
+pub fn bind_listener(address: &str) -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind((address, 0)).expect("a free port");
     let at = listener.local_addr().expect("its address");
     (listener, at)
 }
 
-pub fn settings() -> Value {
+pub fn default_settings() -> Value {
     let mut settings = help::terms();
     settings["balancers"] = 1.into();
     settings["zones"] = json!(["here"]);
@@ -291,34 +293,34 @@
 }
 
 pub fn start(config: &Value, variables: &[(&str, &str)]) -> (Child, PathBuf) {
-    let folder = std::env::temp_dir().join(format!("yarrowfront-test-{}", own_address()));
+    let folder = std::env::temp_dir().join(format!("yarrowfront-test-{}", unique_loopback_address()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("config.json");
     std::fs::write(&file, config.to_string()).expect("a file");
-    (start_in(&folder, &file, variables), folder)
+    (start_node_in(&folder, &file, variables), folder)
 }
 
 /// Starts a process that has begun to read its start, and reads until that is let go.
 pub fn start_held(folder: &Path, variables: &[(&str, &str)]) -> (Child, PathBuf, std::fs::File) {
     let file = folder.join("start");
     assert!(Command::new("mkfifo").arg(&file).status().expect("mkfifo").success());
-    let child = start_in(folder, &file, variables);
+    let child = start_node_in(folder, &file, variables);
     let told = std::fs::File::options().write(true).open(&file).expect("somebody reads");
     (child, file, told)
 }
 
 /// The node, or where another package's tests stand around it that one's.
-pub fn program() -> &'static str {
+pub fn node_program() -> &'static str {
     let own = option_env!("CARGO_BIN_EXE_yarrowfront");
     own.or(option_env!("CARGO_BIN_EXE_yarrowfront-tested")).expect("a program")
 }
 
 /// Starts a process of the node by that file, in a folder that its processes share.
-pub fn start_in(folder: &Path, file: &Path, variables: &[(&str, &str)]) -> Child {
-    let mut command = Command::new(program());
+pub fn start_node_in(folder: &Path, file: &Path, variables: &[(&str, &str)]) -> Child {
+    let mut command = Command::new(node_program());
     command.env_clear().env("ROUTER_CONFIG", file).env("TMPDIR", folder).envs(variables.iter().copied());
     command.stderr(Stdio::piped()).stdout(Stdio::null());
-    let _alone = alone();
+    let _alone = lock_process_start();
     command.spawn().expect("the node starts")
 }
 
@@ -326,11 +328,11 @@
 pub fn backend(
     own: &str,
     number: usize,
-    acts: fn(usize) -> Act,
+    acts: fn(usize) -> BackendAction,
     launches: &Launches,
     probes: &Arc<Mutex<Vec<Message>>>,
 ) -> Value {
-    let (listener, address) = listener(own);
+    let (listener, address) = bind_listener(own);
     stand(listener, number, acts, launches, probes);
     entry(&format!("b{number}"), address)
 }
@@ -347,7 +349,7 @@
 pub fn stand(
     listener: TcpListener,
     number: usize,
-    acts: fn(usize) -> Act,
+    acts: fn(usize) -> BackendAction,
     launches: &Launches,
     probes: &Arc<Mutex<Vec<Message>>>,
 ) {
@@ -356,11 +358,12 @@
         for mut stream in listener.incoming().flatten() {
             let (launches, probes) = (launches.clone(), probes.clone());
             spawn(move || {
-                while let Some(message) = read(&mut stream) {
-                    if message.first.starts_with("GET /metrics/load ") {
+                while let Some(message) = read_message(&mut stream) {
+                    if message.start_line.starts_with("GET /metrics/load ") {
                         probes.lock().expect("probes").push(message);
-                        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LOAD.len());
-                        let _ = stream.write_all((head + LOAD).as_bytes());
+                        let head =
+                            format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LOAD_REPORT.len());
+                        let _ = stream.write_all((head + LOAD_REPORT).as_bytes());
                         continue;
                     }
                     let count = {
@@ -368,7 +371,7 @@
                         all.push((number, message));
                         all.len() - 1
                     };
-                    if !act(acts(count), &mut stream) {
+                    if !respond(acts(count), &mut stream) {
                         break;
                     }
                 }
@@ -379,33 +382,33 @@
 
 impl World {
     /// So many backends, which act by the number of the launch over all of them.
-    pub fn new(backends: usize, acts: fn(usize) -> Act, change: fn(&mut Value)) -> World {
+    pub fn new(backends: usize, acts: fn(usize) -> BackendAction, change: fn(&mut Value)) -> World {
         World::with_variables(backends, acts, change, &[])
     }
 
     /// The same with variables in the node's environment.
     pub fn with_variables(
         backends: usize,
-        acts: fn(usize) -> Act,
+        acts: fn(usize) -> BackendAction,
         change: fn(&mut Value),
         variables: &[(&str, &str)],
     ) -> World {
-        let (launches, own): (Launches, String) = (Arc::default(), own_address());
+        let (launches, own): (Launches, String) = (Arc::default(), unique_loopback_address());
         let probes: Arc<Mutex<Vec<Message>>> = Arc::default();
         let mut entries = Vec::new();
         for number in 0..backends {
             entries.push(backend(&own, number, acts, &launches, &probes));
         }
-        let (list, told, watches) = discovery(&own);
+        let (list, told, watches) = start_discovery(&own);
         let listen = {
-            let _alone = alone();
-            listener(&own).1
+            let _alone = lock_process_start();
+            bind_listener(&own).1
         };
         let mut config = json!({
             "name": "n1", "listen": listen.to_string(), "discovery": told.to_string(),
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"index": 4, "snapshot": true, "endpoints": entries}, "settings": settings(),
+            "known": {"index": 4, "snapshot": true, "endpoints": entries}, "settings": default_settings(),
         });
         change(&mut config);
         let (mut node, folder) = start(&config, variables);
@@ -419,7 +422,7 @@
     }
 
     /// The same with a second address, and that address.
-    pub fn with_admin(backends: usize, acts: fn(usize) -> Act) -> (World, SocketAddr) {
+    pub fn with_admin(backends: usize, acts: fn(usize) -> BackendAction) -> (World, SocketAddr) {
         let world = World::new(backends, acts, |config| {
             config["admin"] = second_address(config).to_string().into();
         });
@@ -439,15 +442,15 @@
     pub fn ask(&self, text: &str) -> Message {
         let mut stream = self.connect();
         stream.write_all(text.as_bytes()).expect("written");
-        read(&mut stream).unwrap_or_default()
+        read_message(&mut stream).unwrap_or_default()
     }
 
     pub fn command(&self, profile: &str) -> Message {
-        self.ask(&command(profile, "a body", ""))
+        self.ask(&command_request(profile, "a body", ""))
     }
 
     pub fn signal(&self, name: &str) {
-        signal(&self.node, name);
+        send_signal(&self.node, name);
     }
 
     /// Puts another text in the place of the configuration and says so; the line that the node writes then.
@@ -469,9 +472,9 @@
 
 pub const UP: &str = "GET /up HTTP/1.1\r\nHost: n\r\n\r\n";
 
-pub fn signal(node: &Child, name: &str) {
+pub fn send_signal(node: &Child, name: &str) {
     let pid = node.id().to_string();
-    let _alone = alone();
+    let _alone = lock_process_start();
     assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
 }
 
@@ -483,24 +486,24 @@
 }
 
 /// An operator's call: one to a connection.
-pub fn call(at: SocketAddr, text: &str) -> Message {
+pub fn call_admin(at: SocketAddr, text: &str) -> Message {
     let mut stream = dial(at);
     stream.write_all(format!("{text} HTTP/1.1\r\nHost: n\r\n\r\n").as_bytes()).expect("written");
-    let message = read(&mut stream).unwrap_or_default();
+    let message = read_message(&mut stream).unwrap_or_default();
     assert_eq!(stream.read(&mut [0]).ok(), Some(0), "one call to a connection: {text}");
     message
 }
 
 /// A free place for a second address of this node.
 pub fn second_address(config: &Value) -> SocketAddr {
-    let _alone = alone();
+    let _alone = lock_process_start();
     let listen = config["listen"].as_str().expect("an address");
     let own = listen.rsplit_once(':').expect("a port").0;
     // The place that its clients' is to be is free as well until the node has it.
-    std::iter::repeat_with(|| listener(own).1).find(|at| at.to_string() != listen).expect("another port")
+    std::iter::repeat_with(|| bind_listener(own).1).find(|at| at.to_string() != listen).expect("another port")
 }
 
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
         assert!(start.elapsed() < Duration::from_secs(20), "waited in vain: {what}");
@@ -511,7 +514,7 @@
 pub static COMMANDS: AtomicUsize = AtomicUsize::new(0);
 
 /// A command with an id of its own, as each has.
-pub fn command(profile: &str, body: &str, more: &str) -> String {
+pub fn command_request(profile: &str, body: &str, more: &str) -> String {
     let id = COMMANDS.fetch_add(1, SeqCst);
     format!(
         "POST /api HTTP/1.1\r\nHost: o\r\nX-Correlation-Id: 9b1f{id}\r\nX-Service-Class: {profile}\r\n\
@@ -522,14 +525,14 @@
 
 /// A command whose client waits for so many milliseconds.
 pub fn asked(profile: &str, body: &str, millis: u64) -> String {
-    command(profile, body, "").replace("Ms: 450", &format!("Ms: {millis}"))
+    command_request(profile, body, "").replace("Ms: 450", &format!("Ms: {millis}"))
 }
 
 /// Waits until a process beside the first says that it has taken over.
-pub fn ready(admin: SocketAddr) {
-    until("the new process is ready", || {
+pub fn wait_until_ready(admin: SocketAddr) {
+    wait_until("the new process is ready", || {
         let Ok(mut stream) = TcpStream::connect(admin) else { return false };
         let asked = stream.write_all(b"GET /healthcheck HTTP/1.1\r\nHost: n\r\n\r\n");
-        asked.is_ok() && read(&mut stream).is_some_and(|m| m.status() == 200)
+        asked.is_ok() && read_message(&mut stream).is_some_and(|m| m.status() == 200)
     });
 }
--- a/crates/rehearsal/src/judge/views.rs
+++ b/crates/rehearsal/src/judge/views.rs
@@ -109,7 +109,7 @@
     /// What is done to nodes and to the ways between them.
     pub fn fault(&mut self, at: Moment, fault: &Fault) {
         match fault {
-            Fault::Apart(some) => {
+            Fault::Partition(some) => {
                 let some: BTreeSet<usize> = some.iter().filter_map(|name| node(name)).collect();
                 let others: Vec<usize> = (0..self.nodes).filter(|other| !some.contains(other)).collect();
                 for one in some {
@@ -119,21 +119,21 @@
                     });
                 }
             }
-            Fault::OneWay(from, to) => {
+            Fault::BlockOneWay(from, to) => {
                 if let (Some(from), Some(to)) = (node(from), node(to)) {
                     self.close(from, to);
                 }
             }
-            Fault::Lossy(one, part) => {
+            Fault::Loss(one, part) => {
                 if let Some(one) = node(one).filter(|_| *part > LOSSY) {
                     (0..self.nodes).for_each(|other| self.close(one, other));
                 }
             }
-            Fault::Late(_, _) => {}
+            Fault::Latency(_, _) => {}
             Fault::Heal => self.closed.clear(),
-            Fault::Kill(one) | Fault::Term(one) => drop(node(one).map(|one| self.up.remove(&one))),
-            Fault::Stop(one) => drop(node(one).map(|one| self.stopped.insert(one))),
-            Fault::Cont(one) => drop(node(one).map(|one| self.stopped.remove(&one))),
+            Fault::Kill(one) | Fault::Terminate(one) => drop(node(one).map(|one| self.up.remove(&one))),
+            Fault::Pause(one) => drop(node(one).map(|one| self.stopped.insert(one))),
+            Fault::Resume(one) => drop(node(one).map(|one| self.stopped.remove(&one))),
             Fault::Start(one) => drop(node(one).map(|one| self.up.insert(one))),
         }
         (self.last_fault, self.agreed) = (at, None);
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -81,7 +81,7 @@
     Soak {
         /// The seeds: one, or the first and the last as `1..50`, both included.
         #[arg(long)]
-        seeds: soak::Seeds,
+        seeds: soak::SeedRange,
         /// Where the nodes' logs go, a folder for each seed.
         #[arg(long, value_name = "DIR")]
         logs: Option<PathBuf>,
@@ -203,10 +203,15 @@
                         );
                     }
                     let program = node.map_or_else(program::node, Ok)?;
-                    let means = real::Means { program, logs, arguments: Vec::new(), variables: Vec::new() };
+                    let means = real::NodeProcessOptions {
+                        program,
+                        log_dir: logs,
+                        arguments: Vec::new(),
+                        environment: Vec::new(),
+                    };
                     let played = real::play(&scenario, seed, &means, &mut progress)?;
                     if played.0.rules.any() && shrink > 0 {
-                        smaller = Some(real::shrink(&scenario, seed, &means, shrink)?);
+                        smaller = Some(real::shrink_faults(&scenario, seed, &means, shrink)?);
                     }
                     played
                 }
@@ -275,7 +280,7 @@
             let program = node.map_or_else(program::node, Ok)?;
             let found = soak::run(seeds, &program, logs.as_deref(), &mut |line| println!("{line}"))?;
             println!("{found}");
-            Ok(if found.broken > 0 { BROKEN } else { u8::from(found.not_judged > 0) })
+            Ok(if found.failed > 0 { BROKEN } else { u8::from(found.inconclusive > 0) })
         }
         Command::Paper => {
             print!("{}", rehearsal::paper::tables()?);
--- a/crates/rehearsal/src/real/mod.rs
+++ b/crates/rehearsal/src/real/mod.rs
@@ -18,7 +18,7 @@
 use hdrhistogram::Histogram;
 use links::schedule::Schedule;
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
-pub use nodes::Means;
+pub use nodes::NodeProcessOptions;
 use stage::Stage;
 use std::future::pending;
 use std::rc::Rc;
@@ -42,7 +42,7 @@
 pub fn play(
     scenario: &Scenario,
     seed: u64,
-    means: &Means,
+    means: &NodeProcessOptions,
     progress: &mut dyn FnMut(u64),
 ) -> Result<(Played, Judges), String> {
     // Clients, ways and backends of a whole fleet are this one process's.
@@ -72,7 +72,7 @@
 async fn run(
     scenario: &Scenario,
     seed: u64,
-    means: &Means,
+    means: &NodeProcessOptions,
     progress: &mut dyn FnMut(u64),
 ) -> Result<(Played, Judges), String> {
     let folder = tempfile::tempdir().map_err(|e| format!("a folder for the nodes' files: {e}"))?;
@@ -123,7 +123,12 @@
 }
 
 /// Leaves out faults of a play that broke something for as long as something still breaks, in so many plays at the most.
-pub fn shrink(scenario: &Scenario, seed: u64, means: &Means, most: usize) -> Result<Scenario, String> {
+pub fn shrink_faults(
+    scenario: &Scenario,
+    seed: u64,
+    means: &NodeProcessOptions,
+    most: usize,
+) -> Result<Scenario, String> {
     let (mut left, mut fault) = (most, None);
     let schedule = scenario.schedule(seed)?.shrink(|fewer: &Schedule| {
         if left == 0 || fault.is_some() {
--- a/crates/rehearsal/src/real/nodes.rs
+++ b/crates/rehearsal/src/real/nodes.rs
@@ -38,15 +38,15 @@
 
 /// How real processes are to be run.
 #[derive(Clone, Debug)]
-pub struct Means {
+pub struct NodeProcessOptions {
     /// The node's program.
     pub program: PathBuf,
     /// Where the nodes' logs are kept; nowhere if not told.
-    pub logs: Option<PathBuf>,
+    pub log_dir: Option<PathBuf>,
     /// What the program is started with: nothing for the node.
     pub arguments: Vec<String>,
     /// And what is added to its environment.
-    pub variables: Vec<(String, String)>,
+    pub environment: Vec<(String, String)>,
 }
 
 /// A process at its place.
@@ -77,7 +77,7 @@
 
 struct Inner {
     stage: Rc<Stage>,
-    means: Means,
+    means: NodeProcessOptions,
     places: Vec<Place>,
 }
 
@@ -85,7 +85,7 @@
 pub struct Crew(Rc<Inner>);
 
 impl Crew {
-    pub fn new(stage: &Rc<Stage>, means: &Means, folder: PathBuf) -> Result<Crew, String> {
+    pub fn new(stage: &Rc<Stage>, means: &NodeProcessOptions, folder: PathBuf) -> Result<Crew, String> {
         let mut places = Vec::new();
         let nodes = stage.scenario.nodes as usize;
         let with_view = stage.scenario.view.is_some();
@@ -166,7 +166,7 @@
 
     fn spawn(&self, node: usize) -> Result<Child, String> {
         let (place, means) = (&self.0.places[node], &self.0.means);
-        let log = match &means.logs {
+        let log = match &means.log_dir {
             None => Stdio::null(),
             Some(folder) => {
                 let path = folder.join(format!("n{node}-{}.log", place.lives.get()));
@@ -176,7 +176,7 @@
         };
         let mut command = Command::new(&means.program);
         command.args(&means.arguments);
-        command.envs(means.variables.iter().map(|(name, value)| (name, value)));
+        command.envs(means.environment.iter().map(|(name, value)| (name, value)));
         for name in ["ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY"] {
             command.env_remove(name);
         }
--- a/crates/rehearsal/src/real/ways.rs
+++ b/crates/rehearsal/src/real/ways.rs
@@ -10,7 +10,7 @@
 use hyper::client::conn::http1::handshake;
 use hyper::Request;
 use hyper_util::rt::TokioIo;
-use links::schedule::{apply, Fault, Schedule};
+use links::schedule::{apply_to_links, Fault, Schedule};
 use links::Links;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write as _;
@@ -47,12 +47,12 @@
 
     /// Where one has to connect to reach the other, who listens on that port.
     pub fn tcp(&self, from: &str, to: &str, port: u16) -> Result<u16, String> {
-        self.way(from, to, port, |links| links.tcp(from, to, at(port), HERE))
+        self.way(from, to, port, |links| links.open_tcp(from, to, at(port), HERE))
     }
 
     /// Where one has to send datagrams for the other.
     pub fn udp(&self, from: &str, to: &str, port: u16) -> Result<u16, String> {
-        self.way(from, to, port, |links| links.udp(from, to, at(port), HERE))
+        self.way(from, to, port, |links| links.open_udp(from, to, at(port), HERE))
     }
 
     fn way(
@@ -107,14 +107,14 @@
 pub async fn run_faults(stage: Rc<Stage>, schedule: Schedule, crew: Crew) {
     let nodes: Vec<String> = (0..stage.scenario.nodes).map(|node| format!("n{node}")).collect();
     for step in &schedule.0 {
-        sleep(stage.until(Time::millis(step.at))).await;
+        sleep(stage.until(Time::millis(step.at_ms))).await;
         stage.view(|views, now| views.fault(now, &step.fault));
         let number = |name: &String| name.trim_start_matches('n').parse::<usize>().unwrap_or_default();
         match &step.fault {
             Fault::Kill(one) => crew.kill(number(one)),
-            Fault::Term(one) => crew.stop(number(one)),
-            Fault::Stop(one) => crew.pause(number(one)),
-            Fault::Cont(one) => crew.go_on(number(one)),
+            Fault::Terminate(one) => crew.stop(number(one)),
+            Fault::Pause(one) => crew.pause(number(one)),
+            Fault::Resume(one) => crew.go_on(number(one)),
             Fault::Start(one) => {
                 let (crew, stage, node) = (crew.clone(), stage.clone(), number(one));
                 spawn_local(async move {
@@ -125,10 +125,10 @@
             }
             fault => {
                 // Backends, discovery and clients are met only where they are named.
-                let others = fault.names().into_iter().filter(|name| !nodes.contains(name)).cloned();
+                let others = fault.targets().into_iter().filter(|name| !nodes.contains(name)).cloned();
                 let names: Vec<String> = nodes.iter().cloned().chain(others).collect();
                 if let Some(links) = stage.ways.links() {
-                    apply(fault, links, &names);
+                    apply_to_links(fault, links, &names);
                 }
             }
         }
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -758,16 +758,16 @@
             let names: Vec<String> = (0..self.nodes).map(|node| format!("n{node}")).collect();
             let agree = self.view.as_ref().map_or(Time(0), |view| view.agree);
             let span = Time(self.length.0.saturating_sub(agree.0 + 1_000_000)).duration();
-            schedule.0.extend(Schedule::draw(seed, &names, drawn.faults, span).0);
+            schedule.0.extend(Schedule::generate(seed, &names, drawn.faults, span).0);
         }
-        schedule.0.sort_by_key(|step| step.at);
+        schedule.0.sort_by_key(|step| step.at_ms);
         Ok(schedule)
     }
 
     /// The same with these faults alone.
     pub fn with_faults(&self, schedule: &Schedule) -> Scenario {
-        let fault = |step: &links::schedule::Step| FaultAt {
-            at: Time::millis(step.at),
+        let fault = |step: &links::schedule::ScheduledFault| FaultAt {
+            at: Time::millis(step.at_ms),
             what: step.fault.to_string(),
         };
         Scenario { faults: schedule.0.iter().map(fault).collect(), drawn: None, ..self.clone() }
@@ -791,11 +791,11 @@
             let Ok(read) = read else {
                 return self::fault(key("what"), format!("{:?} is no fault", fault.what));
             };
-            let names: Vec<&String> = read.0.iter().flat_map(|step| step.fault.names()).collect();
+            let names: Vec<&String> = read.0.iter().flat_map(|step| step.fault.targets()).collect();
             if let Some(name) = names.iter().find(|name| !known(name)) {
                 return self::fault(key("what"), format!("{name:?} is nobody here"));
             }
-            let process = |step: &links::schedule::Step| step.fault.of_process();
+            let process = |step: &links::schedule::ScheduledFault| step.fault.is_process_fault();
             if read.0.iter().any(process) && !names.iter().all(|name| name.starts_with('n')) {
                 return self::fault(key("what"), "only nodes have processes to do that to");
             }
--- a/crates/rehearsal/tests/real.rs
+++ b/crates/rehearsal/tests/real.rs
@@ -4,7 +4,7 @@
 use nix::unistd::Pid;
 use rehearsal::judge::result::Played;
 use rehearsal::program;
-use rehearsal::real::{play, shrink, Means};
+use rehearsal::real::{play, shrink_faults, NodeProcessOptions};
 use rehearsal::scenario::Scenario;
 use std::io::Read;
 use std::path::PathBuf;
@@ -84,7 +84,7 @@
 fn run(text: &str, program: PathBuf, arguments: &[&str]) -> Played {
     let scenario = Scenario::parse(text).unwrap_or_else(|(line, why)| panic!("{line}: {why}"));
     let arguments = arguments.iter().map(|a| a.to_string()).collect();
-    let means = Means { program, logs: None, arguments, variables: Vec::new() };
+    let means = NodeProcessOptions { program, log_dir: None, arguments, environment: Vec::new() };
     play(&scenario, 7, &means, &mut |_| ()).unwrap_or_else(|why| panic!("{why}")).0
 }
 
@@ -292,9 +292,13 @@
         "faults = [{ at = \"1s\", what = \"one-way n0 n1\" }, { at = \"1500ms\", what = \"heal\" }]\n";
     let text = VIEW.to_owned() + faults + &QUIET.replace("length = \"5s\"", "length = \"3s\"");
     let scenario = Scenario::parse(&text).unwrap_or_else(|(line, why)| panic!("{line}: {why}"));
-    let means =
-        Means { program: faulty, logs: None, arguments: vec!["greedy".to_owned()], variables: Vec::new() };
-    let small = shrink(&scenario, 7, &means, 3).unwrap_or_else(|why| panic!("{why}"));
+    let means = NodeProcessOptions {
+        program: faulty,
+        log_dir: None,
+        arguments: vec!["greedy".to_owned()],
+        environment: Vec::new(),
+    };
+    let small = shrink_faults(&scenario, 7, &means, 3).unwrap_or_else(|why| panic!("{why}"));
     assert_eq!(small.faults.len(), 0);
     let again = toml::to_string(&small).expect("a text");
     assert!(Scenario::parse(&again).is_ok(), "{again}");
@@ -326,8 +330,12 @@
 #[test]
 fn a_node_that_does_not_start() {
     let scenario = Scenario::parse(QUIET).expect("good");
-    let gone =
-        Means { program: "/no/such/node".into(), logs: None, arguments: Vec::new(), variables: Vec::new() };
+    let gone = NodeProcessOptions {
+        program: "/no/such/node".into(),
+        log_dir: None,
+        arguments: Vec::new(),
+        environment: Vec::new(),
+    };
     let why = play(&scenario, 1, &gone, &mut |_| ()).err().expect("no node");
     assert!(why.contains("/no/such/node"), "{why}");
 }
--- a/crates/rollout-run/tests/processes.rs
+++ b/crates/rollout-run/tests/processes.rs
@@ -5,7 +5,7 @@
 #[path = "../../node/tests/world/mod.rs"]
 mod world;
 
-use links::{Law, Links};
+use links::{Impairment, Links};
 use serde_json::{json, Value};
 use std::collections::{BTreeSet, HashMap};
 use std::fmt::Write as _;
@@ -68,7 +68,7 @@
     let mut stream = TcpStream::connect_timeout(&at, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(1))).ok()?;
     stream.write_all(b"GET /counts/9000000000 HTTP/1.1\r\nHost: n\r\n\r\n").ok()?;
-    serde_json::from_slice(&read(&mut stream)?.body).ok()
+    serde_json::from_slice(&read_message(&mut stream)?.body).ok()
 }
 
 /// What backends do to commands that come by a node whose build is worse.
@@ -88,17 +88,18 @@
 
 /// A backend that does what is said of the node that a launch comes by.
 fn knowing(own: &str, number: usize, launches: &Launches, worse: &WorseAt) -> Value {
-    let (listener, address) = listener(own);
+    let (listener, address) = bind_listener(own);
     let (launches, worse) = (launches.clone(), worse.clone());
     spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let (launches, worse) = (launches.clone(), worse.clone());
             spawn(move || {
                 let _ = stream.set_nodelay(true);
-                while let Some(message) = read(&mut stream) {
-                    if message.first.starts_with("GET /metrics/load ") {
-                        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LOAD.len());
-                        let _ = stream.write_all((head + LOAD).as_bytes());
+                while let Some(message) = read_message(&mut stream) {
+                    if message.start_line.starts_with("GET /metrics/load ") {
+                        let head =
+                            format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LOAD_REPORT.len());
+                        let _ = stream.write_all((head + LOAD_REPORT).as_bytes());
                         continue;
                     }
                     let node =
@@ -114,16 +115,16 @@
                         all.len()
                     };
                     let done = match said {
-                        Some(Worse::Errors) if count.is_multiple_of(4) => Act::Status(500, ""),
-                        Some(Worse::OneProfile) if pay => Act::Status(500, ""),
-                        Some(Worse::TurnsBack) if pay => Act::Status(503, "X-Unprocessed: 1\r\n"),
+                        Some(Worse::Errors) if count.is_multiple_of(4) => BackendAction::Status(500, ""),
+                        Some(Worse::OneProfile) if pay => BackendAction::Status(500, ""),
+                        Some(Worse::TurnsBack) if pay => BackendAction::Status(503, "X-Unprocessed: 1\r\n"),
                         Some(Worse::Slows) => {
                             sleep(Duration::from_millis(260));
-                            Act::Finish
+                            BackendAction::Succeed
                         }
-                        _ => Act::Finish,
+                        _ => BackendAction::Succeed,
                     };
-                    if !act(done, &mut stream) {
+                    if !respond(done, &mut stream) {
                         break;
                     }
                 }
@@ -145,19 +146,20 @@
 impl Fleet {
     /// So many nodes in two sites by turns, each with a way of its own to each of four backends.
     fn new(count: usize) -> Fleet {
-        let own = own_address();
-        let host: IpAddr = own_address().parse().expect("an address");
+        let own = unique_loopback_address();
+        let host: IpAddr = unique_loopback_address().parse().expect("an address");
         let launches = Launches::default();
         let worse: WorseAt = Arc::new(Mutex::new(vec![None; count]));
         let backends: Vec<Value> = (0..4).map(|number| knowing(&own, number, &launches, &worse)).collect();
-        let (list, discovery, _) = discovery(&own);
+        let (list, discovery, _) = start_discovery(&own);
         let links = Links::new(5);
         let places: Vec<[SocketAddr; 3]> = {
-            let _alone = alone();
-            let held: Vec<_> = (0..count).map(|_| [listener(&own), listener(&own), listener(&own)]).collect();
+            let _alone = lock_process_start();
+            let held: Vec<_> =
+                (0..count).map(|_| [bind_listener(&own), bind_listener(&own), bind_listener(&own)]).collect();
             held.iter().map(|places| places.each_ref().map(|(_, at)| *at)).collect()
         };
-        let mut common = settings();
+        let mut common = default_settings();
         common["zones"] = json!(["here", "there"]);
         common["balancers"] = count.into();
         let mut nodes = Vec::new();
@@ -170,7 +172,7 @@
             let entry = |backend: &Value| {
                 let (mut entry, to) = (backend.clone(), backend["name"].as_str().expect("a name"));
                 let at = backend["address"].as_str().and_then(|at| at.parse().ok()).expect("an address");
-                let way = links.tcp(&format!("n{node}"), to, at, host).expect("a way");
+                let way = links.open_tcp(&format!("n{node}"), to, at, host).expect("a way");
                 entry["address"] = way.to_string().into();
                 entry
             };
@@ -194,14 +196,14 @@
         let mut fleet =
             Fleet { nodes, links, launches, worse, settings: common, folder, controllers, _list: list };
         (0..count).for_each(|node| fleet.start(node));
-        fleet.nodes.iter().for_each(|node| ready(node.admins[0]));
+        fleet.nodes.iter().for_each(|node| wait_until_ready(node.admins[0]));
         fleet
     }
 
     fn start(&mut self, node: usize) {
         let process = &mut self.nodes[node];
         let label = [("ROUTER_BUILD", "one")];
-        let mut child = start_in(&process.folder, &process.folder.join("config.json"), &label);
+        let mut child = start_node_in(&process.folder, &process.folder.join("config.json"), &label);
         // Nobody reads its log here: it must not wait for that.
         let mut log = child.stderr.take().expect("a log");
         spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
@@ -251,7 +253,7 @@
         let mut command = Command::new(env!("CARGO_BIN_EXE_yarrowfront-rollout"));
         command.arg("run").arg(plan).args(more).stdout(Stdio::null()).stderr(log);
         let child = {
-            let _alone = alone();
+            let _alone = lock_process_start();
             command.spawn().expect("the controller starts")
         };
         self.controllers.push(child);
@@ -309,8 +311,8 @@
                     let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(Duration::from_secs(5))));
                     count += 1;
                     let profile = if count.is_multiple_of(4) { "pay" } else { "read" };
-                    let sent = stream.write_all(command(profile, "a body", &by).as_bytes());
-                    let reply = sent.ok().and_then(|()| read(&mut stream));
+                    let sent = stream.write_all(command_request(profile, "a body", &by).as_bytes());
+                    let reply = sent.ok().and_then(|()| read_message(&mut stream));
                     match reply {
                         Some(reply) => {
                             answers.push(reply.status());
@@ -362,15 +364,15 @@
     settings["profiles"][0]["payoff"] = 1.5.into();
 }
 
-const SLOW: Law = Law {
-    cut: false,
-    reset: false,
-    loss: 0,
-    twice: 0,
-    late_one: 0,
-    late: Duration::from_millis(260),
+const SLOW: Impairment = Impairment {
+    blocked: false,
+    resets_connections: false,
+    loss_percent: 0,
+    duplicate_percent: 0,
+    reorder_percent: 0,
+    latency: Duration::from_millis(260),
     jitter: Duration::ZERO,
-    bytes_per_s: 0,
+    bytes_per_second: 0,
 };
 
 /// Settings that make no difference come to hold at all six nodes, in their files too; while they are under way no other
@@ -382,7 +384,7 @@
     let (before, _) = fleet.versions("settings");
     let plan = fleet.settings_plan("good", "", harmless);
     let first = fleet.controller(&plan, &[]);
-    until("something is on trial", || !fleet.tried().is_empty());
+    wait_until("something is on trial", || !fleet.tried().is_empty());
     let same = fleet.controller(&plan, &[]);
     assert_eq!(fleet.ended(same, 10), Some(3), "one controller for a plan");
     let other = fleet.settings_plan("other", "", |settings| settings["profiles"][1]["payoff"] = 2.0.into());
@@ -426,8 +428,8 @@
             assert!(start.elapsed() < Duration::from_secs(90), "{}", fleet.log());
             let now = fleet.tried();
             for node in 0..4 {
-                let law = if now.contains(&node) { SLOW } else { Law::default() };
-                (0..4).for_each(|b| fleet.links.set(&format!("b{b}"), &format!("n{node}"), law));
+                let law = if now.contains(&node) { SLOW } else { Impairment::default() };
+                (0..4).for_each(|b| fleet.links.set_impairment(&format!("b{b}"), &format!("n{node}"), law));
             }
             tried.extend(now);
             sleep(Duration::from_millis(100));
@@ -503,16 +505,16 @@
     let (before, _) = fleet.versions("settings");
     let plan = fleet.settings_plan("first", PAIR, harmless);
     let first = fleet.controller(&plan, &["--deaf"]);
-    until("something is on trial", || !fleet.tried().is_empty());
-    signal(&fleet.controllers[first], "-STOP");
+    wait_until("something is on trial", || !fleet.tried().is_empty());
+    send_signal(&fleet.controllers[first], "-STOP");
     let other =
         fleet.settings_plan("second", PAIR, |settings| settings["profiles"][0]["payoff"] = 7.0.into());
     let second = fleet.controller(&other, &["--deaf"]);
     assert_eq!(fleet.ended(second, 10), Some(3), "a change is on trial");
-    until("they go back by themselves", || fleet.versions("settings") == (before.clone(), false));
+    wait_until("they go back by themselves", || fleet.versions("settings") == (before.clone(), false));
     let second = fleet.controller(&other, &["--deaf", "--take-over"]);
-    until("the second's is on trial", || !fleet.tried().is_empty());
-    signal(&fleet.controllers[first], "-CONT");
+    wait_until("the second's is on trial", || !fleet.tried().is_empty());
+    send_signal(&fleet.controllers[first], "-CONT");
     assert_eq!(fleet.ended(first, 10), Some(3), "{}", fleet.log());
     assert_eq!(fleet.ended(second, 60), Some(0), "{}", fleet.log());
     let file = std::fs::read(fleet.nodes[1].folder.join("config.json")).expect("a file");
@@ -530,7 +532,7 @@
     });
     let controller = fleet.controller(&plan, &["--deaf"]);
     let settings = |node: &Process| -> Value {
-        serde_json::from_slice(&call(node.admins[0], "GET /settings").body).expect("JSON")
+        serde_json::from_slice(&call_admin(node.admins[0], "GET /settings").body).expect("JSON")
     };
     while fleet.controllers[controller].try_wait().expect("a process").is_none() {
         let all: Vec<Value> = fleet.nodes.iter().map(settings).collect();
@@ -583,7 +585,7 @@
     assert_eq!(fleet.ended(controller, 10), Some(3));
     assert!(fleet.log().contains("n1: nobody listens"), "{}", fleet.log());
     fleet.start(1);
-    ready(fleet.nodes[1].admins[0]);
+    wait_until_ready(fleet.nodes[1].admins[0]);
     assert_eq!(fleet.versions("settings"), (before, false));
 }
 
@@ -596,13 +598,13 @@
     let (before, _) = fleet.versions("settings");
     let plan = fleet.settings_plan("lost", "", harmless);
     let controller = fleet.controller(&plan, &[]);
-    until("the first is changed", || fleet.tried() == [0]);
-    signal(fleet.nodes[3].child.as_ref().expect("it runs"), "-STOP");
-    until("it holds", || fleet.log().contains("holds: missing: n3"));
+    wait_until("the first is changed", || fleet.tried() == [0]);
+    send_signal(fleet.nodes[3].child.as_ref().expect("it runs"), "-STOP");
+    wait_until("it holds", || fleet.log().contains("holds: missing: n3"));
     sleep(Duration::from_secs(3));
     assert_eq!(fleet.tried(), [0], "nothing more is changed, and what is on trial is kept");
-    signal(fleet.nodes[3].child.as_ref().expect("it runs"), "-CONT");
-    until("it goes on", || fleet.log().contains("goes on"));
+    send_signal(fleet.nodes[3].child.as_ref().expect("it runs"), "-CONT");
+    wait_until("it goes on", || fleet.log().contains("goes on"));
     let busiest = 0;
     load.over.store(true, SeqCst);
     fleet.kill(busiest);
@@ -614,7 +616,7 @@
 impl Fleet {
     /// The same, where a node is started again meanwhile, as a supervisor does.
     fn ended_with_start(&mut self, controller: usize, node: usize) -> Option<i32> {
-        until("it goes back", || self.log().contains("GOES BACK"));
+        wait_until("it goes back", || self.log().contains("GOES BACK"));
         self.start(node);
         self.ended(controller, 30)
     }
@@ -627,7 +629,7 @@
             format!(
                 "[\"env\", \"-i\", \"ROUTER_CONFIG={parent}-{{name}}/config.json\", \"TMPDIR={parent}-{{name}}\", \
                  \"ROUTER_ADMIN={{admin}}\", \"ROUTER_BUILD={label}\"{more}, \"{}\"]",
-                program()
+                node_program()
             )
         };
         let change = format!(
@@ -635,7 +637,7 @@
              end = [\"kill\", \"-TERM\", \"{{pid}}\"]\nwords = [\"{}\", \"words\"]",
             start("two", variables),
             start("one", ""),
-            program(),
+            node_program(),
         );
         self.plan(name, &change, more)
     }
@@ -649,11 +651,13 @@
     let load = fleet.load(&[0, 1, 2, 3], 10);
     let plan = fleet.settings_plan("outage", "", harmless);
     let controller = fleet.controller(&plan, &[]);
-    until("the first is changed", || fleet.tried() == [0]);
+    wait_until("the first is changed", || fleet.tried() == [0]);
     sleep(Duration::from_secs(2));
-    let broken = Law { reset: true, ..Law::default() };
+    let broken = Impairment { resets_connections: true, ..Impairment::default() };
     for node in 0..4 {
-        (0..3).for_each(|b| fleet.links.set_both(&format!("n{node}"), &format!("b{b}"), broken));
+        (0..3).for_each(|b| {
+            fleet.links.set_impairment_both_ways(&format!("n{node}"), &format!("b{b}"), broken)
+        });
     }
     sleep(Duration::from_secs(4));
     fleet.links.heal();
@@ -674,8 +678,8 @@
         assert!(start.elapsed() < Duration::from_secs(120), "{}", fleet.log());
         let now = fleet.tried();
         for node in [1, 3, 5] {
-            let law = if now.contains(&node) { SLOW } else { Law::default() };
-            (0..4).for_each(|b| fleet.links.set(&format!("b{b}"), &format!("n{node}"), law));
+            let law = if now.contains(&node) { SLOW } else { Impairment::default() };
+            (0..4).for_each(|b| fleet.links.set_impairment(&format!("b{b}"), &format!("n{node}"), law));
         }
         tried.extend(now);
         sleep(Duration::from_millis(100));
@@ -700,23 +704,23 @@
     std::fs::write(&file, config.to_string()).expect("a file");
     let plan = fleet.settings_plan("cannot", "stages = [\"1 node\", \"2 nodes\", \"100%\"]\nmost_out = 1\n[seconds]\nsettle = 0.0\nwatch = 1.0\nlongest = 30.0\nword = 6.0\nsilent = 1.5\ncommand = 5.0\n", harmless);
     let controller = fleet.controller(&plan, &["--deaf"]);
-    until("two are changed", || fleet.tried() == [0, 1]);
-    signal(fleet.nodes[1].child.as_ref().expect("it runs"), "-STOP");
+    wait_until("two are changed", || fleet.tried() == [0, 1]);
+    send_signal(fleet.nodes[1].child.as_ref().expect("it runs"), "-STOP");
     let order = Command::new(env!("CARGO_BIN_EXE_yarrowfront-rollout"))
         .arg("back")
         .arg(&plan)
         .output()
         .expect("an order");
     assert!(order.status.success(), "{order:?}");
-    until("the first is back", || fleet.tried().is_empty());
+    wait_until("the first is back", || fleet.tried().is_empty());
     assert!(fleet.controllers[controller].try_wait().expect("a process").is_none(), "one is not back yet");
-    signal(fleet.nodes[1].child.as_ref().expect("it runs"), "-CONT");
+    send_signal(fleet.nodes[1].child.as_ref().expect("it runs"), "-CONT");
     assert_eq!(fleet.ended(controller, 30), Some(2), "{}", fleet.log());
     assert_eq!(fleet.versions("settings"), (before, false));
     // Started again the last one goes by other settings than the rest, and is asked by nobody: it refuses.
     fleet.kill(2);
     fleet.start(2);
-    ready(fleet.nodes[2].admins[0]);
+    wait_until_ready(fleet.nodes[2].admins[0]);
     let plan = fleet.settings_plan("refused", PAIR, harmless);
     let controller = fleet.controller(&plan, &["--deaf", "--take-over"]);
     sleep(Duration::from_secs(3));
