--- a/crates/rehearsal/src/compare.rs
+++ b/crates/rehearsal/src/compare.rs
@@ -1,12 +1,12 @@
 //! Two results or two sets side by side, and which of their differences exceed the noise.
 
 use crate::experiment::{p99, Run};
-use crate::judge::result::Played;
+use crate::judge::result::PlayResult;
 use crate::stats::Mean;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A measure, and whether more of it is better.
-type Measure = (&'static str, bool, fn(&Played) -> f64);
+type Measure = (&'static str, bool, fn(&PlayResult) -> f64);
 
 const MEASURES: [Measure; 8] = [
     ("service", true, |p| p.service),
@@ -56,7 +56,7 @@
     let several = |runs: &[Run]| runs.iter().map(|r| &r.played.policy).collect::<BTreeSet<_>>().len() > 1;
     let policies = several(a) || several(b);
     let sort = |runs: &[Run]| {
-        let mut groups: BTreeMap<String, BTreeMap<u64, Played>> = BTreeMap::new();
+        let mut groups: BTreeMap<String, BTreeMap<u64, PlayResult>> = BTreeMap::new();
         for run in runs {
             let seeds = groups.entry(group(run, policies)).or_default();
             seeds.insert(run.played.seed, run.played.clone());
@@ -72,7 +72,7 @@
             return Err(format!("{group}: the two sides have no seed in common"));
         }
         for (measure, more, value) in MEASURES {
-            let of = |side: &BTreeMap<u64, Played>| -> Vec<f64> {
+            let of = |side: &BTreeMap<u64, PlayResult>| -> Vec<f64> {
                 common.iter().map(|s| value(&side[s])).collect()
             };
             let (own, other) = (of(a), of(b));
--- a/crates/rehearsal/src/draw.rs
+++ b/crates/rehearsal/src/draw.rs
@@ -1,6 +1,6 @@
 //! Seeded random numbers: ChaCha, one stream for each purpose, so that what one part draws moves no other.
 
-use crate::scenario::Law;
+use crate::scenario::WorkDistribution;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, StandardNormal};
@@ -8,7 +8,7 @@
 /// What a stream is for. The numbers are part of a seed's meaning: they are never used again.
 #[derive(Clone, Copy)]
 #[repr(u64)]
-pub enum Stream {
+pub enum RngStream {
     Arrivals = 1,
     Clients = 2,
     Network = 3,
@@ -23,25 +23,25 @@
     Backends = 1 << 32,
 }
 
-pub struct Draw(ChaCha8Rng);
+pub struct SeededRng(ChaCha8Rng);
 
-impl Draw {
-    pub fn new(seed: u64, stream: Stream) -> Draw {
-        Draw::numbered(seed, stream, 0)
+impl SeededRng {
+    pub fn new(seed: u64, stream: RngStream) -> SeededRng {
+        SeededRng::with_index(seed, stream, 0)
     }
 
-    pub fn numbered(seed: u64, stream: Stream, number: u64) -> Draw {
+    pub fn with_index(seed: u64, stream: RngStream, number: u64) -> SeededRng {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(stream as u64 + number);
-        Draw(rng)
+        SeededRng(rng)
     }
 
     /// From 0 to under 1.
-    pub fn unit(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         self.0.random()
     }
 
-    pub fn number(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0.random()
     }
 
@@ -51,7 +51,7 @@
     }
 
     pub fn chance(&mut self, share: f64) -> bool {
-        share > 0.0 && self.unit() < share
+        share > 0.0 && self.uniform() < share
     }
 
     pub fn exponential(&mut self, mean: f64) -> f64 {
@@ -71,11 +71,11 @@
         }
     }
 
-    pub fn work(&mut self, law: Law, mean: f64, spread: f64) -> f64 {
+    pub fn work(&mut self, law: WorkDistribution, mean: f64, spread: f64) -> f64 {
         match law {
-            Law::Fixed => mean,
-            Law::Exponential => self.exponential(mean),
-            Law::Lognormal => self.lognormal(mean, spread),
+            WorkDistribution::Fixed => mean,
+            WorkDistribution::Exponential => self.exponential(mean),
+            WorkDistribution::Lognormal => self.lognormal(mean, spread),
         }
         .max(1.0)
     }
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -1,6 +1,6 @@
 //! Experiments: scenarios by parameters by policies by seeds on the virtual clock, on all cores.
 
-use crate::judge::result::Played;
+use crate::judge::result::PlayResult;
 use crate::policy;
 use crate::scenario::Scenario;
 use crate::stats::Mean;
@@ -52,7 +52,7 @@
     #[serde(default)]
     pub parameters: BTreeMap<String, String>,
     #[serde(flatten)]
-    pub played: Played,
+    pub played: PlayResult,
 }
 
 /// All runs that differ in nothing but the seed.
@@ -176,7 +176,7 @@
             }
         }
         let play = |((scenario, told), name, seed): &(&Planned, &String, u64)| {
-            let make = |birth: &policy::Birth| policy::make(name, birth);
+            let make = |birth: &policy::NodeContext| policy::create(name, birth);
             let (played, _) = virtual_clock::play(scenario, *seed, name, &make, &mut |_| ())?;
             progress();
             Ok(Run { parameters: told.clone(), played })
@@ -206,16 +206,16 @@
 }
 
 /// The slowest profile's 99th percentile.
-pub fn p99(played: &Played) -> f64 {
+pub fn p99(played: &PlayResult) -> f64 {
     played.latency.values().map(|p| p.latency.p99).fold(0.0, f64::max)
 }
 
 fn cell(group: &[&Run]) -> Cell {
-    let mean = |value: &dyn Fn(&Played) -> f64| {
+    let mean = |value: &dyn Fn(&PlayResult) -> f64| {
         Mean::of(&group.iter().map(|r| value(&r.played)).collect::<Vec<_>>())
     };
     let service = mean(&|p| p.service);
-    let sum = |value: &dyn Fn(&Played) -> u64| group.iter().map(|r| value(&r.played)).sum();
+    let sum = |value: &dyn Fn(&PlayResult) -> u64| group.iter().map(|r| value(&r.played)).sum();
     Cell {
         scenario: group[0].played.scenario.clone(),
         parameters: group[0].parameters.clone(),
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -8,30 +8,31 @@
 pub mod views;
 
 use crate::scenario::Scenario;
-use result::Played;
-use rules::Rules;
-pub use seen::{Ending, Final, Seen};
-use service::Service;
-use views::Views;
+use result::PlayResult;
+use rules::RuleJudge;
+pub use seen::{CommandOutcome, FinalAnswer, Observation};
+use service::ServiceJudge;
+use views::ViewJudge;
 use yarrowfront::times::Moment;
 
 /// All judges.
 pub struct Judges {
-    pub rules: Rules,
-    pub service: Service,
-    pub views: Views,
+    pub rules: RuleJudge,
+    pub service: ServiceJudge,
+    pub views: ViewJudge,
     origin: Moment,
 }
 
 impl Judges {
     pub fn new(scenario: &Scenario, origin: Moment, backends: usize) -> Judges {
-        let (rules, service) = (Rules::new(scenario, origin), Service::new(scenario, origin, backends));
-        Judges { rules, service, views: Views::new(scenario, origin), origin }
+        let (rules, service) =
+            (RuleJudge::new(scenario, origin), ServiceJudge::new(scenario, origin, backends));
+        Judges { rules, service, views: ViewJudge::new(scenario, origin), origin }
     }
 
     /// What it has come to.
-    pub fn result(&self, scenario: &Scenario, of: (&str, &str), seed: u64) -> Played {
-        let mut played = Played::of(scenario, (&self.rules.broken, &self.service), of, seed);
+    pub fn result(&self, scenario: &Scenario, of: (&str, &str), seed: u64) -> PlayResult {
+        let mut played = PlayResult::of(scenario, (&self.rules.broken, &self.service), of, seed);
         let (rules, found) = (&mut played.rules, &self.views.found);
         (rules.deaths, rules.portions, rules.views) = (found.deaths, found.portions, found.views);
         let told =
@@ -40,8 +41,8 @@
         played
     }
 
-    pub fn see(&mut self, seen: Seen) {
-        self.rules.see(&seen);
-        self.service.see(&seen);
+    pub fn observe(&mut self, seen: Observation) {
+        self.rules.observe(&seen);
+        self.service.observe(&seen);
     }
 }
--- a/crates/rehearsal/src/judge/result.rs
+++ b/crates/rehearsal/src/judge/result.rs
@@ -1,7 +1,7 @@
 //! What a play comes to, as it is printed, kept and compared.
 
 use crate::judge::rules::Broken;
-use crate::judge::service::Service;
+use crate::judge::service::ServiceJudge;
 use crate::scenario::Scenario;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
 
 /// What a node's process took, on the real clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Process {
+pub struct ProcessUsage {
     pub node: usize,
     /// Seconds of CPU, and megabytes at most.
     pub cpu_s: f64,
@@ -40,7 +40,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Played {
+pub struct PlayResult {
     pub scenario: String,
     pub policy: String,
     pub clock: String,
@@ -68,18 +68,18 @@
     #[serde(skip_serializing_if = "String::is_empty", default)]
     pub faults: String,
     #[serde(skip_serializing_if = "Vec::is_empty", default)]
-    pub processes: Vec<Process>,
+    pub processes: Vec<ProcessUsage>,
     /// By second: payoff asked, payoff within the goal time, tries turned back, launches.
     pub seconds: Vec<(f64, f64, u64, u64)>,
 }
 
-impl Played {
+impl PlayResult {
     pub fn of(
         scenario: &Scenario,
-        (rules, service): (&Broken, &Service),
+        (rules, service): (&Broken, &ServiceJudge),
         (policy, clock): (&str, &str),
         seed: u64,
-    ) -> Played {
+    ) -> PlayResult {
         let commands: u64 = service.seconds.iter().map(|s| s.commands).sum();
         let each = |n: u64| n as f64 / commands.max(1) as f64;
         let ms = |micros: u64| micros as f64 / 1e3;
@@ -106,7 +106,7 @@
             };
             (told.name.clone(), row)
         });
-        Played {
+        PlayResult {
             scenario: scenario.name.clone(),
             policy: policy.into(),
             clock: clock.into(),
--- a/crates/rehearsal/src/judge/rules.rs
+++ b/crates/rehearsal/src/judge/rules.rs
@@ -1,7 +1,7 @@
 //! The four rules, counted from what clients and backends saw.
 
-use crate::judge::seen::{Final, Seen};
-use crate::scenario::{EffectOf, Scenario, Scope};
+use crate::judge::seen::{FinalAnswer, Observation};
+use crate::scenario::{CommandEffect, Scenario, Scope};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use yarrowfront::times::{Moment, Span};
@@ -74,9 +74,9 @@
     sum: f64,
 }
 
-pub struct Rules {
+pub struct RuleJudge {
     origin: Moment,
-    effects: Vec<(EffectOf, Scope)>,
+    effects: Vec<(CommandEffect, Scope)>,
     grace: Span,
     multiple: f64,
     window: Span,
@@ -95,9 +95,9 @@
     pub broken: Broken,
 }
 
-impl Rules {
-    pub fn new(scenario: &Scenario, origin: Moment) -> Rules {
-        Rules {
+impl RuleJudge {
+    pub fn new(scenario: &Scenario, origin: Moment) -> RuleJudge {
+        RuleJudge {
             origin,
             effects: scenario.profiles.iter().map(|p| (p.effect, p.scope)).collect(),
             grace: scenario.allow.drain_grace.span(),
@@ -120,20 +120,22 @@
         }
     }
 
-    pub fn see(&mut self, seen: &Seen) {
+    pub fn observe(&mut self, seen: &Observation) {
         match *seen {
-            Seen::Taken { node, .. } if self.dead.contains(&node) => {}
-            Seen::Taken { attempt, command, profile, node, until, .. } => {
+            Observation::AttemptAccepted { node, .. } if self.dead.contains(&node) => {}
+            Observation::AttemptAccepted { attempt, command, profile, node, until, .. } => {
                 // Its client may have turned to another node.
                 self.left.remove(&attempt);
                 self.open.insert(attempt, Open { command, profile, node, until });
             }
-            Seen::Left { attempt, at } => {
+            Observation::ClientLeft { attempt, at } => {
                 self.open.remove(&attempt);
                 self.left.insert(attempt, at);
             }
-            Seen::Answered { attempt, what, made_for, at } => self.answered(attempt, what, made_for, at),
-            Seen::Broken { attempt, at } => {
+            Observation::Answered { attempt, answer, made_for, at } => {
+                self.answered(attempt, answer, made_for, at)
+            }
+            Observation::ConnectionBroken { attempt, at } => {
                 if let Some(open) = self.open.remove(&attempt) {
                     self.broken.answers += 1;
                     self.case(
@@ -142,9 +144,9 @@
                     );
                 }
             }
-            Seen::Began { backend, attempt, command, profile, at, .. } => {
+            Observation::WorkStarted { backend, attempt, command, profile, at, .. } => {
                 let effect = self.effects[usize::from(profile)].0;
-                if effect != EffectOf::Repeatable {
+                if effect != CommandEffect::Repeatable {
                     let ran = self.ran.entry(command).or_default();
                     ran.push(attempt);
                     if ran.len() > 1 {
@@ -157,15 +159,15 @@
                     }
                 }
             }
-            Seen::Told { node, backend, ready, at } => {
+            Observation::ListEntryDelivered { node, backend, ready, at } => {
                 if ready {
                     self.unready.remove(&(node, backend));
                 } else {
                     self.unready.entry((node, backend)).or_insert(at);
                 }
             }
-            Seen::Launched { node, backend, at, attempt, told_left } => {
-                self.launched(attempt, told_left, at);
+            Observation::LaunchStarted { node, backend, at, attempt, announced_time_left } => {
+                self.launched(attempt, announced_time_left, at);
                 let told = self.unready.get(&(node, backend)).copied();
                 if let Some(told) = told.filter(|told| at > *told + self.grace) {
                     let late = at.since(told).micros() / 1e3;
@@ -179,41 +181,43 @@
                     );
                 }
             }
-            Seen::Started { backend, at, share, warm, capacity } => {
+            Observation::ColdStart { backend, at, share, warm, capacity } => {
                 let came = VecDeque::new();
                 self.cold.insert(backend, Cold { started: at, share, warm, capacity, came, sum: 0.0 });
             }
-            Seen::Reached { backend, work, at } => self.reached(backend, work, at),
-            Seen::Fell { backend, at } => {
+            Observation::LaunchReceived { backend, work, at } => self.reached(backend, work, at),
+            Observation::BackendCrashed { backend, at } => {
                 self.broken.pushes += 1;
                 self.case(at, format!("backend {backend} was cold and fell over"));
             }
-            Seen::Killed { node, .. } => {
+            Observation::NodeKilled { node, .. } => {
                 self.open.retain(|_, open| open.node != node);
                 self.dead.insert(node);
             }
-            Seen::WentOn { node } => drop(self.dead.remove(&node)),
-            Seen::Fresh { node } => {
+            Observation::NodeResumed { node } => drop(self.dead.remove(&node)),
+            Observation::NodeStarted { node } => {
                 self.unready.retain(|(n, _), _| *n != node);
                 self.dead.remove(&node);
             }
-            Seen::Crashed { node, at } => {
+            Observation::NodeCrashed { node, at } => {
                 self.open.retain(|_, open| open.node != node);
                 self.broken.crashes += 1;
                 self.case(at, format!("node {node} ended by itself, or did not when it was told to"));
             }
-            Seen::Due { .. } | Seen::Settled { .. } | Seen::Probed => {}
+            Observation::CommandDue { .. }
+            | Observation::CommandSettled { .. }
+            | Observation::ProbeReceived => {}
         }
     }
 
-    fn launched(&mut self, attempt: u64, told_left: Option<Span>, at: Moment) {
+    fn launched(&mut self, attempt: u64, announced_time_left: Option<Span>, at: Moment) {
         if let Some(left) = self.left.get(&attempt).filter(|left| at > **left + LEFT_SLACK + TRIPS) {
             let late = at.since(*left).micros() / 1e3;
             self.broken.answers += 1;
             self.case(at, format!("try {attempt}: launched {late:.0} ms after its client had left"));
         }
         let Some(open) = self.open.get(&attempt) else { return };
-        let (Some(told), left) = (told_left, open.until.since(at)) else { return };
+        let (Some(told), left) = (announced_time_left, open.until.since(at)) else { return };
         if told > Span(left.0 + TOLD_SLACK.0 + TRIPS.0) {
             let (told, left) = (told.micros() / 1e3, left.micros() / 1e3);
             self.broken.answers += 1;
@@ -224,7 +228,7 @@
         }
     }
 
-    fn answered(&mut self, attempt: u64, what: Final, made_for: Option<u64>, at: Moment) {
+    fn answered(&mut self, attempt: u64, what: FinalAnswer, made_for: Option<u64>, at: Moment) {
         let Some(open) = self.open.remove(&attempt) else {
             if self.closed.contains_key(&attempt) {
                 self.broken.answers += 1;
@@ -239,18 +243,18 @@
             let late = at.since(open.until).micros() / 1e3;
             self.case(at, format!("command {command}: answered {late:.0} ms after its time"));
         }
-        if what == Final::Finished && made_for != Some(attempt) {
+        if what == FinalAnswer::Finished && made_for != Some(attempt) {
             self.broken.answers += 1;
             self.case(at, format!("command {command}: finished by an answer that was made for another"));
         }
         // A turn-back says that trying again is harmless.
         let (effect, scope) = self.effects[usize::from(open.profile)];
         let bound = match effect {
-            EffectOf::Repeatable => false,
-            EffectOf::Tagged => scope != Scope::All,
-            EffectOf::OnceOnly => true,
+            CommandEffect::Repeatable => false,
+            CommandEffect::Tagged => scope != Scope::All,
+            CommandEffect::OnceOnly => true,
         };
-        if what == Final::TurnedBack && bound && self.ran.contains_key(&command) {
+        if what == FinalAnswer::Rejected && bound && self.ran.contains_key(&command) {
             self.broken.effects += 1;
             self.case(at, format!("command {command}: turned back though it had run"));
         }
@@ -288,7 +292,7 @@
     }
 
     /// What is still open when all is over has never been answered.
-    pub fn end(&mut self, at: Moment) {
+    pub fn finish(&mut self, at: Moment) {
         let mut left: Vec<u64> =
             self.open.values().filter(|o| at > o.until + SLACK).map(|o| o.command).collect();
         left.sort_unstable();
--- a/crates/rehearsal/src/judge/seen.rs
+++ b/crates/rehearsal/src/judge/seen.rs
@@ -1,36 +1,36 @@
 //! What clients and backends saw: the words in which both clocks tell the judges.
 
-use crate::model::clients::TryEnd;
+use crate::model::clients::AttemptOutcome;
 use yarrowfront::times::{Moment, Span};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Final {
+pub enum FinalAnswer {
     Finished,
-    TurnedBack,
+    Rejected,
     Errored,
 }
 
 /// How a command ended for its client, all its tries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ending {
+pub enum CommandOutcome {
     Finished,
-    TurnedBack,
+    Rejected,
     Errored,
     Lost,
     TimedOut,
-    Left,
+    ClientLeft,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Seen {
+pub enum Observation {
     /// A client wants a command done.
-    Due {
+    CommandDue {
         command: u64,
         profile: u16,
         at: Moment,
     },
     /// A node has a try of it whole, and `until` when the client waits.
-    Taken {
+    AttemptAccepted {
         attempt: u64,
         command: u64,
         profile: u16,
@@ -39,46 +39,46 @@
         until: Moment,
     },
     /// The client has gone before its answer.
-    Left {
+    ClientLeft {
         attempt: u64,
         at: Moment,
     },
     /// A whole final answer; `made_for` is the try that the backend's body names.
     Answered {
         attempt: u64,
-        what: Final,
+        answer: FinalAnswer,
         made_for: Option<u64>,
         at: Moment,
     },
     /// Its client's connection ended without a whole answer.
-    Broken {
+    ConnectionBroken {
         attempt: u64,
         at: Moment,
     },
     /// No try of the command goes on, and none will start.
-    Settled {
+    CommandSettled {
         command: u64,
         profile: u16,
         at: Moment,
-        ending: Ending,
+        outcome: CommandOutcome,
     },
     /// A node's first byte of a launch.
-    Launched {
+    LaunchStarted {
         node: usize,
         backend: usize,
         attempt: u64,
         at: Moment,
         /// The time that its client is said to have left, where that was told.
-        told_left: Option<Span>,
+        announced_time_left: Option<Span>,
     },
     /// A launch has come whole to a backend's process.
-    Reached {
+    LaunchReceived {
         backend: usize,
         work: f64,
         at: Moment,
     },
     /// Its work has begun there and may have its effect.
-    Began {
+    WorkStarted {
         backend: usize,
         attempt: u64,
         command: u64,
@@ -87,7 +87,7 @@
         at: Moment,
     },
     /// The list has written a line to a node.
-    Told {
+    ListEntryDelivered {
         node: usize,
         backend: usize,
         ready: bool,
@@ -95,47 +95,47 @@
     },
     /// A backend's process has started, cold: the share it can do now, the time to the whole, and the work it
     /// does in a microsecond then.
-    Started {
+    ColdStart {
         backend: usize,
         at: Moment,
         share: f64,
         warm: f64,
         capacity: f64,
     },
-    Fell {
+    BackendCrashed {
         backend: usize,
         at: Moment,
     },
-    Probed,
+    ProbeReceived,
     /// A node's process has been killed or restarted: what it had taken is excused.
-    Killed {
+    NodeKilled {
         node: usize,
         at: Moment,
     },
     /// A node's process that was stopped goes on, and its clients with it.
-    WentOn {
+    NodeResumed {
         node: usize,
     },
     /// A node has a new process, which knows nothing of what the one before was told.
-    Fresh {
+    NodeStarted {
         node: usize,
     },
     /// A node's process has ended though nobody asked it to, or did not end when asked.
-    Crashed {
+    NodeCrashed {
         node: usize,
         at: Moment,
     },
 }
 
 /// A command ends as its last try did.
-impl From<TryEnd> for Ending {
-    fn from(last: TryEnd) -> Ending {
+impl From<AttemptOutcome> for CommandOutcome {
+    fn from(last: AttemptOutcome) -> CommandOutcome {
         match last {
-            TryEnd::Finished => Ending::Finished,
-            TryEnd::TurnedBack(_) => Ending::TurnedBack,
-            TryEnd::Errored => Ending::Errored,
-            TryEnd::Lost | TryEnd::Refused => Ending::Lost,
-            TryEnd::TimedOut => Ending::TimedOut,
+            AttemptOutcome::Finished => CommandOutcome::Finished,
+            AttemptOutcome::Rejected(_) => CommandOutcome::Rejected,
+            AttemptOutcome::Errored => CommandOutcome::Errored,
+            AttemptOutcome::Lost | AttemptOutcome::NotConnected => CommandOutcome::Lost,
+            AttemptOutcome::TimedOut => CommandOutcome::TimedOut,
         }
     }
 }
--- a/crates/rehearsal/src/judge/service.rs
+++ b/crates/rehearsal/src/judge/service.rs
@@ -1,6 +1,6 @@
 //! How well clients were served: payoff within the goal time over payoff asked for, and what it took.
 
-use crate::judge::seen::{Ending, Final, Seen};
+use crate::judge::seen::{CommandOutcome, FinalAnswer, Observation};
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
@@ -39,7 +39,7 @@
     node: Option<usize>,
 }
 
-pub struct Service {
+pub struct ServiceJudge {
     origin: Moment,
     settle: Moment,
     length: usize,
@@ -63,8 +63,8 @@
     Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("bounds that hold")
 }
 
-impl Service {
-    pub fn new(scenario: &Scenario, origin: Moment, backends: usize) -> Service {
+impl ServiceJudge {
+    pub fn new(scenario: &Scenario, origin: Moment, backends: usize) -> ServiceJudge {
         let profile = |p: &crate::scenario::Profile| Profile {
             goal: p.goal.micros(),
             payoff: p.payoff,
@@ -79,7 +79,7 @@
             took: histogram(),
         };
         let length = scenario.length.0.div_ceil(1_000_000) as usize;
-        Service {
+        ServiceJudge {
             origin,
             settle: origin + scenario.settle.span(),
             length,
@@ -101,9 +101,9 @@
         ((at.since(self.origin).0 / 1_000_000) as usize).min(self.length - 1)
     }
 
-    pub fn see(&mut self, seen: &Seen) {
+    pub fn observe(&mut self, seen: &Observation) {
         match *seen {
-            Seen::Due { command, profile, at } => {
+            Observation::CommandDue { command, profile, at } => {
                 let counted = at >= self.settle;
                 self.open.insert(command, Open { due: at, counted, work: 0.0, node: None });
                 let (second, p) = (self.second(at), &mut self.profiles[usize::from(profile)]);
@@ -111,18 +111,18 @@
                 self.seconds[second].commands += 1;
                 p.asked += u64::from(counted);
             }
-            Seen::Taken { command, node, .. } => {
+            Observation::AttemptAccepted { command, node, .. } => {
                 self.taken += 1;
                 if let Some(open) = self.open.get_mut(&command) {
                     open.node = Some(node);
                 }
             }
-            Seen::Answered { what: Final::TurnedBack, at, .. } => {
+            Observation::Answered { answer: FinalAnswer::Rejected, at, .. } => {
                 self.turned_back += 1;
                 let second = self.second(at);
                 self.seconds[second].turned_back += 1;
             }
-            Seen::Launched { backend, at, .. } => {
+            Observation::LaunchStarted { backend, at, .. } => {
                 self.launches += 1;
                 let second = self.second(at);
                 self.seconds[second].launches += 1;
@@ -131,19 +131,19 @@
                 }
                 self.by_backend[backend][second] += 1;
             }
-            Seen::Began { command, work, .. } => {
+            Observation::WorkStarted { command, work, .. } => {
                 self.work += work;
                 if let Some(open) = self.open.get_mut(&command) {
                     open.work = work;
                 }
             }
-            Seen::Probed => self.probes += 1,
-            Seen::Settled { command, profile, at, ending } => {
+            Observation::ProbeReceived => self.probes += 1,
+            Observation::CommandSettled { command, profile, at, outcome } => {
                 let Some(open) = self.open.remove(&command) else { return };
                 let second = self.second(open.due);
                 let p = &mut self.profiles[usize::from(profile)];
                 let took = at.since(open.due);
-                if ending == Ending::Finished {
+                if outcome == CommandOutcome::Finished {
                     self.work_used += open.work;
                     if took.micros() <= p.goal {
                         self.seconds[second].served += p.payoff;
@@ -156,20 +156,23 @@
                     let place = node % self.sites.len();
                     let site = &mut self.sites[place];
                     site.0 += p.payoff;
-                    site.1 +=
-                        if ending == Ending::Finished && took.micros() <= p.goal { p.payoff } else { 0.0 };
+                    site.1 += if outcome == CommandOutcome::Finished && took.micros() <= p.goal {
+                        p.payoff
+                    } else {
+                        0.0
+                    };
                 }
-                match ending {
-                    Ending::Finished => {
+                match outcome {
+                    CommandOutcome::Finished => {
                         p.finished += 1;
                         p.in_time += u64::from(took.micros() <= p.goal);
                         p.took.saturating_record(took.0.max(1));
                     }
-                    Ending::TurnedBack => p.turned_back += 1,
-                    Ending::Errored => p.errored += 1,
-                    Ending::Lost => p.lost += 1,
-                    Ending::TimedOut => p.timed_out += 1,
-                    Ending::Left => p.left += 1,
+                    CommandOutcome::Rejected => p.turned_back += 1,
+                    CommandOutcome::Errored => p.errored += 1,
+                    CommandOutcome::Lost => p.lost += 1,
+                    CommandOutcome::TimedOut => p.timed_out += 1,
+                    CommandOutcome::ClientLeft => p.left += 1,
                 }
             }
             _ => {}
--- a/crates/rehearsal/src/judge/views.rs
+++ b/crates/rehearsal/src/judge/views.rs
@@ -15,7 +15,7 @@
 
 /// What a node tells at its second address.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct FleetReport {
     /// Whom it holds to be here, itself among them; and dead, in which life.
     pub here: BTreeSet<String>,
     pub dead: BTreeMap<String, u64>,
@@ -26,12 +26,15 @@
     pub life: u64,
 }
 
-impl Told {
+impl FleetReport {
     /// From the JSON of `GET /fleet`; none where that is something else.
-    pub fn read(json: &serde_json::Value) -> Option<Told> {
+    pub fn from_json(json: &serde_json::Value) -> Option<FleetReport> {
         let (name, life) = (json["name"].as_str()?.to_owned(), json["life"].as_u64()?);
-        let mut told =
-            Told { life, of: json["portion"]["nodes"].as_u64().unwrap_or(u64::MAX), ..Told::default() };
+        let mut told = FleetReport {
+            life,
+            of: json["portion"]["nodes"].as_u64().unwrap_or(u64::MAX),
+            ..FleetReport::default()
+        };
         told.here.insert(name);
         for member in json["members"].as_array()? {
             let (name, life) = (member["name"].as_str()?.to_owned(), member["life"].as_u64()?);
@@ -55,7 +58,7 @@
     pub cases: Vec<(Moment, String)>,
 }
 
-pub struct Views {
+pub struct ViewJudge {
     origin: Moment,
     agree: Option<Span>,
     nodes: usize,
@@ -67,7 +70,7 @@
     together: BTreeMap<(usize, usize), Moment>,
     last_fault: Moment,
     agreed: Option<Moment>,
-    last: BTreeMap<usize, Told>,
+    last: BTreeMap<usize, FleetReport>,
     blamed: BTreeSet<(usize, String, u64)>,
     pub found: Found,
 }
@@ -80,10 +83,10 @@
     format!("n{node}")
 }
 
-impl Views {
-    pub fn new(scenario: &Scenario, origin: Moment) -> Views {
+impl ViewJudge {
+    pub fn new(scenario: &Scenario, origin: Moment) -> ViewJudge {
         let nodes = scenario.nodes as usize;
-        let mut views = Views {
+        let mut views = ViewJudge {
             origin,
             agree: scenario.view.as_ref().map(|view| view.agree.span()),
             nodes,
@@ -107,7 +110,7 @@
     }
 
     /// What is done to nodes and to the ways between them.
-    pub fn fault(&mut self, at: Moment, fault: &Fault) {
+    pub fn observe_fault(&mut self, at: Moment, fault: &Fault) {
         match fault {
             Fault::Apart(some) => {
                 let some: BTreeSet<usize> = some.iter().filter_map(|name| node(name)).collect();
@@ -171,7 +174,7 @@
     }
 
     /// What all nodes told at about the same time; nothing of those that did not answer.
-    pub fn looked(&mut self, at: Moment, told: &BTreeMap<usize, Told>) {
+    pub fn observe_reports(&mut self, at: Moment, told: &BTreeMap<usize, FleetReport>) {
         for (by, view) in told {
             self.dead(at, *by, view);
             self.forward(at, *by, view);
@@ -190,7 +193,7 @@
         self.last.extend(told.iter().map(|(by, view)| (*by, view.clone())));
     }
 
-    fn dead(&mut self, at: Moment, by: usize, view: &Told) {
+    fn dead(&mut self, at: Moment, by: usize, view: &FleetReport) {
         for (whom, life) in &view.dead {
             let Some(other) = node(whom).filter(|other| *other < self.nodes) else { continue };
             if !self.blamed.insert((by, whom.clone(), *life)) {
@@ -204,7 +207,7 @@
         }
     }
 
-    fn forward(&mut self, at: Moment, by: usize, view: &Told) {
+    fn forward(&mut self, at: Moment, by: usize, view: &FleetReport) {
         let Some(before) = self.last.get(&by).filter(|before| before.life == view.life) else { return };
         let back = |(whom, now): (&String, &(u64, u64))| {
             before.lives.get(whom).filter(|then| *then > now).map(|then| (whom.clone(), *then, *now))
@@ -216,7 +219,7 @@
     }
 
     /// All is over: whether all came to agree in time.
-    pub fn end(&mut self, at: Moment) {
+    pub fn finish(&mut self, at: Moment) {
         let Some(most) = self.agree else { return };
         let due = self.last_fault + most;
         let late = match self.agreed {
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -4,7 +4,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
 use rehearsal::experiment::{self, Experiment};
-use rehearsal::judge::result::Played;
+use rehearsal::judge::result::PlayResult;
 use rehearsal::scenario::Scenario;
 use rehearsal::{compare, policy, program, real, report, search, soak, virtual_clock};
 use std::path::{Path, PathBuf};
@@ -112,7 +112,7 @@
     serde_json::to_string(value).map_err(|e| format!("the result cannot be written: {e}"))
 }
 
-fn print(played: &Played) {
+fn print(played: &PlayResult) {
     println!("{} by {} on the {} clock, seed {}", played.scenario, played.policy, played.clock, played.seed);
     if let Some(why) = &played.void {
         println!("VOID: {why}");
@@ -193,7 +193,7 @@
             let mut smaller = None;
             let (played, judges) = match clock {
                 Clock::Virtual => {
-                    let make = |birth: &policy::Birth| policy::make(&name, birth);
+                    let make = |birth: &policy::NodeContext| policy::create(&name, birth);
                     virtual_clock::play(&scenario, seed, &name, &make, &mut progress)?
                 }
                 Clock::Real => {
@@ -202,7 +202,7 @@
                             "on the real clock there is the real node alone: leave --policy out".into()
                         );
                     }
-                    let program = node.map_or_else(program::node, Ok)?;
+                    let program = node.map_or_else(program::node_binary, Ok)?;
                     let means = real::Means { program, logs, arguments: Vec::new(), variables: Vec::new() };
                     let played = real::play(&scenario, seed, &means, &mut progress)?;
                     if played.0.rules.any() && shrink > 0 {
@@ -272,7 +272,7 @@
             Ok(if small.loss.broken > 0 { BROKEN } else { 0 })
         }
         Command::Soak { seeds, logs, node } => {
-            let program = node.map_or_else(program::node, Ok)?;
+            let program = node.map_or_else(program::node_binary, Ok)?;
             let found = soak::run(seeds, &program, logs.as_deref(), &mut |line| println!("{line}"))?;
             println!("{found}");
             Ok(if found.broken > 0 { BROKEN } else { u8::from(found.not_judged > 0) })
--- a/crates/rehearsal/src/model/arrivals.rs
+++ b/crates/rehearsal/src/model/arrivals.rs
@@ -1,12 +1,12 @@
 //! Commands as clients want them: drawn ahead of any answer, by the same numbers whatever serves them.
 
-use crate::draw::{Draw, Stream};
-use crate::scenario::{Scenario, Shape, What};
+use crate::draw::{RngStream, SeededRng};
+use crate::scenario::{LoadShape, Scenario, TroubleKind};
 use yarrowfront::times::Moment;
 
 /// A command as its client wants it. Its client's repeats belong to it.
 #[derive(Clone, Debug)]
-pub struct Wanted {
+pub struct Arrival {
     /// Counted from 0 on in the order in which they are due.
     pub number: u64,
     pub due: Moment,
@@ -15,16 +15,16 @@
     /// The same at every launch, in microseconds on a core of speed one.
     pub work: f64,
     /// The client's guess at it.
-    pub hint: Option<f64>,
+    pub work_hint: Option<f64>,
     /// Whether it leaves early.
-    pub leaves: bool,
+    pub leaves_early: bool,
     /// Which of the equal nodes it would meet first, from 0 to under 1.
-    pub front: f64,
+    pub node_draw: f64,
 }
 
 pub struct Arrivals<'a> {
     scenario: &'a Scenario,
-    draw: Draw,
+    draw: SeededRng,
     at: f64,
     number: u64,
     /// For bursts: whether one is on, and until when.
@@ -58,8 +58,8 @@
 
 impl<'a> Arrivals<'a> {
     pub fn new(scenario: &'a Scenario, seed: u64) -> Arrivals<'a> {
-        let mut draw = Draw::new(seed, Stream::Arrivals);
-        let phase = [draw.unit(), draw.unit()];
+        let mut draw = SeededRng::new(seed, RngStream::Arrivals);
+        let phase = [draw.uniform(), draw.uniform()];
         let turn = draw.exponential(CALM);
         Arrivals {
             scenario,
@@ -78,8 +78,8 @@
     fn shape(&mut self) -> f64 {
         let (base, swing) = (self.scenario.rate() / 1e6, self.scenario.load.swing);
         match self.scenario.load.shape {
-            Shape::Poisson | Shape::Even => base,
-            Shape::Bursts => {
+            LoadShape::Poisson | LoadShape::Even => base,
+            LoadShape::Bursts => {
                 while self.turn <= self.at {
                     self.on = !self.on;
                     self.turn += self.draw.exponential(if self.on { BURST } else { CALM });
@@ -88,7 +88,7 @@
                 let high = swing * (BURST + CALM) / BURST;
                 base * (1.0 - swing + if self.on { high } else { 0.0 })
             }
-            Shape::Wandering => {
+            LoadShape::Wandering => {
                 let wave =
                     |period: f64, phase: f64| ((self.at / period + phase) * std::f64::consts::TAU).sin();
                 base * (1.0 + swing * 0.5 * (wave(17e6, self.phase[0]) + wave(41e6, self.phase[1])))
@@ -99,7 +99,7 @@
     /// What troubles make of the rate, and the one customer whose part of it grows, if that is all.
     fn bursts(&self) -> (f64, Option<(usize, f64)>) {
         let (mut times, mut one) = (1.0, None);
-        for trouble in self.scenario.troubles.iter().filter(|t| t.kind == What::Burst) {
+        for trouble in self.scenario.troubles.iter().filter(|t| t.kind == TroubleKind::Burst) {
             if (trouble.at.micros()..trouble.ends().micros()).contains(&self.at) {
                 let customers = &self.scenario.customers;
                 match trouble.customer.as_ref().and_then(|n| customers.iter().position(|c| &c.name == n)) {
@@ -118,9 +118,9 @@
 }
 
 impl Iterator for Arrivals<'_> {
-    type Item = Wanted;
+    type Item = Arrival;
 
-    fn next(&mut self) -> Option<Wanted> {
+    fn next(&mut self) -> Option<Arrival> {
         let length = self.scenario.length.micros();
         // The rate is held for a twentieth of a second at most, or a change within it would be overslept.
         let (rate, one) = loop {
@@ -128,11 +128,11 @@
             let (times, one) = self.bursts();
             let rate = shape * times;
             let gap = match self.scenario.load.shape {
-                Shape::Even if rate > 0.0 => 1.0 / rate,
+                LoadShape::Even if rate > 0.0 => 1.0 / rate,
                 _ if rate > 0.0 => self.draw.exponential(1.0 / rate),
                 _ => f64::MAX,
             };
-            let even = self.scenario.load.shape == Shape::Even && rate > 0.0;
+            let even = self.scenario.load.shape == LoadShape::Even && rate > 0.0;
             if gap <= 50_000.0 || even {
                 self.at += gap;
                 break (rate, one);
@@ -145,27 +145,27 @@
         if self.at >= length || rate <= 0.0 {
             return None;
         }
-        let profile = pick(&self.profiles, self.draw.unit());
-        let mut customer = pick(&self.customers, self.draw.unit());
+        let profile = pick(&self.profiles, self.draw.uniform());
+        let mut customer = pick(&self.customers, self.draw.uniform());
         if let Some((i, part)) = one {
-            if self.draw.unit() < part {
+            if self.draw.uniform() < part {
                 customer = i;
             }
         }
         let kind = &self.scenario.profiles[profile];
         let work = self.draw.work(kind.law, kind.work.micros(), kind.spread);
         let error = self.draw.lognormal(1.0, self.scenario.clients.hints);
-        let (leaves, front) = (self.draw.unit(), self.draw.unit());
+        let (leaves, front) = (self.draw.uniform(), self.draw.uniform());
         self.number += 1;
-        Some(Wanted {
+        Some(Arrival {
             number: self.number - 1,
             due: Moment(self.at as u64),
             profile: profile as u16,
             customer: customer as u32,
             work,
-            hint: (self.scenario.clients.hints > 0.0).then_some(work * error),
-            leaves: leaves < self.scenario.clients.leaving,
-            front,
+            work_hint: (self.scenario.clients.hints > 0.0).then_some(work * error),
+            leaves_early: leaves < self.scenario.clients.leaving,
+            node_draw: front,
         })
     }
 }
--- a/crates/rehearsal/src/model/backend.rs
+++ b/crates/rehearsal/src/model/backend.rs
@@ -5,8 +5,8 @@
 //! rate is constant between edges (an arrival, an end, a step of the warm-up, a stall), and `next` is the next
 //! edge: whoever drives it calls `advance` then.
 
-use crate::draw::{Draw, Stream};
-use crate::scenario::{Kind, Spells, Stops};
+use crate::draw::{RngStream, SeededRng};
+use crate::scenario::{BackendKind, Spells, Stops};
 use std::collections::{HashMap, VecDeque};
 use yarrowfront::times::{Moment, Span};
 
@@ -15,23 +15,23 @@
 
 /// A tag, and within which scope it is remembered for how long.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Tag {
+pub struct IdempotencyKey {
     pub scope: u32,
-    pub tag: u64,
-    pub span: Span,
+    pub key: u64,
+    pub retention: Span,
 }
 
 /// Which tags have run, by the scope that remembers them.
 #[derive(Default)]
-pub struct Memory(HashMap<(u32, u64), Moment>);
+pub struct IdempotencyStore(HashMap<(u32, u64), Moment>);
 
-impl Memory {
+impl IdempotencyStore {
     /// Whether this is a repeat of what ran within the span. Otherwise it counts as run from now on.
-    fn repeat(&mut self, now: Moment, tag: &Tag) -> bool {
-        let seen = self.0.get(&(tag.scope, tag.tag)).copied();
-        let repeat = seen.is_some_and(|at| now < at + tag.span);
+    fn repeat(&mut self, now: Moment, tag: &IdempotencyKey) -> bool {
+        let seen = self.0.get(&(tag.scope, tag.key)).copied();
+        let repeat = seen.is_some_and(|at| now < at + tag.retention);
         if !repeat {
-            self.0.insert((tag.scope, tag.tag), now);
+            self.0.insert((tag.scope, tag.key), now);
         }
         repeat
     }
@@ -39,28 +39,28 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
-    Taken,
+    Accepted,
     /// Turned away unseen: the queue is full, or it drains.
     Full,
     /// Answered with an error at once; nothing has run.
     Error,
     /// It was cold and pushed: it has fallen over, with all that it held.
-    Fell,
+    Crashed,
     Down,
 }
 
 /// What came of a command that a backend has taken.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Happened {
+pub enum BackendEvent {
     /// Its work has begun: from now on it may have had its effect. Not told for a tag's repeat.
-    Began(Key, Moment),
-    Ended(Key, Moment),
+    WorkStarted(Key, Moment),
+    WorkFinished(Key, Moment),
 }
 
 struct Waiting {
     key: Key,
     work: f64,
-    tag: Option<Tag>,
+    tag: Option<IdempotencyKey>,
 }
 
 struct Running {
@@ -76,11 +76,11 @@
 }
 
 impl Turns {
-    fn new(spells: Spells, now: Moment, draw: &mut Draw) -> Turns {
+    fn new(spells: Spells, now: Moment, draw: &mut SeededRng) -> Turns {
         Turns { spells, on: false, edge: now + Span(draw.exponential(spells.every.micros()) as u64 + 1) }
     }
 
-    fn pass(&mut self, now: Moment, draw: &mut Draw) {
+    fn pass(&mut self, now: Moment, draw: &mut SeededRng) {
         while self.edge <= now {
             self.on = !self.on;
             let mean = if self.on { self.spells.length } else { self.spells.every };
@@ -103,16 +103,16 @@
 const STEPS: u64 = 50;
 
 pub struct Backend {
-    pub kind: Kind,
+    pub kind: BackendKind,
     pub zone: u16,
     pub group: u16,
     pub speed: f64,
-    pub up: bool,
+    pub is_up: bool,
     /// Takes nothing new.
     pub draining: bool,
     /// Cut off from the network.
-    pub cut: bool,
-    pub hung: bool,
+    pub is_cut_off: bool,
+    pub is_hung: bool,
     /// What a trouble leaves of its speed.
     pub part: f64,
     pub errors: f64,
@@ -129,24 +129,24 @@
     stalls: Option<Turns>,
     neighbours: Option<Turns>,
     /// Stalls that a trouble brings: until when it stands.
-    pub stands_until: Moment,
+    pub stalled_until: Moment,
     poured: VecDeque<(Moment, f64)>,
     budget: (f64, Span),
-    draw: Draw,
+    draw: SeededRng,
     pub took: u64,
 }
 
 impl Backend {
     /// `budget`: the multiple of its capacity that a cold one can be sent, and within which span.
     pub fn new(
-        kind: Kind,
+        kind: BackendKind,
         (zone, group): (u16, u16),
         started: Option<Moment>,
         now: Moment,
         budget: (f64, Span),
         (seed, number): (u64, u64),
     ) -> Backend {
-        let mut draw = Draw::numbered(seed, Stream::Backends, number);
+        let mut draw = SeededRng::with_index(seed, RngStream::Backends, number);
         let speed = draw.lognormal(kind.speed, kind.spread);
         let stalls = kind.stalls.map(|s| Turns::new(s, now, &mut draw));
         let neighbours = kind.neighbours.map(|s| Turns::new(s, now, &mut draw));
@@ -156,10 +156,10 @@
             zone,
             group,
             speed,
-            up: true,
+            is_up: true,
             draining: false,
-            cut: false,
-            hung: false,
+            is_cut_off: false,
+            is_hung: false,
             part: 1.0,
             errors,
             started: started.unwrap_or_default(),
@@ -173,7 +173,7 @@
             collapsed: false,
             stalls,
             neighbours,
-            stands_until: Moment(0),
+            stalled_until: Moment(0),
             poured: VecDeque::new(),
             budget,
             draw,
@@ -183,11 +183,11 @@
         backend
     }
 
-    pub fn held(&self) -> usize {
+    pub fn held_commands(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    pub fn waiting(&self) -> usize {
+    pub fn queued_commands(&self) -> usize {
         self.waiting.len()
     }
 
@@ -236,7 +236,7 @@
         for turns in [&mut self.stalls, &mut self.neighbours].into_iter().flatten() {
             turns.pass(now, &mut self.draw);
         }
-        let held = self.held() as f64;
+        let held = self.held_commands() as f64;
         if let Some(collapse) = self.kind.collapse {
             let each = held / self.cores();
             self.collapsed = if self.collapsed { each > collapse.until } else { each >= collapse.at };
@@ -245,14 +245,14 @@
         let collapse = self.kind.collapse.filter(|_| self.collapsed).map_or(1.0, |c| c.speed);
         let turns = self.stalls.as_ref().map_or(1.0, Turns::speed)
             * self.neighbours.as_ref().map_or(1.0, Turns::speed);
-        let stands = self.hung || !self.up || now < self.stands_until;
+        let stands = self.is_hung || !self.is_up || now < self.stalled_until;
         let own = self.speed * self.part * self.warmth(now);
         self.rate = if stands { 0.0 } else { own * crowd * collapse * turns };
     }
 
     /// The next moment at which something about it changes by itself. Never for one that does nothing.
-    pub fn next(&self) -> Option<Moment> {
-        if self.running.is_empty() || !self.up {
+    pub fn next_change(&self) -> Option<Moment> {
+        if self.running.is_empty() || !self.is_up {
             return None;
         }
         let mut edge = u64::MAX;
@@ -264,8 +264,8 @@
         for turns in [&self.stalls, &self.neighbours].into_iter().flatten() {
             edge = edge.min(turns.edge.0);
         }
-        if self.at < self.stands_until {
-            edge = edge.min(self.stands_until.0);
+        if self.at < self.stalled_until {
+            edge = edge.min(self.stalled_until.0);
         }
         if self.warmth(self.at) < 1.0 {
             let step = (self.kind.warm.0 / STEPS).max(1);
@@ -276,8 +276,8 @@
     }
 
     /// Lets time pass, and tells what happened meanwhile in its order.
-    pub fn advance(&mut self, now: Moment, memory: &mut Memory, told: &mut Vec<Happened>) {
-        while let Some(edge) = self.next().filter(|edge| *edge <= now) {
+    pub fn advance(&mut self, now: Moment, memory: &mut IdempotencyStore, told: &mut Vec<BackendEvent>) {
+        while let Some(edge) = self.next_change().filter(|edge| *edge <= now) {
             self.pass(edge);
             self.end(edge, memory, told);
             self.turn(edge);
@@ -299,22 +299,22 @@
         self.done += step;
     }
 
-    fn end(&mut self, now: Moment, memory: &mut Memory, told: &mut Vec<Happened>) {
+    fn end(&mut self, now: Moment, memory: &mut IdempotencyStore, told: &mut Vec<BackendEvent>) {
         // A thousandth of a microsecond is what rounding leaves.
         while let Some(i) = self.running.iter().position(|r| r.until <= self.done + 1e-3) {
-            told.push(Happened::Ended(self.running.remove(i).key, now));
+            told.push(BackendEvent::WorkFinished(self.running.remove(i).key, now));
         }
         self.begin(now, memory, told);
     }
 
-    fn begin(&mut self, now: Moment, memory: &mut Memory, told: &mut Vec<Happened>) {
+    fn begin(&mut self, now: Moment, memory: &mut IdempotencyStore, told: &mut Vec<BackendEvent>) {
         while self.running.len() < usize::from(self.kind.cores) {
             let Some(next) = self.waiting.pop_front() else { break };
             let repeat = next.tag.is_some_and(|tag| memory.repeat(now, &tag));
             let work = if repeat { next.work.min(REPEAT_WORK) } else { next.work };
             self.running.push(Running { key: next.key, until: self.done + work });
             if !repeat {
-                told.push(Happened::Began(next.key, now));
+                told.push(BackendEvent::WorkStarted(next.key, now));
             }
         }
     }
@@ -323,11 +323,11 @@
     pub fn arrive(
         &mut self,
         now: Moment,
-        (key, work, tag): (Key, f64, Option<Tag>),
-        memory: &mut Memory,
-        told: &mut Vec<Happened>,
+        (key, work, tag): (Key, f64, Option<IdempotencyKey>),
+        memory: &mut IdempotencyStore,
+        told: &mut Vec<BackendEvent>,
     ) -> Reply {
-        if !self.up {
+        if !self.is_up {
             return Reply::Down;
         }
         if self.draining {
@@ -337,11 +337,11 @@
             return Reply::Error;
         }
         let cores = self.cores();
-        if self.held() as f64 >= cores + (self.kind.queue * cores).round() {
+        if self.held_commands() as f64 >= cores + (self.kind.queue * cores).round() {
             return Reply::Full;
         }
         if self.would_fall(now, work) {
-            return Reply::Fell;
+            return Reply::Crashed;
         }
         if self.warmth(now) < 1.0 {
             let span = self.budget.1;
@@ -354,11 +354,17 @@
         self.waiting.push_back(Waiting { key, work, tag });
         self.begin(now, memory, told);
         self.turn(now);
-        Reply::Taken
+        Reply::Accepted
     }
 
     /// Its node has given a command up. Call `advance` first.
-    pub fn stop(&mut self, now: Moment, key: Key, memory: &mut Memory, told: &mut Vec<Happened>) {
+    pub fn cancel(
+        &mut self,
+        now: Moment,
+        key: Key,
+        memory: &mut IdempotencyStore,
+        told: &mut Vec<BackendEvent>,
+    ) {
         if self.kind.stops != Stops::None {
             self.waiting.retain(|w| w.key != key);
         }
@@ -370,13 +376,13 @@
     }
 
     /// Work that belongs to no command: a probe, a new connection.
-    pub fn burden(&mut self, work: f64) {
+    pub fn add_overhead(&mut self, work: f64) {
         self.debt += work / self.cores();
     }
 
     /// The process dies: whatever it held is lost.
     pub fn die(&mut self, now: Moment) {
-        self.up = false;
+        self.is_up = false;
         self.running.clear();
         self.waiting.clear();
         self.debt = 0.0;
@@ -387,9 +393,9 @@
 
     /// A new process under the old name: cold.
     pub fn rise(&mut self, now: Moment) {
-        self.up = true;
+        self.is_up = true;
         self.draining = false;
-        self.hung = false;
+        self.is_hung = false;
         self.seasoned = false;
         self.started = now;
         self.poured.clear();
--- a/crates/rehearsal/src/model/clients.rs
+++ b/crates/rehearsal/src/model/clients.rs
@@ -1,40 +1,48 @@
 //! What a client does when a try has ended: whether it tries again, and when.
 
-use crate::draw::Draw;
-use crate::scenario::{Again, EffectOf, Scenario};
+use crate::draw::SeededRng;
+use crate::scenario::{CommandEffect, RetryMode, Scenario};
 use yarrowfront::times::Span;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum TryEnd {
+pub enum AttemptOutcome {
     Finished,
     /// With the come-back time, if one was told.
-    TurnedBack(Option<Span>),
+    Rejected(Option<Span>),
     Errored,
     /// No whole answer: its connection broke, or nobody took it.
     Lost,
     /// Nobody could have taken it: no connection came up.
-    Refused,
+    NotConnected,
     /// The client's time for it was over.
     TimedOut,
 }
 
 /// After how long the next try starts, if there is one.
-pub fn again(scenario: &Scenario, profile: u16, tries: u32, end: TryEnd, draw: &mut Draw) -> Option<Span> {
+pub fn retry_delay(
+    scenario: &Scenario,
+    profile: u16,
+    tries: u32,
+    end: AttemptOutcome,
+    draw: &mut SeededRng,
+) -> Option<Span> {
     let clients = &scenario.clients;
     let effect = scenario.profiles[usize::from(profile)].effect;
     let harmless = match end {
-        TryEnd::Finished => return None,
-        TryEnd::TurnedBack(_) | TryEnd::Refused => true,
+        AttemptOutcome::Finished => return None,
+        AttemptOutcome::Rejected(_) | AttemptOutcome::NotConnected => true,
         // It may have run: only what may be repeated goes out again.
-        TryEnd::Errored | TryEnd::Lost | TryEnd::TimedOut => effect == EffectOf::Repeatable,
+        AttemptOutcome::Errored | AttemptOutcome::Lost | AttemptOutcome::TimedOut => {
+            effect == CommandEffect::Repeatable
+        }
     };
-    if !harmless || tries > clients.retries || clients.again == Again::Never {
+    if !harmless || tries > clients.retries || clients.retry_mode == RetryMode::Never {
         return None;
     }
-    let wait = clients.wait.span().scaled(0.5 + draw.unit());
-    Some(match (clients.again, end) {
-        (Again::AtOnce, _) => Span(0),
-        (Again::Advised, TryEnd::TurnedBack(Some(told))) => told,
+    let wait = clients.wait.span().scaled(0.5 + draw.uniform());
+    Some(match (clients.retry_mode, end) {
+        (RetryMode::AtOnce, _) => Span(0),
+        (RetryMode::Advised, AttemptOutcome::Rejected(Some(told))) => told,
         _ => wait,
     })
 }
--- a/crates/rehearsal/src/model/fleet.rs
+++ b/crates/rehearsal/src/model/fleet.rs
@@ -1,7 +1,7 @@
 //! All backends, what the list says of them, and what a trouble's step means for them.
 
-use crate::draw::Draw;
-use crate::model::backend::{Backend, Memory};
+use crate::draw::SeededRng;
+use crate::model::backend::{Backend, IdempotencyStore};
 use crate::model::troubles::Step;
 use crate::scenario::{Scenario, Scope};
 use yarrowfront::decide::{Listed, State};
@@ -10,23 +10,23 @@
 
 /// What a step asks of whoever drives the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Asked {
+pub enum DriverAction {
     /// What was on its connections is lost, and new ones are refused.
-    Reset(usize),
+    ResetConnections(usize),
     /// The list is to look at it then.
     Publish(Moment, usize),
-    Later(Moment, Step),
+    ScheduleStep(Moment, Step),
     /// It has started, cold.
-    Started(usize),
+    ReportColdStart(usize),
     /// It may go on at another rate.
-    Turned(usize),
+    UpdateNextChange(usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum OnTheWay {
-    Comes,
+pub enum AnswerFate {
+    Delivered,
     /// Its connection breaks off.
-    Breaks,
+    ConnectionBroken,
     /// It never comes, and its connection stays open.
     Lost,
 }
@@ -36,15 +36,15 @@
     kinds: Vec<u8>,
     /// Machines that others have replaced: they never come back.
     retired: Vec<bool>,
-    pub memory: Memory,
+    pub idempotency_store: IdempotencyStore,
     /// What the list says: of whom nothing, those are not in it.
-    pub said: Vec<Listed>,
+    pub entries: Vec<Listed>,
     /// The list's version, and which line each version changed.
     pub changes: Vec<usize>,
-    pub list_up: bool,
+    pub discovery_is_up: bool,
     pub resets: f64,
     pub lost: f64,
-    pub delay: i64,
+    pub extra_delay_us: i64,
     seed: u64,
     list: crate::scenario::List,
     budget: (f64, Span),
@@ -56,13 +56,13 @@
             backends: Vec::new(),
             kinds: Vec::new(),
             retired: Vec::new(),
-            memory: Memory::default(),
-            said: Vec::new(),
+            idempotency_store: IdempotencyStore::default(),
+            entries: Vec::new(),
             changes: Vec::new(),
-            list_up: true,
+            discovery_is_up: true,
             resets: scenario.net.resets,
             lost: 0.0,
-            delay: 0,
+            extra_delay_us: 0,
             seed,
             list: scenario.list.clone(),
             budget: (scenario.allow.push_over, scenario.allow.push_span.span()),
@@ -83,7 +83,7 @@
     fn add(
         &mut self,
         kind: usize,
-        k: crate::scenario::Kind,
+        k: crate::scenario::BackendKind,
         place: (u16, u16),
         started: Option<Moment>,
         now: Moment,
@@ -92,7 +92,7 @@
         self.backends.push(Backend::new(k, place, started, now, self.budget, (self.seed, number)));
         self.kinds.push(kind as u8);
         self.retired.push(false);
-        self.said.push(Listed {
+        self.entries.push(Listed {
             mark: number,
             size: 1.0,
             backend: BackendId(number as u32),
@@ -104,12 +104,12 @@
         });
     }
 
-    pub fn name(&self, i: usize) -> String {
+    pub fn backend_name(&self, i: usize) -> String {
         format!("b{i}")
     }
 
     /// Within which memory a tag sent there is looked up.
-    pub fn scope(&self, scope: Scope, i: usize) -> u32 {
+    pub fn scope_id(&self, scope: Scope, i: usize) -> u32 {
         let b = &self.backends[i];
         match scope {
             Scope::All => 0,
@@ -121,12 +121,12 @@
     /// The list looks at a backend: true if there is something new to tell.
     pub fn publish(&mut self, i: usize) -> bool {
         let b = &self.backends[i];
-        let state = match (b.up && !b.cut, b.draining) {
+        let state = match (b.is_up && !b.is_cut_off, b.draining) {
             (false, _) => State::Gone,
             (true, true) => State::Draining,
             (true, false) => State::Ready,
         };
-        let said = &mut self.said[i];
+        let said = &mut self.entries[i];
         let new = (state, b.started);
         if (said.state, said.started) == new {
             return false;
@@ -137,33 +137,33 @@
     }
 
     /// The lines of all backends that are in the list.
-    pub fn whole(&self) -> impl Iterator<Item = Listed> + '_ {
-        self.said.iter().filter(|l| l.state != State::Gone).copied()
+    pub fn snapshot(&self) -> impl Iterator<Item = Listed> + '_ {
+        self.entries.iter().filter(|l| l.state != State::Gone).copied()
     }
 
     /// What becomes of an answer on its way.
-    pub fn answer(&self, draw: &mut Draw) -> OnTheWay {
-        match draw.unit() {
-            x if x < self.resets => OnTheWay::Breaks,
-            x if x < self.resets + self.lost => OnTheWay::Lost,
-            _ => OnTheWay::Comes,
+    pub fn draw_answer_fate(&self, draw: &mut SeededRng) -> AnswerFate {
+        match draw.uniform() {
+            x if x < self.resets => AnswerFate::ConnectionBroken,
+            x if x < self.resets + self.lost => AnswerFate::Lost,
+            _ => AnswerFate::Delivered,
         }
     }
 
     /// What a step does to the backends. The node's and the list's own steps are the driver's.
-    pub fn step(&mut self, now: Moment, step: Step, asked: &mut Vec<Asked>) {
+    pub fn apply(&mut self, now: Moment, step: Step, asked: &mut Vec<DriverAction>) {
         let noticed = now + self.list.notice.span();
         let added = now + self.list.add.span();
         match step {
-            Step::Drain(i) if self.backends[i].up => {
+            Step::Drain(i) if self.backends[i].is_up => {
                 self.backends[i].draining = true;
-                asked.push(Asked::Publish(now, i));
+                asked.push(DriverAction::Publish(now, i));
             }
-            Step::Leave(i) if self.backends[i].draining => self.down(now, i, now, asked),
-            Step::Die(i) if self.backends[i].up => self.down(now, i, noticed, asked),
-            Step::Rise(i) if !self.backends[i].up && !self.retired[i] => {
+            Step::StopDrained(i) if self.backends[i].draining => self.down(now, i, now, asked),
+            Step::Kill(i) if self.backends[i].is_up => self.down(now, i, noticed, asked),
+            Step::Restart(i) if !self.backends[i].is_up && !self.retired[i] => {
                 self.backends[i].rise(now);
-                asked.extend([Asked::Started(i), Asked::Publish(added, i)]);
+                asked.extend([DriverAction::ReportColdStart(i), DriverAction::Publish(added, i)]);
             }
             Step::Replace(i) if !self.retired[i] => {
                 self.retired[i] = true;
@@ -171,49 +171,49 @@
                 let (k, place) = (b.kind.clone(), (b.zone, b.group));
                 self.add(kind, k, place, Some(now), now);
                 let new = self.backends.len() - 1;
-                asked.extend([Asked::Started(new), Asked::Publish(added, new)]);
+                asked.extend([DriverAction::ReportColdStart(new), DriverAction::Publish(added, new)]);
             }
-            Step::Cut(i) => {
-                self.backends[i].cut = true;
-                asked.push(Asked::Publish(noticed, i));
+            Step::CutOff(i) => {
+                self.backends[i].is_cut_off = true;
+                asked.push(DriverAction::Publish(noticed, i));
             }
-            Step::Mend(i) => {
-                self.backends[i].cut = false;
+            Step::Reconnect(i) => {
+                self.backends[i].is_cut_off = false;
                 // Connections from before are reset now that something comes back on them.
-                asked.extend([Asked::Reset(i), Asked::Publish(added, i)]);
+                asked.extend([DriverAction::ResetConnections(i), DriverAction::Publish(added, i)]);
             }
-            Step::Stand(i, span) => {
+            Step::Stall(i, span) => {
                 let b = &mut self.backends[i];
-                b.stands_until = b.stands_until.max(now + span);
+                b.stalled_until = b.stalled_until.max(now + span);
             }
-            Step::Hang(i, hung) => self.backends[i].hung = hung,
-            Step::Slow(i, part) => self.backends[i].part *= part,
-            Step::Errors(i, more) => {
+            Step::Hang(i, hung) => self.backends[i].is_hung = hung,
+            Step::ScaleSpeed(i, part) => self.backends[i].part *= part,
+            Step::AddErrors(i, more) => {
                 let b = &mut self.backends[i];
                 b.errors = (b.errors + more).clamp(0.0, 1.0);
             }
-            Step::ListDown => self.list_up = false,
-            Step::ListUp => self.list_up = true,
-            Step::Resets(more) => self.resets = (self.resets + more).clamp(0.0, 1.0),
-            Step::LostAnswers(more) => self.lost = (self.lost + more).clamp(0.0, 1.0),
-            Step::Delay(more) => self.delay += more,
+            Step::DiscoveryDown => self.discovery_is_up = false,
+            Step::DiscoveryUp => self.discovery_is_up = true,
+            Step::AddResets(more) => self.resets = (self.resets + more).clamp(0.0, 1.0),
+            Step::AddLostAnswers(more) => self.lost = (self.lost + more).clamp(0.0, 1.0),
+            Step::AddDelay(more) => self.extra_delay_us += more,
             _ => {}
         }
-        if let Step::Stand(i, _) | Step::Hang(i, _) | Step::Slow(i, _) = step {
+        if let Step::Stall(i, _) | Step::Hang(i, _) | Step::ScaleSpeed(i, _) = step {
             self.backends[i].changed(now);
-            asked.push(Asked::Turned(i));
+            asked.push(DriverAction::UpdateNextChange(i));
         }
     }
 
-    fn down(&mut self, now: Moment, i: usize, told: Moment, asked: &mut Vec<Asked>) {
+    fn down(&mut self, now: Moment, i: usize, told: Moment, asked: &mut Vec<DriverAction>) {
         self.backends[i].die(now);
-        asked.extend([Asked::Reset(i), Asked::Publish(told, i)]);
+        asked.extend([DriverAction::ResetConnections(i), DriverAction::Publish(told, i)]);
     }
 
     /// It was pushed over while cold.
-    pub fn fall(&mut self, now: Moment, i: usize, asked: &mut Vec<Asked>) {
+    pub fn crash(&mut self, now: Moment, i: usize, asked: &mut Vec<DriverAction>) {
         let back = now + self.backends[i].kind.falls.span();
-        self.step(now, Step::Die(i), asked);
-        asked.push(Asked::Later(back, Step::Rise(i)));
+        self.apply(now, Step::Kill(i), asked);
+        asked.push(DriverAction::ScheduleStep(back, Step::Restart(i)));
     }
 }
--- a/crates/rehearsal/src/model/settings.rs
+++ b/crates/rehearsal/src/model/settings.rs
@@ -1,7 +1,7 @@
 //! The settings that a node is given for a scenario: one text for the module on the virtual clock and for the
 //! node's file on the real one.
 
-use crate::scenario::{EffectOf, Follow, Scenario, Scope};
+use crate::scenario::{CommandEffect, ListMode, Scenario, Scope};
 use serde_json::{json, Value};
 
 pub fn zone_name(zone: u16) -> String {
@@ -11,13 +11,13 @@
 /// What a load report is called by the settings; the stand-in backends call the fields by their own names.
 pub const REPORT: [&str; 3] = ["outstanding", "backlog", "utilization"];
 
-pub fn settings(scenario: &Scenario, node: usize) -> Value {
+pub fn node_settings(scenario: &Scenario, node: usize) -> Value {
     let zone = node as u16 % scenario.zones;
     let profile = |p: &crate::scenario::Profile| {
         let effect = match p.effect {
-            EffectOf::Repeatable => "repeatable",
-            EffectOf::Tagged => "by_key",
-            EffectOf::OnceOnly => "once",
+            CommandEffect::Repeatable => "repeatable",
+            CommandEffect::Tagged => "by_key",
+            CommandEffect::OnceOnly => "once",
         };
         let scope = match p.scope {
             Scope::All => "all",
@@ -37,7 +37,7 @@
         "zone": zone,
         "zones": (0..scenario.zones).map(zone_name).collect::<Vec<_>>(),
         "flavors": scenario.backends.iter().map(|k| &k.kind).collect::<Vec<_>>(),
-        "discovery": if scenario.list.mode == Follow::Ask { "ask" } else { "push" },
+        "discovery": if scenario.list.mode == ListMode::Ask { "ask" } else { "push" },
         "profiles": scenario.profiles.iter().map(profile).collect::<Vec<_>>(),
         "tenants": scenario.customers.iter()
             .map(|c| json!({"name": c.name, "quotaPerS": c.quota_per_s})).collect::<Vec<_>>(),
--- a/crates/rehearsal/src/paper.rs
+++ b/crates/rehearsal/src/paper.rs
@@ -1,11 +1,13 @@
 //! The model beside the paper that the design comes from: its policy as it stands there, on plain exponential
 //! servers, against the figures of its Table 3.
 
-use crate::draw::{Draw, Stream};
+use crate::draw::{RngStream, SeededRng};
 use crate::model::fleet::Fleet;
-use crate::policy::{self, Birth, Policy, Task};
-use crate::scenario::{Allow, EffectOf, Scope};
-use crate::scenario::{Clients, Kind, Law, List, Load, Net, Profile, Scenario, Shape, Stops};
+use crate::policy::{self, NodeContext, Policy, Task};
+use crate::scenario::{Allow, CommandEffect, Scope};
+use crate::scenario::{
+    BackendKind, Clients, List, Load, LoadShape, Net, Profile, Scenario, Stops, WorkDistribution,
+};
 use crate::span::Time;
 use crate::stats::Mean;
 use crate::virtual_clock;
@@ -24,7 +26,7 @@
 struct Board {
     tokens: Vec<VecDeque<usize>>,
     placed: Vec<bool>,
-    draw: Draw,
+    draw: SeededRng,
 }
 
 /// JIQ-SQ(d) without token withdrawals. A server that becomes idle gives its token to the one of `d` random
@@ -35,7 +37,7 @@
     d: usize,
     first_come: bool,
     servers: usize,
-    draw: Draw,
+    draw: SeededRng,
 }
 
 impl Plain {
@@ -68,7 +70,7 @@
         let server = task.sent[usize::from(n)].backend;
         let d = self.d;
         let mut board = self.board();
-        if fleet.backends[server].held() == 0 && !board.placed[server] {
+        if fleet.backends[server].held_commands() == 0 && !board.placed[server] {
             let nodes = board.tokens.len();
             let drawn: Vec<usize> = (0..d).map(|_| board.draw.below(nodes)).collect();
             let fewest = drawn.into_iter().min_by_key(|i| board.tokens[*i].len()).unwrap_or(0);
@@ -97,7 +99,7 @@
 
 /// Plain servers: one core, one rate, a queue without end, no network, nobody in a hurry.
 fn plain(servers: u32, ratio: u32, load: f64, length: Time) -> Scenario {
-    let kind = Kind {
+    let kind = BackendKind {
         kind: "plain".into(),
         count: servers,
         cores: 1,
@@ -126,7 +128,7 @@
         settle: Time(length.0 / 3),
         nodes: (servers / ratio).max(1),
         zones: 1,
-        load: Load { share: Some(load), per_s: None, shape: Shape::Poisson, swing: 0.0 },
+        load: Load { share: Some(load), per_s: None, shape: LoadShape::Poisson, swing: 0.0 },
         clients: Clients::default(),
         list: List::default(),
         net: Net {
@@ -142,14 +144,14 @@
         profiles: vec![Profile {
             name: "job".into(),
             share: 1.0,
-            effect: EffectOf::Repeatable,
+            effect: CommandEffect::Repeatable,
             scope: Scope::All,
             memory: Time::seconds(10),
             goal: long,
             limit: long,
             payoff: 1.0,
             work: UNIT,
-            law: Law::Exponential,
+            law: WorkDistribution::Exponential,
             spread: 1.0,
         }],
         customers: Vec::new(),
@@ -173,19 +175,19 @@
     let nodes = scenario.nodes as usize;
     let placed = vec![true; servers as usize];
     // At the start every server is idle: its token lies somewhere.
-    let mut draw = Draw::new(seed, Stream::Fleet);
+    let mut draw = SeededRng::new(seed, RngStream::Fleet);
     let mut tokens = vec![VecDeque::new(); nodes];
     for server in 0..servers as usize {
         tokens[draw.below(nodes)].push_back(server);
     }
     let board = Arc::new(Mutex::new(Board { tokens, placed, draw }));
-    let make = |birth: &Birth| -> Result<Box<dyn Policy>, String> {
+    let make = |birth: &NodeContext| -> Result<Box<dyn Policy>, String> {
         let (d, first_come) = match name {
             "JIQ-SQ(1) FCFS" => (1, true),
             "JIQ-SQ(2) LCFS" => (2, false),
-            _ => return policy::make(name, birth),
+            _ => return policy::create(name, birth),
         };
-        let draw = Draw::new(birth.seed, Stream::Nodes);
+        let draw = SeededRng::new(birth.seed, RngStream::Nodes);
         let servers = servers as usize;
         Ok(Box::new(Plain { board: board.clone(), node: birth.node, d, first_come, servers, draw }))
     };
--- a/crates/rehearsal/src/policy.rs
+++ b/crates/rehearsal/src/policy.rs
@@ -1,9 +1,9 @@
 //! Policies on the virtual clock: yarrowfront's own module, unchanged, and simple ones to compare it with.
 
-use crate::draw::{Draw, Stream};
+use crate::draw::{RngStream, SeededRng};
 use crate::model::fleet::Fleet;
-use crate::model::settings::settings;
-use crate::scenario::{EffectOf, Scenario};
+use crate::model::settings::node_settings;
+use crate::scenario::{CommandEffect, Scenario};
 use yarrowfront::command::{Command, Fate, Outcome};
 use yarrowfront::decide::{Balancer, Errand, ListKind, Listed, Say, State};
 use yarrowfront::ids::{BackendId, Hand};
@@ -51,19 +51,19 @@
 }
 
 /// A node's start.
-pub struct Birth<'a> {
+pub struct NodeContext<'a> {
     pub scenario: &'a Scenario,
     pub node: usize,
     pub seed: u64,
     pub now: Moment,
 }
 
-pub type Make<'a> = dyn Fn(&Birth) -> Result<Box<dyn Policy>, String> + Sync + 'a;
+pub type PolicyFactory<'a> = dyn Fn(&NodeContext) -> Result<Box<dyn Policy>, String> + Sync + 'a;
 
 pub const NAMES: [&str; 6] = ["yarrowfront", "random", "round-robin", "less-busy", "shortest", "sighted"];
 
 /// The policy of this name for a node that starts.
-pub fn make(name: &str, birth: &Birth) -> Result<Box<dyn Policy>, String> {
+pub fn create(name: &str, birth: &NodeContext) -> Result<Box<dyn Policy>, String> {
     let pick = match name {
         "yarrowfront" => return Yarrowfront::new(birth).map(|y| Box::new(y) as Box<dyn Policy>),
         "random" => Pick::Random,
@@ -79,8 +79,8 @@
 pub struct Yarrowfront(Balancer);
 
 impl Yarrowfront {
-    pub fn new(birth: &Birth) -> Result<Yarrowfront, String> {
-        let terms = Terms::from_json(settings(birth.scenario, birth.node).to_string().as_bytes())?;
+    pub fn new(birth: &NodeContext) -> Result<Yarrowfront, String> {
+        let terms = Terms::from_json(node_settings(birth.scenario, birth.node).to_string().as_bytes())?;
         Ok(Yarrowfront(Balancer::new(terms, birth.seed, birth.now)))
     }
 }
@@ -135,12 +135,12 @@
 /// One that holds nothing, learns nothing and keeps the rules as simply as can be.
 struct Simple {
     pick: Pick,
-    draw: Draw,
+    draw: SeededRng,
     turn: usize,
     listed: Vec<Listed>,
     ready: Vec<usize>,
     out: Vec<u32>,
-    effects: Vec<EffectOf>,
+    effects: Vec<CommandEffect>,
     goals: Vec<Span>,
     works: Vec<f64>,
     /// Payoff for each microsecond of work, and what a command must bring to be let in at present.
@@ -154,9 +154,9 @@
 }
 
 impl Simple {
-    fn new(pick: Pick, birth: &Birth) -> Simple {
+    fn new(pick: Pick, birth: &NodeContext) -> Simple {
         let scenario = birth.scenario;
-        let draw = Draw::new(birth.seed, Stream::Nodes);
+        let draw = SeededRng::new(birth.seed, RngStream::Nodes);
         Simple {
             pick,
             draw,
@@ -206,13 +206,21 @@
                 for k in 0..open.len() {
                     let i = open[(start + k) % open.len()];
                     let b = &fleet.backends[i];
-                    let full = b.held() as f64 >= b.cores() * (1.0 + b.kind.queue);
-                    let brink = b.kind.collapse.is_some_and(|c| b.held() as f64 + 1.0 >= c.at * b.cores());
+                    let full = b.held_commands() as f64 >= b.cores() * (1.0 + b.kind.queue);
+                    let brink =
+                        b.kind.collapse.is_some_and(|c| b.held_commands() as f64 + 1.0 >= c.at * b.cores());
                     let full = full || careful && brink;
-                    if !b.up || b.cut || b.draining || full || b.rate() <= 0.0 || b.would_fall(now, work) {
+                    if !b.is_up
+                        || b.is_cut_off
+                        || b.draining
+                        || full
+                        || b.rate() <= 0.0
+                        || b.would_fall(now, work)
+                    {
                         continue;
                     }
-                    let wait = if (b.held() as f64) < b.cores() { 0.0 } else { b.ahead() / b.cores() };
+                    let wait =
+                        if (b.held_commands() as f64) < b.cores() { 0.0 } else { b.ahead() / b.cores() };
                     let took = (wait + work) / b.rate();
                     if took < best.0 {
                         best = (took, Some(i));
@@ -246,7 +254,8 @@
         }
         task.command.closed = true;
         let effect = self.effects[usize::from(task.command.profile.0)];
-        let harmless = effect == EffectOf::Repeatable || task.sent.iter().all(|s| s.fate == Fate::NotRun);
+        let harmless =
+            effect == CommandEffect::Repeatable || task.sent.iter().all(|s| s.fate == Fate::NotRun);
         if harmless {
             Say::TurnBack(self.come_back)
         } else {
@@ -283,7 +292,7 @@
             return Say::NotYet;
         }
         let effect = self.effects[usize::from(task.command.profile.0)];
-        let harmless = effect == EffectOf::Repeatable || outcome.proves_not_run(false);
+        let harmless = effect == CommandEffect::Repeatable || outcome.proves_not_run(false);
         if harmless && task.sent.len() < self.most && now < task.command.ends {
             return self.place(now, hand, task, fleet);
         }
--- a/crates/rehearsal/src/program.rs
+++ b/crates/rehearsal/src/program.rs
@@ -7,7 +7,7 @@
 
 /// The node beside this program. Started by cargo, it is built first: otherwise an old one would be played, or
 /// none would be there at all.
-pub fn node() -> Result<PathBuf, String> {
+pub fn node_binary() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| format!("where this program is cannot be told: {e}"))?;
     // Tests lie in a folder of their own below the programs.
     let folder = own.parent().unwrap_or(Path::new("."));
--- a/crates/rehearsal/src/real/backends.rs
+++ b/crates/rehearsal/src/real/backends.rs
@@ -1,6 +1,6 @@
 //! Stand-in backends: the model behind sockets, one listener each.
 
-use crate::judge::Seen;
+use crate::judge::Observation;
 use crate::real::ports;
 use crate::real::stage::{Stage, Stay};
 use bytes::Bytes;
@@ -145,9 +145,15 @@
     let Some((attempt, sent)) = attempt.and_then(|a| Some((a, stage.of(a)?))) else {
         return Ok(plain(StatusCode::BAD_REQUEST, "no client has sent this"));
     };
-    let told_left = request.headers().get("x-time-left-ms").and_then(|v| v.to_str().ok());
-    let told_left = told_left.and_then(|millis| millis.parse().ok()).map(Span::millis);
-    stage.see(Seen::Launched { node: sent.node, backend: i, attempt, at: stage.now(), told_left });
+    let announced_time_left = request.headers().get("x-time-left-ms").and_then(|v| v.to_str().ok());
+    let announced_time_left = announced_time_left.and_then(|millis| millis.parse().ok()).map(Span::millis);
+    stage.see(Observation::LaunchStarted {
+        node: sent.node,
+        backend: i,
+        attempt,
+        at: stage.now(),
+        announced_time_left,
+    });
     let method = request.method().clone();
     if request.into_body().collect().await.is_err() {
         return Err("the command was cut short");
@@ -181,7 +187,7 @@
     if !stage.scenario.allow.probes {
         return Ok(plain(StatusCode::NOT_FOUND, "no probes here"));
     }
-    stage.see(Seen::Probed);
+    stage.see(Observation::ProbeReceived);
     stage.burden(i, false);
     let Some(load) = stage.load(i) else {
         // A process that stands answers nobody.
--- a/crates/rehearsal/src/real/clients.rs
+++ b/crates/rehearsal/src/real/clients.rs
@@ -1,13 +1,13 @@
 //! The clients: commands go out when they are due, whatever became of those before.
 
-use crate::draw::{Draw, Stream};
-use crate::judge::{Ending, Final, Seen};
-use crate::model::arrivals::{Arrivals, Wanted};
-use crate::model::clients::{again, TryEnd};
+use crate::draw::{RngStream, SeededRng};
+use crate::judge::{CommandOutcome, FinalAnswer, Observation};
+use crate::model::arrivals::{Arrival, Arrivals};
+use crate::model::clients::{retry_delay, AttemptOutcome};
 use crate::real::backends::ID;
 use crate::real::nodes::Crew;
 use crate::real::stage::{Sent, Stage};
-use crate::scenario::EffectOf;
+use crate::scenario::CommandEffect;
 use crate::span::Time;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
@@ -37,7 +37,7 @@
     stage: Rc<Stage>,
     crew: Crew,
     seed: u64,
-    draw: RefCell<Draw>,
+    draw: RefCell<SeededRng>,
     /// Open connections without a command, by node; the last one used last.
     idle: RefCell<Vec<Vec<Sender>>>,
     tries: Cell<u64>,
@@ -47,7 +47,7 @@
     pub fn new(stage: Rc<Stage>, crew: Crew, seed: u64) -> Rc<Crowd> {
         let nodes = stage.scenario.nodes as usize;
         let idle = RefCell::new((0..nodes).map(|_| Vec::new()).collect());
-        let draw = RefCell::new(Draw::new(seed, Stream::Clients));
+        let draw = RefCell::new(SeededRng::new(seed, RngStream::Clients));
         // Another rehearsal may take a port that this one has let go: its commands must not be taken for ours.
         let tries = Cell::new(u64::from(std::process::id()) << 32);
         Rc::new(Crowd { stage, crew, seed, draw, idle, tries })
@@ -64,39 +64,39 @@
             let at = self.stage.moment(due);
             late.saturating_record(self.stage.now().since(at).0.max(1));
             let (command, profile) = (wanted.number, wanted.profile);
-            self.stage.see(Seen::Due { command, profile, at });
+            self.stage.see(Observation::CommandDue { command, profile, at });
             all.spawn_local(self.clone().command(wanted));
         }
         while all.join_next().await.is_some() {}
         late
     }
 
-    async fn command(self: Rc<Self>, wanted: Wanted) {
+    async fn command(self: Rc<Self>, wanted: Arrival) {
         let mut tries = 0;
-        let ending = loop {
+        let outcome = loop {
             tries += 1;
             let end = self.attempt(&wanted, tries).await;
-            let Some(end) = end else { break Ending::Left };
+            let Some(end) = end else { break CommandOutcome::ClientLeft };
             let pause = {
                 let mut draw = self.draw.borrow_mut();
-                again(&self.stage.scenario, wanted.profile, tries, end, &mut draw)
+                retry_delay(&self.stage.scenario, wanted.profile, tries, end, &mut draw)
             };
             match pause {
                 Some(pause) => sleep(Duration::from_micros(pause.0)).await,
-                None => break Ending::from(end),
+                None => break CommandOutcome::from(end),
             }
         };
         let (command, profile) = (wanted.number, wanted.profile);
-        self.stage.see(Seen::Settled { command, profile, at: self.stage.now(), ending });
+        self.stage.see(Observation::CommandSettled { command, profile, at: self.stage.now(), outcome });
     }
 
     /// One try; none where the client left before its end.
-    async fn attempt(&self, wanted: &Wanted, tries: u32) -> Option<TryEnd> {
+    async fn attempt(&self, wanted: &Arrival, tries: u32) -> Option<AttemptOutcome> {
         let nodes = self.crew.in_front();
-        let draw = if tries == 1 { wanted.front } else { self.draw.borrow_mut().unit() };
+        let draw = if tries == 1 { wanted.node_draw } else { self.draw.borrow_mut().uniform() };
         let front = nodes.get((draw * nodes.len() as f64) as usize).copied();
         let Some(node) = self.stopping_with_open_connection().or(front) else {
-            return Some(TryEnd::Refused);
+            return Some(AttemptOutcome::NotConnected);
         };
         self.tries.set(self.tries.get() + 1);
         let attempt = self.tries.get();
@@ -105,38 +105,38 @@
         let limit = self.stage.scenario.profiles[usize::from(profile)].limit;
         let until = Instant::now() + limit.duration() + PATIENCE;
         let leave = self.stage.scenario.clients.leave_after.duration();
-        let leaves = wanted.leaves && leave < limit.duration();
+        let leaves = wanted.leaves_early && leave < limit.duration();
         let end = if leaves { Instant::now() + leave } else { until };
         let exchange = self.exchange(node, attempt, wanted, tries > 1);
         let Ok(answered) = timeout_at(end, exchange).await else {
             // The future that is dropped here takes its connection along: the node sees its client go.
             if leaves {
-                self.stage.see(Seen::Left { attempt, at: self.stage.now() });
+                self.stage.see(Observation::ClientLeft { attempt, at: self.stage.now() });
                 return None;
             }
-            return Some(TryEnd::TimedOut);
+            return Some(AttemptOutcome::TimedOut);
         };
         let (status, come_back, body) = match answered {
             Ok(answer) => answer,
-            Err(TryEnd::Lost) => {
+            Err(AttemptOutcome::Lost) => {
                 // A process's end is noticed a little later than that of its connections, and excuses it.
                 sleep(NOTICE).await;
-                self.stage.see(Seen::Broken { attempt, at: self.stage.now() });
-                return Some(TryEnd::Lost);
+                self.stage.see(Observation::ConnectionBroken { attempt, at: self.stage.now() });
+                return Some(AttemptOutcome::Lost);
             }
             Err(end) => return Some(end),
         };
         let (what, end) = match status {
-            StatusCode::OK => (Final::Finished, TryEnd::Finished),
+            StatusCode::OK => (FinalAnswer::Finished, AttemptOutcome::Finished),
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-                (Final::TurnedBack, TryEnd::TurnedBack(come_back))
+                (FinalAnswer::Rejected, AttemptOutcome::Rejected(come_back))
             }
-            _ => (Final::Errored, TryEnd::Errored),
+            _ => (FinalAnswer::Errored, AttemptOutcome::Errored),
         };
         let named = serde_json::from_slice::<serde_json::Value>(&body).ok();
         let made_for =
             named.as_ref().and_then(|v| v["try"].as_str()).and_then(|t| u64::from_str_radix(t, 16).ok());
-        self.stage.see(Seen::Answered { attempt, what, made_for, at: self.stage.now() });
+        self.stage.see(Observation::Answered { attempt, answer: what, made_for, at: self.stage.now() });
         Some(end)
     }
 
@@ -144,9 +144,9 @@
         &self,
         first: usize,
         attempt: u64,
-        wanted: &Wanted,
+        wanted: &Arrival,
         repeat: bool,
-    ) -> Result<(StatusCode, Option<Span>, Bytes), TryEnd> {
+    ) -> Result<(StatusCode, Option<Span>, Bytes), AttemptOutcome> {
         let (mut taken, mut node) = (false, first);
         // A connection that the node closed as the command went out is tried once more on a new one.
         for fresh in [false, true] {
@@ -154,25 +154,29 @@
             let reused = old.is_some();
             if old.is_none() && self.crew.stopping().contains(&node) {
                 // The front gives out no new connections to it.
-                self.stage.see(Seen::Left { attempt, at: self.stage.now() });
-                node = self.crew.in_front().first().copied().ok_or(TryEnd::Refused)?;
+                self.stage.see(Observation::ClientLeft { attempt, at: self.stage.now() });
+                node = self.crew.in_front().first().copied().ok_or(AttemptOutcome::NotConnected)?;
                 self.stage.moved(attempt, node);
                 taken = false;
             }
             let mut sender = match old {
                 Some(sender) => sender,
-                None => self.connect(node).await.ok_or(if taken { TryEnd::Lost } else { TryEnd::Refused })?,
+                None => self.connect(node).await.ok_or(if taken {
+                    AttemptOutcome::Lost
+                } else {
+                    AttemptOutcome::NotConnected
+                })?,
             };
             if !std::mem::replace(&mut taken, true) {
                 let (command, profile) = (wanted.number, wanted.profile);
                 let limit = self.stage.scenario.profiles[usize::from(profile)].limit.span();
                 let at = self.stage.now();
                 let until = at + limit;
-                self.stage.see(Seen::Taken { attempt, command, profile, node, at, until });
+                self.stage.see(Observation::AttemptAccepted { attempt, command, profile, node, at, until });
             }
             match sender.send_request(self.request(attempt, wanted, repeat)).await {
                 Ok(response) => {
-                    let answer = read(response).await.ok_or(TryEnd::Lost)?;
+                    let answer = read(response).await.ok_or(AttemptOutcome::Lost)?;
                     let idle = &mut self.idle.borrow_mut()[node];
                     if idle.len() < 256 {
                         idle.push(sender);
@@ -180,10 +184,10 @@
                     return Ok(answer);
                 }
                 Err(_) if reused => {}
-                Err(_) => return Err(TryEnd::Lost),
+                Err(_) => return Err(AttemptOutcome::Lost),
             }
         }
-        Err(TryEnd::Lost)
+        Err(AttemptOutcome::Lost)
     }
 
     /// A node that was told to stop and has left a connection open: clients may go on using that.
@@ -218,9 +222,9 @@
         Some(sender)
     }
 
-    fn request(&self, attempt: u64, wanted: &Wanted, repeat: bool) -> Request<Full<Bytes>> {
+    fn request(&self, attempt: u64, wanted: &Arrival, repeat: bool) -> Request<Full<Bytes>> {
         let profile = &self.stage.scenario.profiles[usize::from(wanted.profile)];
-        let reads = profile.effect == EffectOf::Repeatable;
+        let reads = profile.effect == CommandEffect::Repeatable;
         let body = if reads { Bytes::new() } else { Bytes::from(format!("command {}", wanted.number)) };
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = if reads { Method::GET } else { Method::POST };
@@ -234,14 +238,14 @@
         put(ID, format!("{attempt:016x}"));
         put("x-service-class", profile.name.clone());
         put("x-time-left-ms", (profile.limit.0 / 1000).to_string());
-        if profile.effect == EffectOf::Tagged {
+        if profile.effect == CommandEffect::Tagged {
             // The same with every try of a command.
             put("idempotency-key", format!("{:032x}", wanted.number));
         }
         if let Some(customer) = self.stage.scenario.customers.get(wanted.customer as usize) {
             put("x-account", customer.name.clone());
         }
-        if let Some(hint) = wanted.hint {
+        if let Some(hint) = wanted.work_hint {
             put("x-weight-hint", (hint as u64).to_string());
         }
         if repeat && self.stage.scenario.clients.mark_repeats {
--- a/crates/rehearsal/src/real/mod.rs
+++ b/crates/rehearsal/src/real/mod.rs
@@ -10,7 +10,7 @@
 mod stage;
 mod ways;
 
-use crate::judge::result::Played;
+use crate::judge::result::PlayResult;
 use crate::judge::Judges;
 use crate::model::troubles::{timeline, Step};
 use crate::scenario::Scenario;
@@ -44,7 +44,7 @@
     seed: u64,
     means: &Means,
     progress: &mut dyn FnMut(u64),
-) -> Result<(Played, Judges), String> {
+) -> Result<(PlayResult, Judges), String> {
     // Clients, ways and backends of a whole fleet are this one process's.
     if let Ok((_, most)) = getrlimit(Resource::RLIMIT_NOFILE) {
         let _ = setrlimit(Resource::RLIMIT_NOFILE, most.min(DESCRIPTORS), most);
@@ -74,7 +74,7 @@
     seed: u64,
     means: &Means,
     progress: &mut dyn FnMut(u64),
-) -> Result<(Played, Judges), String> {
+) -> Result<(PlayResult, Judges), String> {
     let folder = tempfile::tempdir().map_err(|e| format!("a folder for the nodes' files: {e}"))?;
     let (stage, mut replaced) = Stage::new(scenario, seed);
     for i in 0..stage.backends() {
@@ -110,11 +110,11 @@
     silent.abort();
     moves.abort();
     watched.inspect(|watched| watched.abort());
-    stage.view(|views, now| views.end(now));
+    stage.view(|views, now| views.finish(now));
     let processes = crew.end_all().await;
     let mut judges = stage.end();
     let now = stage.now();
-    judges.rules.end(now);
+    judges.rules.finish(now);
     let mut played = judges.result(scenario, ("yarrowfront", "real"), seed);
     played.processes = processes;
     played.faults = schedule.to_string();
--- a/crates/rehearsal/src/real/nodes.rs
+++ b/crates/rehearsal/src/real/nodes.rs
@@ -1,9 +1,9 @@
 //! The nodes: real processes, started, stopped and killed by plan. None outlives the rehearsal.
 
-use crate::draw::{Draw, Stream};
-use crate::judge::result::Process;
-use crate::judge::Seen;
-use crate::model::settings::settings;
+use crate::draw::{RngStream, SeededRng};
+use crate::judge::result::ProcessUsage;
+use crate::judge::Observation;
+use crate::model::settings::node_settings;
 use crate::real::stage::Stage;
 use crate::real::{discovery, ports, ways};
 use nix::sys::signal::{kill, Signal};
@@ -72,7 +72,7 @@
     life: RefCell<Option<Life>>,
     /// Counted up with every start.
     lives: Cell<u32>,
-    seen: RefCell<Process>,
+    seen: RefCell<ProcessUsage>,
 }
 
 struct Inner {
@@ -102,12 +102,12 @@
             let discovery = stage.ways.tcp(&name, "discovery", discovery_door.port)?;
             let door = stage.ways.tcp("clients", &name, port)?;
             let admin = if with_view { Some(ports::listen()?.1) } else { None };
-            let seed = Draw::numbered(0, Stream::Nodes, node as u64).number();
+            let seed = SeededRng::with_index(0, RngStream::Nodes, node as u64).next_u64();
             let mut config = json!({
                 "name": format!("n{node}"), "listen": format!("127.0.0.1:{port}"),
                 "discovery": format!("127.0.0.1:{discovery}"), "seed": format!("{seed:016x}"),
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                "known": stage.whole(node), "settings": settings(&stage.scenario, node),
+                "known": stage.whole(node), "settings": node_settings(&stage.scenario, node),
             });
             if let Some(text) = ways::view_file(&stage.scenario, &stage.ways, node, &udp)? {
                 let path = folder.join(format!("n{node}.toml"));
@@ -133,7 +133,7 @@
                 stopping: Cell::new(false),
                 life: RefCell::new(None),
                 lives: Cell::new(0),
-                seen: RefCell::new(Process { node, ..Process::default() }),
+                seen: RefCell::new(ProcessUsage { node, ..ProcessUsage::default() }),
             });
         }
         Ok(Crew(Rc::new(Inner { stage: stage.clone(), means: means.clone(), places })))
@@ -197,7 +197,7 @@
         place.started.set(Instant::now());
         let at_once = ended.clone();
         *place.life.borrow_mut() = Some(Life { pid, asked: asked.clone(), ended });
-        self.0.stage.see(Seen::Fresh { node });
+        self.0.stage.see(Observation::NodeStarted { node });
         spawn_local(self.clone().mind(node, child, asked, end));
         let since = Instant::now();
         while since.elapsed() < START {
@@ -220,7 +220,7 @@
         if !asked.get() {
             let place = &self.0.places[node];
             place.in_front.set(false);
-            self.0.stage.see(Seen::Crashed { node, at: self.0.stage.now() });
+            self.0.stage.see(Observation::NodeCrashed { node, at: self.0.stage.now() });
         }
         let _ = end.send(true);
     }
@@ -318,7 +318,7 @@
 
     /// What it has taken until now cannot be asked of it any more.
     fn excuse(&self, node: usize) {
-        self.0.stage.see(Seen::Killed { node, at: self.0.stage.now() });
+        self.0.stage.see(Observation::NodeKilled { node, at: self.0.stage.now() });
     }
 
     /// Stopped in the middle of what it does, and gone on with.
@@ -336,7 +336,7 @@
             // What waited at its door for longer than its clients do is not asked for any more.
             sleep(crew.0.stage.scenario.clients.notice.duration()).await;
             crew.excuse(node);
-            crew.0.stage.see(Seen::WentOn { node });
+            crew.0.stage.see(Observation::NodeResumed { node });
             let place = &crew.0.places[node];
             if place.lives.get() == life && place.life.borrow().is_some() {
                 place.in_front.set(true);
@@ -376,7 +376,7 @@
         let over = async { while !*ended.borrow_and_update() && ended.changed().await.is_ok() {} };
         if timeout(self.longest_limit() + STOP, over).await.is_err() {
             asked.set(true);
-            self.0.stage.see(Seen::Crashed { node, at: self.0.stage.now() });
+            self.0.stage.see(Observation::NodeCrashed { node, at: self.0.stage.now() });
             let _ = kill(Pid::from_raw(pid), Signal::SIGKILL);
         }
     }
@@ -396,7 +396,7 @@
     }
 
     /// Stops all nodes, and tells what they took.
-    pub async fn end_all(&self) -> Vec<Process> {
+    pub async fn end_all(&self) -> Vec<ProcessUsage> {
         let nodes = 0..self.0.places.len();
         nodes.clone().for_each(|node| {
             let stopped = self.0.places[node].life.borrow().as_ref().is_some_and(|l| l.asked.get());
--- a/crates/rehearsal/src/real/stage.rs
+++ b/crates/rehearsal/src/real/stage.rs
@@ -1,15 +1,15 @@
 //! What all parts on the real clock share: the model, the judges, the clock. Borrowed within a call and never
 //! across an await.
 
-use crate::draw::{Draw, Stream};
-use crate::judge::views::Views;
-use crate::judge::{Judges, Seen};
-use crate::model::backend::{Happened, Reply, Tag};
-use crate::model::fleet::{Asked, Fleet, OnTheWay};
+use crate::draw::{RngStream, SeededRng};
+use crate::judge::views::ViewJudge;
+use crate::judge::{Judges, Observation};
+use crate::model::backend::{BackendEvent, IdempotencyKey, Reply};
+use crate::model::fleet::{AnswerFate, DriverAction, Fleet};
 use crate::model::settings::zone_name;
 use crate::model::troubles::Step;
 use crate::real::ways::Ways;
-use crate::scenario::{EffectOf, Scenario};
+use crate::scenario::{CommandEffect, Scenario};
 use crate::span::Time;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -46,7 +46,7 @@
 struct Job {
     attempt: u64,
     backend: usize,
-    answer: OnTheWay,
+    answer: AnswerFate,
     end: oneshot::Sender<Stay>,
 }
 
@@ -75,9 +75,9 @@
     jobs: HashMap<u64, Job>,
     sent: HashMap<u64, Sent>,
     next_job: u64,
-    network: Draw,
+    network: SeededRng,
     watchers: Vec<Option<mpsc::UnboundedSender<Line>>>,
-    told: Vec<Happened>,
+    told: Vec<BackendEvent>,
     gates: Vec<Rc<Gate>>,
     fault: Option<String>,
 }
@@ -109,7 +109,7 @@
             jobs: HashMap::new(),
             sent: HashMap::new(),
             next_job: 0,
-            network: Draw::new(seed, Stream::Network),
+            network: SeededRng::new(seed, RngStream::Network),
             watchers: vec![None; scenario.nodes as usize],
             told: Vec::new(),
             gates: (0..count).map(|_| Rc::new(Gate::new())).collect(),
@@ -161,16 +161,16 @@
     }
 
     pub fn is_up(&self, i: usize) -> bool {
-        self.inner.borrow().fleet.backends[i].up
+        self.inner.borrow().fleet.backends[i].is_up
     }
 
     pub fn is_cut(&self, i: usize) -> bool {
-        self.inner.borrow().fleet.backends[i].cut
+        self.inner.borrow().fleet.backends[i].is_cut_off
     }
 
     /// What a trouble puts on top of each way.
     pub fn delay(&self) -> Duration {
-        Duration::from_micros(self.inner.borrow().fleet.delay.max(0) as u64)
+        Duration::from_micros(self.inner.borrow().fleet.extra_delay_us.max(0) as u64)
     }
 
     /// A fault of the rehearsal itself: its figures say nothing.
@@ -182,14 +182,14 @@
         self.inner.borrow().fault.clone()
     }
 
-    pub fn see(&self, seen: Seen) {
+    pub fn see(&self, seen: Observation) {
         if let Some(judges) = &mut self.inner.borrow_mut().judges {
-            judges.see(seen);
+            judges.observe(seen);
         }
     }
 
     /// What is done to nodes or told by them goes to the judge of their views.
-    pub fn view(&self, tell: impl FnOnce(&mut Views, Moment)) {
+    pub fn view(&self, tell: impl FnOnce(&mut ViewJudge, Moment)) {
         let now = self.now();
         if let Some(judges) = &mut self.inner.borrow_mut().judges {
             tell(&mut judges.views, now);
@@ -230,21 +230,22 @@
             let inner = &mut *self.inner.borrow_mut();
             inner.next_job += 1;
             let key = inner.next_job;
-            let scope = inner.fleet.scope(p.scope, i);
-            let tag = Tag { scope, tag: sent.command, span: p.memory.span() };
-            let tag = (p.effect == EffectOf::Tagged).then_some(tag);
-            let answer = inner.fleet.answer(&mut inner.network);
+            let scope = inner.fleet.scope_id(p.scope, i);
+            let tag = IdempotencyKey { scope, key: sent.command, retention: p.memory.span() };
+            let tag = (p.effect == CommandEffect::Tagged).then_some(tag);
+            let answer = inner.fleet.draw_answer_fate(&mut inner.network);
             inner.jobs.insert(key, Job { attempt, backend: i, answer, end });
             let fleet = &mut inner.fleet;
             let told = &mut inner.told;
-            let reply = fleet.backends[i].arrive(now, (key, sent.work, tag), &mut fleet.memory, told);
+            let reply =
+                fleet.backends[i].arrive(now, (key, sent.work, tag), &mut fleet.idempotency_store, told);
             let stay = match reply {
-                Reply::Taken => None,
+                Reply::Accepted => None,
                 Reply::Full => Some(Stay::Full),
                 Reply::Error => Some(Stay::Error),
                 Reply::Down => Some(Stay::Broken),
-                Reply::Fell => {
-                    fleet.fall(now, i, &mut asked);
+                Reply::Crashed => {
+                    fleet.crash(now, i, &mut asked);
                     Some(Stay::Broken)
                 }
             };
@@ -254,9 +255,9 @@
                 }
             }
             if let Some(judges) = &mut inner.judges {
-                judges.see(Seen::Reached { backend: i, work: sent.work, at: now });
-                if reply == Reply::Fell {
-                    judges.see(Seen::Fell { backend: i, at: now });
+                judges.observe(Observation::LaunchReceived { backend: i, work: sent.work, at: now });
+                if reply == Reply::Crashed {
+                    judges.observe(Observation::BackendCrashed { backend: i, at: now });
                 }
             }
             key
@@ -277,7 +278,7 @@
             let inner = &mut *self.inner.borrow_mut();
             let now = self.now();
             let (fleet, told) = (&mut inner.fleet, &mut inner.told);
-            fleet.backends[i].stop(now, key, &mut fleet.memory, told);
+            fleet.backends[i].cancel(now, key, &mut fleet.idempotency_store, told);
         }
         self.happened();
         self.gate(i).turned.notify_one();
@@ -288,7 +289,7 @@
             let inner = &mut *self.inner.borrow_mut();
             let now = self.now();
             let (fleet, told) = (&mut inner.fleet, &mut inner.told);
-            fleet.backends[i].advance(now, &mut fleet.memory, told);
+            fleet.backends[i].advance(now, &mut fleet.idempotency_store, told);
         }
         self.happened();
     }
@@ -297,21 +298,28 @@
         let inner = &mut *self.inner.borrow_mut();
         for one in inner.told.drain(..) {
             match one {
-                Happened::Began(key, at) => {
+                BackendEvent::WorkStarted(key, at) => {
                     let Some(job) = inner.jobs.get(&key) else { continue };
                     let Some(sent) = inner.sent.get(&job.attempt) else { continue };
                     let (backend, attempt, command) = (job.backend, job.attempt, sent.command);
                     let (profile, work) = (sent.profile, sent.work);
                     if let Some(judges) = &mut inner.judges {
-                        judges.see(Seen::Began { backend, attempt, command, profile, work, at });
+                        judges.observe(Observation::WorkStarted {
+                            backend,
+                            attempt,
+                            command,
+                            profile,
+                            work,
+                            at,
+                        });
                     }
                 }
-                Happened::Ended(key, _) => {
+                BackendEvent::WorkFinished(key, _) => {
                     if let Some(job) = inner.jobs.remove(&key) {
                         let stay = match job.answer {
-                            OnTheWay::Comes => Stay::Done,
-                            OnTheWay::Breaks => Stay::Broken,
-                            OnTheWay::Lost => Stay::Silent,
+                            AnswerFate::Delivered => Stay::Done,
+                            AnswerFate::ConnectionBroken => Stay::Broken,
+                            AnswerFate::Lost => Stay::Silent,
                         };
                         let _ = job.end.send(stay);
                     }
@@ -321,13 +329,13 @@
     }
 
     pub fn next(&self, i: usize) -> Option<Moment> {
-        self.inner.borrow().fleet.backends[i].next()
+        self.inner.borrow().fleet.backends[i].next_change()
     }
 
     pub fn burden(&self, i: usize, connection: bool) {
         self.pass(i);
         let b = &mut self.inner.borrow_mut().fleet.backends[i];
-        b.burden(if connection { b.kind.connection_work.micros() } else { b.kind.probe_work.micros() });
+        b.add_overhead(if connection { b.kind.connection_work.micros() } else { b.kind.probe_work.micros() });
     }
 
     /// Its load report, if its process does anything at all.
@@ -335,23 +343,27 @@
         self.pass(i);
         let inner = self.inner.borrow();
         let b = &inner.fleet.backends[i];
-        let silent = b.hung || self.now() < b.stands_until;
-        let busy = (b.held() as f64 / b.cores()).min(1.0);
-        (!silent).then(|| json!({"inflight": b.held(), "queue": b.waiting(), "util": busy}))
+        let silent = b.is_hung || self.now() < b.stalled_until;
+        let busy = (b.held_commands() as f64 / b.cores()).min(1.0);
+        (!silent).then(|| json!({"inflight": b.held_commands(), "queue": b.queued_commands(), "util": busy}))
     }
 
     // Troubles.
 
     pub fn step(self: &Rc<Self>, step: Step) {
         let mut asked = Vec::new();
-        if let Step::Hang(i, _) | Step::Slow(i, _) | Step::Stand(i, _) | Step::Die(i) | Step::Drain(i) = step
+        if let Step::Hang(i, _)
+        | Step::ScaleSpeed(i, _)
+        | Step::Stall(i, _)
+        | Step::Kill(i)
+        | Step::Drain(i) = step
         {
             self.pass(i);
         }
         {
             let inner = &mut *self.inner.borrow_mut();
-            inner.fleet.step(self.now(), step, &mut asked);
-            if step == Step::ListDown {
+            inner.fleet.apply(self.now(), step, &mut asked);
+            if step == Step::DiscoveryDown {
                 // Watches end when the list goes down.
                 inner.watchers.fill(None);
             }
@@ -359,32 +371,32 @@
         self.asked_now(asked);
     }
 
-    fn asked_now(self: &Rc<Self>, asked: Vec<Asked>) {
+    fn asked_now(self: &Rc<Self>, asked: Vec<DriverAction>) {
         for one in asked {
             match one {
-                Asked::Reset(i) => {
+                DriverAction::ResetConnections(i) => {
                     let inner = &mut *self.inner.borrow_mut();
-                    if !inner.fleet.backends[i].up {
+                    if !inner.fleet.backends[i].is_up {
                         inner.jobs.retain(|_, job| job.backend != i);
                     }
                     inner.gates[i].life.send_modify(|life| *life += 1);
                 }
-                Asked::Publish(at, i) => {
+                DriverAction::Publish(at, i) => {
                     let (stage, at) = (self.clone(), self.instant(at));
                     spawn_local(async move {
                         tokio::time::sleep_until(at).await;
                         stage.publish(i);
                     });
                 }
-                Asked::Later(at, step) => {
+                DriverAction::ScheduleStep(at, step) => {
                     let (stage, at) = (self.clone(), self.instant(at));
                     spawn_local(async move {
                         tokio::time::sleep_until(at).await;
                         stage.step(step);
                     });
                 }
-                Asked::Started(i) => self.started(i),
-                Asked::Turned(i) => self.gate(i).turned.notify_one(),
+                DriverAction::ReportColdStart(i) => self.started(i),
+                DriverAction::UpdateNextChange(i) => self.gate(i).turned.notify_one(),
             }
         }
     }
@@ -399,7 +411,7 @@
             let b = &inner.fleet.backends[i];
             let (share, warm, capacity) = (b.kind.cold, b.kind.warm.micros(), b.cores() * b.speed);
             if let Some(judges) = inner.judges.as_mut().filter(|_| warm > 0.0) {
-                judges.see(Seen::Started { backend: i, at: self.now(), share, warm, capacity });
+                judges.observe(Observation::ColdStart { backend: i, at: self.now(), share, warm, capacity });
             }
             inner.gates[i].life.send_modify(|life| *life += 1);
             new
@@ -412,7 +424,7 @@
     // The list.
 
     pub fn list_up(&self) -> bool {
-        self.inner.borrow().fleet.list_up
+        self.inner.borrow().fleet.discovery_is_up
     }
 
     /// Waits so long; whether discovery could be reached all the while.
@@ -438,7 +450,7 @@
             State::Gone => "gone",
         };
         json!({
-            "name": inner.fleet.name(i), "address": format!("127.0.0.1:{port}"),
+            "name": inner.fleet.backend_name(i), "address": format!("127.0.0.1:{port}"),
             "zone": zone_name(line.zone.0), "type": scenario.backends[usize::from(line.kind.0)].kind,
             "group": line.group.0, "status": status, "weight": 1.0, "since_ms": line.started.0 / 1000,
         })
@@ -447,7 +459,7 @@
     /// The whole list, in the form in which it is told.
     pub fn whole(&self, node: usize) -> Value {
         let inner = self.inner.borrow();
-        let lines: Vec<Value> = inner.fleet.whole().map(|line| self.entry(&inner, node, &line)).collect();
+        let lines: Vec<Value> = inner.fleet.snapshot().map(|line| self.entry(&inner, node, &line)).collect();
         json!({"index": inner.fleet.changes.len(), "snapshot": true, "endpoints": lines})
     }
 
@@ -463,7 +475,7 @@
         let text = match since <= index {
             true if changed.is_empty() => String::new(),
             true => {
-                let entry = |i: &usize| self.entry(inner, node, &inner.fleet.said[*i]);
+                let entry = |i: &usize| self.entry(inner, node, &inner.fleet.entries[*i]);
                 let lines: Vec<Value> = changed.iter().map(entry).collect();
                 json!({"index": index, "snapshot": false, "endpoints": lines}).to_string()
             }
@@ -477,12 +489,12 @@
     /// What the judges must know: this node has been told of this backend, or of all (none named).
     pub fn told(&self, node: usize, backend: Option<usize>) {
         let (now, inner) = (self.now(), &mut *self.inner.borrow_mut());
-        let all = 0..inner.fleet.said.len();
+        let all = 0..inner.fleet.entries.len();
         let some = backend.map_or(all, |b| b..b + 1);
         for i in some {
-            let ready = inner.fleet.said[i].state == State::Ready;
+            let ready = inner.fleet.entries[i].state == State::Ready;
             if let Some(judges) = &mut inner.judges {
-                judges.see(Seen::Told { node, backend: i, ready, at: now });
+                judges.observe(Observation::ListEntryDelivered { node, backend: i, ready, at: now });
             }
         }
     }
@@ -515,10 +527,10 @@
         let ends = self.scenario.stress.as_ref().is_some_and(|stress| stress.watches_end);
         let hidden = {
             let inner = &mut *self.inner.borrow_mut();
-            if !inner.fleet.publish(i) || !inner.fleet.list_up {
+            if !inner.fleet.publish(i) || !inner.fleet.discovery_is_up {
                 return;
             }
-            ends && inner.fleet.said[i].state == State::Draining
+            ends && inner.fleet.entries[i].state == State::Draining
         };
         if hidden {
             return self.end_watches(i);
@@ -530,9 +542,9 @@
             if inner.watchers[node].is_none() {
                 continue;
             }
-            let entry = self.entry(inner, node, &inner.fleet.said[i]);
+            let entry = self.entry(inner, node, &inner.fleet.entries[i]);
             let text = json!({"index": index, "snapshot": false, "endpoints": [entry]}).to_string();
-            let due = Instant::now() + trip.mul_f64(inner.network.unit());
+            let due = Instant::now() + trip.mul_f64(inner.network.uniform());
             if let Some(watcher) = &inner.watchers[node] {
                 let _ = watcher.send((due, Some(i), text));
             }
--- a/crates/rehearsal/src/real/ways.rs
+++ b/crates/rehearsal/src/real/ways.rs
@@ -1,6 +1,6 @@
 //! Faults on the ways between processes and on nodes' processes, by a schedule; and what nodes tell of each other meanwhile.
 
-use crate::judge::views::Told;
+use crate::judge::views::FleetReport;
 use crate::real::nodes::Crew;
 use crate::real::stage::Stage;
 use crate::scenario::Scenario;
@@ -108,7 +108,7 @@
     let nodes: Vec<String> = (0..stage.scenario.nodes).map(|node| format!("n{node}")).collect();
     for step in &schedule.0 {
         sleep(stage.until(Time::millis(step.at))).await;
-        stage.view(|views, now| views.fault(now, &step.fault));
+        stage.view(|views, now| views.observe_fault(now, &step.fault));
         let number = |name: &String| name.trim_start_matches('n').parse::<usize>().unwrap_or_default();
         match &step.fault {
             Fault::Kill(one) => crew.kill(number(one)),
@@ -142,16 +142,16 @@
         for (node, port) in crew.seconds() {
             asked.spawn_local(async move { (node, timeout(ANSWER, ask(port)).await.ok().flatten()) });
         }
-        let mut told: BTreeMap<usize, Told> = BTreeMap::new();
+        let mut told: BTreeMap<usize, FleetReport> = BTreeMap::new();
         while let Some(Ok((node, view))) = asked.join_next().await {
             told.extend(view.map(|view| (node, view)));
         }
-        stage.view(|views, now| views.looked(now, &told));
+        stage.view(|views, now| views.observe_reports(now, &told));
         sleep(LOOK).await;
     }
 }
 
-async fn ask(port: u16) -> Option<Told> {
+async fn ask(port: u16) -> Option<FleetReport> {
     let stream = TcpStream::connect(at(port)).await.ok()?;
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     spawn_local(async move {
@@ -159,5 +159,5 @@
     });
     let request = Request::get("/fleet").header("host", "node").body(Empty::<Bytes>::new()).ok()?;
     let body = sender.send_request(request).await.ok()?.into_body().collect().await.ok()?.to_bytes();
-    Told::read(&serde_json::from_slice(&body).ok()?)
+    FleetReport::from_json(&serde_json::from_slice(&body).ok()?)
 }
--- a/crates/rehearsal/src/report/mod.rs
+++ b/crates/rehearsal/src/report/mod.rs
@@ -2,7 +2,7 @@
 
 mod charts;
 
-use crate::judge::result::Played;
+use crate::judge::result::PlayResult;
 use crate::judge::Judges;
 use crate::scenario::Scenario;
 
@@ -19,7 +19,7 @@
 .figure{font-size:2em;margin:.2em 0}.note{color:#5a6472}svg{width:100%;height:auto}";
 
 /// The whole page.
-pub fn html(scenario: &Scenario, played: &Played, judges: &Judges) -> Result<String, String> {
+pub fn html(scenario: &Scenario, played: &PlayResult, judges: &Judges) -> Result<String, String> {
     let mut page = format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>{} - rehearsal</title>\
          <style>{STYLE}</style></head><body>\n<h1>{}</h1>\n<p class=\"note\">{} · {} on the {} clock · seed {} · \
@@ -76,7 +76,7 @@
             .map(|t| {
                 format!(
                     "{} from {:.1} to {:.1} s",
-                    t.kind.words(),
+                    t.kind.label(),
                     t.at.micros() / 1e6,
                     t.ends().micros() / 1e6
                 )
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -29,7 +29,7 @@
     pub net: Net,
     #[serde(default)]
     pub allow: Allow,
-    pub backends: Vec<Kind>,
+    pub backends: Vec<BackendKind>,
     pub profiles: Vec<Profile>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub customers: Vec<Customer>,
@@ -37,7 +37,7 @@
     pub troubles: Vec<Trouble>,
     /// The nodes keep a view of each other. On the real clock alone, as are the next two.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub view: Option<ViewOf>,
+    pub view: Option<ViewSettings>,
     /// Faults on the ways between processes, and on nodes' processes.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<FaultAt>,
@@ -79,16 +79,16 @@
 /// The times of the nodes' view, and how soon after the last fault all have to agree.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ViewOf {
+pub struct ViewSettings {
     pub period: Time,
     pub sure: Time,
     pub release: Time,
     pub agree: Time,
 }
 
-impl Default for ViewOf {
-    fn default() -> ViewOf {
-        ViewOf {
+impl Default for ViewSettings {
+    fn default() -> ViewSettings {
+        ViewSettings {
             period: Time::millis(200),
             sure: Time::millis(4800),
             release: Time::millis(1200),
@@ -123,7 +123,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Shape {
+pub enum LoadShape {
     Poisson,
     /// Poisson between two rates: bursts of two seconds in the mean, calm of six.
     Bursts,
@@ -143,19 +143,19 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub per_s: Option<f64>,
     #[serde(default = "poisson")]
-    pub shape: Shape,
+    pub shape: LoadShape,
     /// How far the rate moves: by this part of itself.
     #[serde(default)]
     pub swing: f64,
 }
 
-fn poisson() -> Shape {
-    Shape::Poisson
+fn poisson() -> LoadShape {
+    LoadShape::Poisson
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Again {
+pub enum RetryMode {
     Never,
     AtOnce,
     /// After `wait`, spread by half.
@@ -167,7 +167,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    pub again: Again,
+    #[serde(rename = "again")]
+    pub retry_mode: RetryMode,
     /// Tries after the first one.
     pub retries: u32,
     pub wait: Time,
@@ -185,7 +186,7 @@
 impl Default for Clients {
     fn default() -> Clients {
         Clients {
-            again: Again::Wait,
+            retry_mode: RetryMode::Wait,
             retries: 2,
             wait: Time::millis(100),
             leaving: 0.0,
@@ -200,7 +201,7 @@
 /// How nodes come by the list.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Follow {
+pub enum ListMode {
     /// They must ask for it, and follow its changes from then on.
     Ask,
     /// It is told to them from their start on.
@@ -210,7 +211,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct List {
-    pub mode: Follow,
+    pub mode: ListMode,
     /// From a backend's death until the list tells of it.
     pub notice: Time,
     /// From its start until the list tells of it.
@@ -224,7 +225,7 @@
 impl Default for List {
     fn default() -> List {
         List {
-            mode: Follow::Ask,
+            mode: ListMode::Ask,
             notice: Time::millis(1500),
             add: Time::millis(500),
             trip: Time::millis(100),
@@ -334,7 +335,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
+pub struct BackendKind {
     pub kind: String,
     pub count: u32,
     #[serde(default = "one")]
@@ -415,7 +416,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum EffectOf {
+pub enum CommandEffect {
     Repeatable,
     Tagged,
     OnceOnly,
@@ -431,7 +432,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Law {
+pub enum WorkDistribution {
     Fixed,
     Exponential,
     Lognormal,
@@ -444,7 +445,7 @@
     /// Its part of the commands, beside those of the others.
     #[serde(default = "whole")]
     pub share: f64,
-    pub effect: EffectOf,
+    pub effect: CommandEffect,
     #[serde(default = "all")]
     pub scope: Scope,
     /// How long a backend's scope remembers a tag.
@@ -457,7 +458,7 @@
     /// Work in the mean, on a core of speed one.
     pub work: Time,
     #[serde(default = "exponential")]
-    pub law: Law,
+    pub law: WorkDistribution,
     /// Coefficient of variation, for `lognormal`.
     #[serde(default = "whole")]
     pub spread: f64,
@@ -471,8 +472,8 @@
     Time::seconds(10)
 }
 
-fn exponential() -> Law {
-    Law::Exponential
+fn exponential() -> WorkDistribution {
+    WorkDistribution::Exponential
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -485,7 +486,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum TroubleKind {
     /// Backends drain one after the other and are replaced by new ones, or start anew under their names.
     RollingDeploy,
     /// Backends die at once and come back cold after `down`.
@@ -515,40 +516,40 @@
     Delay,
 }
 
-impl What {
-    pub const ALL: [What; 14] = [
-        What::RollingDeploy,
-        What::Deaths,
-        What::NodeRestarts,
-        What::NodeDeaths,
-        What::ZoneLoss,
-        What::ListOutage,
-        What::Stalls,
-        What::Hangs,
-        What::Slow,
-        What::Errors,
-        What::Burst,
-        What::Resets,
-        What::LostAnswers,
-        What::Delay,
+impl TroubleKind {
+    pub const ALL: [TroubleKind; 14] = [
+        TroubleKind::RollingDeploy,
+        TroubleKind::Deaths,
+        TroubleKind::NodeRestarts,
+        TroubleKind::NodeDeaths,
+        TroubleKind::ZoneLoss,
+        TroubleKind::ListOutage,
+        TroubleKind::Stalls,
+        TroubleKind::Hangs,
+        TroubleKind::Slow,
+        TroubleKind::Errors,
+        TroubleKind::Burst,
+        TroubleKind::Resets,
+        TroubleKind::LostAnswers,
+        TroubleKind::Delay,
     ];
 
-    pub fn words(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
-            What::RollingDeploy => "rolling deploy",
-            What::Deaths => "deaths",
-            What::NodeRestarts => "node restarts",
-            What::NodeDeaths => "node deaths",
-            What::ZoneLoss => "zone loss",
-            What::ListOutage => "list outage",
-            What::Stalls => "stalls",
-            What::Hangs => "hangs",
-            What::Slow => "slow backends",
-            What::Errors => "errors",
-            What::Burst => "burst",
-            What::Resets => "resets",
-            What::LostAnswers => "lost answers",
-            What::Delay => "delay",
+            TroubleKind::RollingDeploy => "rolling deploy",
+            TroubleKind::Deaths => "deaths",
+            TroubleKind::NodeRestarts => "node restarts",
+            TroubleKind::NodeDeaths => "node deaths",
+            TroubleKind::ZoneLoss => "zone loss",
+            TroubleKind::ListOutage => "list outage",
+            TroubleKind::Stalls => "stalls",
+            TroubleKind::Hangs => "hangs",
+            TroubleKind::Slow => "slow backends",
+            TroubleKind::Errors => "errors",
+            TroubleKind::Burst => "burst",
+            TroubleKind::Resets => "resets",
+            TroubleKind::LostAnswers => "lost answers",
+            TroubleKind::Delay => "delay",
         }
     }
 }
@@ -556,7 +557,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
-    pub kind: What,
+    pub kind: TroubleKind,
     pub at: Time,
     #[serde(default)]
     pub length: Time,
@@ -587,7 +588,7 @@
 impl Default for Trouble {
     fn default() -> Trouble {
         Trouble {
-            kind: What::Burst,
+            kind: TroubleKind::Burst,
             at: Time(0),
             length: Time(0),
             share: 1.0,
@@ -727,7 +728,7 @@
             }
             share(&key("share"), trouble.share)?;
             over(&key("strength"), trouble.strength, 0.0, 1000.0)?;
-            if matches!(trouble.kind, What::Errors | What::Resets | What::LostAnswers) {
+            if matches!(trouble.kind, TroubleKind::Errors | TroubleKind::Resets | TroubleKind::LostAnswers) {
                 share(&key("strength"), trouble.strength)?;
             }
             if trouble.zone >= self.zones {
@@ -738,7 +739,7 @@
                     return fault(key("customer"), format!("{name:?} is no customer"));
                 }
             }
-            if trouble.kind == What::Stalls && trouble.every == Time(0) {
+            if trouble.kind == TroubleKind::Stalls && trouble.every == Time(0) {
                 return fault(key("every"), "stalls without a pause between them: use hangs");
             }
         }
--- a/crates/rehearsal/src/search.rs
+++ b/crates/rehearsal/src/search.rs
@@ -1,8 +1,8 @@
 //! Looks for the pair of overlapping troubles that does worst, and shrinks it to a small scenario.
 
-use crate::draw::{Draw, Stream};
+use crate::draw::{RngStream, SeededRng};
 use crate::policy;
-use crate::scenario::{Scenario, Trouble, What};
+use crate::scenario::{Scenario, Trouble, TroubleKind};
 use crate::span::Time;
 use crate::virtual_clock;
 use rayon::prelude::*;
@@ -24,45 +24,50 @@
 
 pub fn loss(scenario: &Scenario, seed: u64, name: &str) -> Result<Loss, String> {
     let play = |name: &str| {
-        let make = |birth: &policy::Birth| policy::make(name, birth);
+        let make = |birth: &policy::NodeContext| policy::create(name, birth);
         virtual_clock::play(scenario, seed, name, &make, &mut |_| ()).map(|(played, _)| played)
     };
     let (own, sighted) = (play(name)?, play("sighted")?);
     Ok(Loss { service: own.service, sighted: sighted.service, broken: own.rules.count() })
 }
 
-fn draw_trouble(kind: What, scenario: &Scenario, near: Option<&Trouble>, draw: &mut Draw) -> Trouble {
+fn draw_trouble(
+    kind: TroubleKind,
+    scenario: &Scenario,
+    near: Option<&Trouble>,
+    draw: &mut SeededRng,
+) -> Trouble {
     let (from, length) = (scenario.settle.0, scenario.length.0);
     let span = length - from;
-    let long = span / 10 + (draw.unit() * 0.4 * span as f64) as u64;
+    let long = span / 10 + (draw.uniform() * 0.4 * span as f64) as u64;
     // The second one starts while the first goes on, or shortly after.
     let at = match near {
-        None => from + (draw.unit() * 0.5 * span as f64) as u64,
+        None => from + (draw.uniform() * 0.5 * span as f64) as u64,
         Some(first) => {
-            (first.at.0 + (draw.unit() * first.length.0.max(span / 10) as f64) as u64).min(length - 1)
+            (first.at.0 + (draw.uniform() * first.length.0.max(span / 10) as f64) as u64).min(length - 1)
         }
     };
-    let unit = |draw: &mut Draw, low: f64, high: f64| {
+    let unit = |draw: &mut SeededRng, low: f64, high: f64| {
         // Two digits are enough, and read better.
-        ((low + (high - low) * draw.unit()) * 100.0).round() / 100.0
+        ((low + (high - low) * draw.uniform()) * 100.0).round() / 100.0
     };
     let share = match kind {
-        What::RollingDeploy => unit(draw, 0.5, 1.0),
-        What::Deaths | What::Hangs => unit(draw, 0.1, 0.5),
-        What::NodeRestarts | What::NodeDeaths => unit(draw, 0.3, 1.0),
+        TroubleKind::RollingDeploy => unit(draw, 0.5, 1.0),
+        TroubleKind::Deaths | TroubleKind::Hangs => unit(draw, 0.1, 0.5),
+        TroubleKind::NodeRestarts | TroubleKind::NodeDeaths => unit(draw, 0.3, 1.0),
         _ => unit(draw, 0.2, 1.0),
     };
     let strength = match kind {
-        What::Slow => unit(draw, 0.1, 0.5),
-        What::Errors | What::Resets | What::LostAnswers => unit(draw, 0.05, 0.5),
-        What::Burst => unit(draw, 1.3, 4.0),
+        TroubleKind::Slow => unit(draw, 0.1, 0.5),
+        TroubleKind::Errors | TroubleKind::Resets | TroubleKind::LostAnswers => unit(draw, 0.05, 0.5),
+        TroubleKind::Burst => unit(draw, 1.3, 4.0),
         _ => 1.0,
     };
     let millis = |n: f64| Time::millis((n / 10.0).round() as u64 * 10);
     let down = match kind {
-        What::Stalls => millis(unit(draw, 100.0, 900.0)),
-        What::Delay => Time((unit(draw, 1.0, 20.0) * 1000.0) as u64),
-        What::RollingDeploy => millis(unit(draw, 500.0, 2000.0)),
+        TroubleKind::Stalls => millis(unit(draw, 100.0, 900.0)),
+        TroubleKind::Delay => Time((unit(draw, 1.0, 20.0) * 1000.0) as u64),
+        TroubleKind::RollingDeploy => millis(unit(draw, 500.0, 2000.0)),
         _ => millis(unit(draw, 1000.0, 5000.0)),
     };
     let round = |n: u64| Time(n / 100_000 * 100_000);
@@ -102,9 +107,9 @@
     progress: &(dyn Fn() + Sync),
 ) -> Result<Found, String> {
     let mut pairs = Vec::new();
-    for (i, first) in What::ALL.iter().enumerate() {
-        for second in &What::ALL[i..] {
-            let zones = *first == What::ZoneLoss || *second == What::ZoneLoss;
+    for (i, first) in TroubleKind::ALL.iter().enumerate() {
+        for second in &TroubleKind::ALL[i..] {
+            let zones = *first == TroubleKind::ZoneLoss || *second == TroubleKind::ZoneLoss;
             // With one zone its loss is the loss of everything: nobody can help there.
             if !zones || scenario.zones > 1 {
                 pairs.push((*first, *second));
@@ -113,9 +118,9 @@
     }
     let jobs: Vec<usize> = (0..budget).collect();
     let play = |&job: &usize| {
-        let mut draw = Draw::numbered(seed, Stream::Search, job as u64);
+        let mut draw = SeededRng::with_index(seed, RngStream::Search, job as u64);
         // Which pairs come first is chance, or a small budget would only meet the first kinds.
-        let mut order = Draw::numbered(seed, Stream::Search, u64::from(u32::MAX));
+        let mut order = SeededRng::with_index(seed, RngStream::Search, u64::from(u32::MAX));
         let shuffled = order.some_of(pairs.len(), 1.0);
         let (first, second) = pairs[shuffled[job % pairs.len()]];
         let one = draw_trouble(first, scenario, None, &mut draw);
@@ -152,7 +157,7 @@
     }
     best.tried = tried;
     best.scenario.name = format!("{}-worst", found.scenario.name);
-    let kinds: Vec<&str> = best.scenario.troubles.iter().map(|t| t.kind.words()).collect();
+    let kinds: Vec<&str> = best.scenario.troubles.iter().map(|t| t.kind.label()).collect();
     best.scenario.about = format!(
         "Found by search with seed {seed}: {}. Service {:.3}, {:.3} with sight of all.",
         kinds.join(" with "),
--- a/crates/rehearsal/src/soak/mod.rs
+++ b/crates/rehearsal/src/soak/mod.rs
@@ -4,7 +4,7 @@
 mod shim;
 pub mod world;
 
-use crate::judge::result::Played;
+use crate::judge::result::PlayResult;
 use crate::real::{self, Means};
 use std::fmt;
 use std::ops::RangeInclusive;
@@ -78,7 +78,7 @@
     Ok(found)
 }
 
-fn verdict(played: &Played, found: &mut Found) -> String {
+fn verdict(played: &PlayResult, found: &mut Found) -> String {
     let rules = &played.rules;
     if let Some(why) = &played.void {
         found.not_judged += 1;
--- a/crates/rehearsal/src/virtual_clock.rs
+++ b/crates/rehearsal/src/virtual_clock.rs
@@ -2,16 +2,16 @@
 //! the same scenario, policy and seed give the same bytes.
 
 use crate::agenda::Agenda;
-use crate::draw::{Draw, Stream};
-use crate::judge::result::Played;
-use crate::judge::{Ending, Final, Judges, Seen};
-use crate::model::arrivals::{Arrivals, Wanted};
-use crate::model::backend::{Happened, Reply, Tag};
-use crate::model::clients::{again, TryEnd};
-use crate::model::fleet::{Asked, Fleet, OnTheWay};
+use crate::draw::{RngStream, SeededRng};
+use crate::judge::result::PlayResult;
+use crate::judge::{CommandOutcome, FinalAnswer, Judges, Observation};
+use crate::model::arrivals::{Arrival, Arrivals};
+use crate::model::backend::{BackendEvent, IdempotencyKey, Reply};
+use crate::model::clients::{retry_delay, AttemptOutcome};
+use crate::model::fleet::{AnswerFate, DriverAction, Fleet};
 use crate::model::troubles::{timeline, Step};
-use crate::policy::{Birth, Make, Policy, Sent, Task};
-use crate::scenario::{EffectOf, Follow, Scenario};
+use crate::policy::{NodeContext, Policy, PolicyFactory, Sent, Task};
+use crate::scenario::{CommandEffect, ListMode, Scenario};
 use slab::Slab;
 use yarrowfront::command::{Command, Fate, Outcome};
 use yarrowfront::decide::{Errand, ListKind, Listed, Say, State};
@@ -137,7 +137,7 @@
     Step(u32),
 }
 
-const FINALS: [Final; 3] = [Final::Finished, Final::TurnedBack, Final::Errored];
+const FINALS: [FinalAnswer; 3] = [FinalAnswer::Finished, FinalAnswer::Rejected, FinalAnswer::Errored];
 const OUTCOMES: [Outcome; 6] = [
     Outcome::Finished,
     Outcome::Errored,
@@ -152,7 +152,7 @@
 }
 
 struct Want {
-    wanted: Wanted,
+    wanted: Arrival,
     tries: u32,
 }
 
@@ -183,7 +183,7 @@
     sent: Moment,
     /// On a new connection.
     new: bool,
-    answer: OnTheWay,
+    answer: AnswerFate,
     node_done: bool,
     backend_done: bool,
 }
@@ -213,12 +213,12 @@
 
 struct World<'a> {
     scenario: &'a Scenario,
-    make: &'a Make<'a>,
+    make: &'a PolicyFactory<'a>,
     seed: u64,
     now: Moment,
     agenda: Agenda<Event>,
     arrivals: Arrivals<'a>,
-    next: Option<Wanted>,
+    next: Option<Arrival>,
     fleet: Fleet,
     turns: Vec<(u32, Option<Moment>)>,
     reports: Vec<(Moment, u32, u32)>,
@@ -230,11 +230,11 @@
     tries: Arena<Try>,
     flights: Arena<Flight>,
     tried: u64,
-    network: Draw,
-    clients: Draw,
+    network: SeededRng,
+    clients: SeededRng,
     judges: Judges,
-    told: Vec<Happened>,
-    asked: Vec<Asked>,
+    told: Vec<BackendEvent>,
+    asked: Vec<DriverAction>,
 }
 
 /// Plays a scenario with the policies that `make` gives to its nodes. `progress` is told of each second.
@@ -242,9 +242,9 @@
     scenario: &Scenario,
     seed: u64,
     name: &str,
-    make: &Make,
+    make: &PolicyFactory,
     progress: &mut dyn FnMut(u64),
-) -> Result<(Played, Judges), String> {
+) -> Result<(PlayResult, Judges), String> {
     if scenario.needs_processes() {
         return Err("view, faults and drawn are played around processes: --clock real".to_owned());
     }
@@ -255,7 +255,7 @@
 }
 
 impl<'a> World<'a> {
-    fn new(scenario: &'a Scenario, seed: u64, make: &'a Make<'a>) -> Result<World<'a>, String> {
+    fn new(scenario: &'a Scenario, seed: u64, make: &'a PolicyFactory<'a>) -> Result<World<'a>, String> {
         let fleet = Fleet::new(scenario, seed, ORIGIN);
         let count = fleet.backends.len();
         let mut arrivals = Arrivals::new(scenario, seed);
@@ -278,8 +278,8 @@
             tries: Arena::new(),
             flights: Arena::new(),
             tried: 0,
-            network: Draw::new(seed, Stream::Network),
-            clients: Draw::new(seed, Stream::Clients),
+            network: SeededRng::new(seed, RngStream::Network),
+            clients: SeededRng::new(seed, RngStream::Clients),
             judges: Judges::new(scenario, ORIGIN, count),
             told: Vec::new(),
             asked: Vec::new(),
@@ -310,8 +310,9 @@
     }
 
     fn policy(&self, node: usize, life: u32) -> Result<Box<dyn Policy>, String> {
-        let seed = Draw::numbered(self.seed, Stream::Nodes, (node as u64) << 12 | u64::from(life)).number();
-        (self.make)(&Birth { scenario: self.scenario, node, seed, now: self.now })
+        let seed = SeededRng::with_index(self.seed, RngStream::Nodes, (node as u64) << 12 | u64::from(life))
+            .next_u64();
+        (self.make)(&NodeContext { scenario: self.scenario, node, seed, now: self.now })
     }
 
     fn at(&mut self, at: Moment, event: Event) {
@@ -343,7 +344,7 @@
             }
             self.event(event)?;
         }
-        self.judges.rules.end(end);
+        self.judges.rules.finish(end);
         Ok(())
     }
 
@@ -358,7 +359,7 @@
             Event::Leave(attempt) => {
                 if let Some(t) = self.tries.get(attempt).filter(|t| t.open) {
                     let number = t.number;
-                    self.judges.see(Seen::Left { attempt: number, at: self.now });
+                    self.judges.observe(Observation::ClientLeft { attempt: number, at: self.now });
                     self.gone(attempt);
                     self.end_try(attempt, None);
                 }
@@ -366,15 +367,15 @@
             Event::Over(attempt) => {
                 if self.tries.get(attempt).is_some_and(|t| t.open) {
                     self.gone(attempt);
-                    self.end_try(attempt, Some(TryEnd::TimedOut));
+                    self.end_try(attempt, Some(AttemptOutcome::TimedOut));
                 }
             }
             Event::GoneAtNode(attempt) => self.gone_at_node(attempt),
             Event::Lost(attempt) => {
                 if let Some(t) = self.tries.get(attempt).filter(|t| t.open) {
                     let number = t.number;
-                    self.judges.see(Seen::Broken { attempt: number, at: self.now });
-                    self.end_try(attempt, Some(TryEnd::Lost));
+                    self.judges.observe(Observation::ConnectionBroken { attempt: number, at: self.now });
+                    self.end_try(attempt, Some(AttemptOutcome::Lost));
                 }
             }
             Event::Timer { node, life, hand } => self.timer(node as usize, life, hand),
@@ -401,7 +402,7 @@
                 }
             }
             Event::Ask { node, life } => {
-                let reply = match self.fleet.list_up {
+                let reply = match self.fleet.discovery_is_up {
                     true => Event::Whole { node, life },
                     false => Event::ListFailed { node, life },
                 };
@@ -409,14 +410,14 @@
                 self.after(trip, reply);
             }
             Event::Whole { node, life } => {
-                if !self.fleet.list_up {
+                if !self.fleet.discovery_is_up {
                     self.after(Span(0), Event::ListFailed { node, life });
                     return Ok(());
                 }
                 if self.alive(node, life) {
-                    let lines: Vec<Listed> = self.fleet.whole().collect();
+                    let lines: Vec<Listed> = self.fleet.snapshot().collect();
                     self.nodes[node as usize].follows = true;
-                    for i in 0..self.fleet.said.len() {
+                    for i in 0..self.fleet.entries.len() {
                         self.tell(node as usize, i);
                     }
                     self.nodes[node as usize].policy.list(self.now, ListKind::Whole, &lines);
@@ -425,7 +426,7 @@
             }
             Event::Line { node, life, backend } => {
                 if self.alive(node, life) && self.nodes[node as usize].follows {
-                    let line = self.fleet.said[backend as usize];
+                    let line = self.fleet.entries[backend as usize];
                     self.tell(node as usize, backend as usize);
                     self.nodes[node as usize].policy.list(self.now, ListKind::Changes, &[line]);
                     self.upkeep(node as usize);
@@ -463,7 +464,7 @@
             self.at(ORIGIN + Span(due.0), Event::Due);
         }
         let (command, profile) = (wanted.number, wanted.profile);
-        self.judges.see(Seen::Due { command, profile, at: self.now });
+        self.judges.observe(Observation::CommandDue { command, profile, at: self.now });
         let want = self.wants.add(Want { wanted, tries: 0 });
         self.start(want);
     }
@@ -472,8 +473,8 @@
         let Some(w) = self.wants.get(want) else { return };
         w.tries += 1;
         let first = w.tries == 1;
-        let (front, profile, leaves) = (w.wanted.front, w.wanted.profile, w.wanted.leaves);
-        let draw = if first { front } else { self.clients.unit() };
+        let (front, profile, leaves) = (w.wanted.node_draw, w.wanted.profile, w.wanted.leaves_early);
+        let draw = if first { front } else { self.clients.uniform() };
         let node = self.front.get((draw * self.front.len() as f64) as usize).copied();
         self.tried += 1;
         let trip = self.client_trip();
@@ -484,7 +485,7 @@
         let t = Try { want, node: node.unwrap_or(0), life, number, until, hand: None, open: true };
         let attempt = self.tries.add(t);
         if !node.is_some_and(|n| self.nodes[n].up) {
-            self.end_try(attempt, Some(TryEnd::Refused));
+            self.end_try(attempt, Some(AttemptOutcome::NotConnected));
             return;
         }
         self.after(trip, Event::AtNode(attempt));
@@ -499,23 +500,23 @@
         Span(self.scenario.net.client.0 + jitter as u64)
     }
 
-    fn answered(&mut self, attempt: Ref, number: u64, what: Final, come_back: Option<Span>) {
+    fn answered(&mut self, attempt: Ref, number: u64, what: FinalAnswer, come_back: Option<Span>) {
         // Also one too many, after all was over.
         let open = self.tries.get(attempt).is_some_and(|t| t.open);
-        let made_for = (what == Final::Finished).then_some(number);
-        self.judges.see(Seen::Answered { attempt: number, what, made_for, at: self.now });
+        let made_for = (what == FinalAnswer::Finished).then_some(number);
+        self.judges.observe(Observation::Answered { attempt: number, answer: what, made_for, at: self.now });
         if open {
             let end = match what {
-                Final::Finished => TryEnd::Finished,
-                Final::TurnedBack => TryEnd::TurnedBack(come_back),
-                Final::Errored => TryEnd::Errored,
+                FinalAnswer::Finished => AttemptOutcome::Finished,
+                FinalAnswer::Rejected => AttemptOutcome::Rejected(come_back),
+                FinalAnswer::Errored => AttemptOutcome::Errored,
             };
             self.end_try(attempt, Some(end));
         }
     }
 
     /// The client's part of a try is over; without an end it has left.
-    fn end_try(&mut self, attempt: Ref, end: Option<TryEnd>) {
+    fn end_try(&mut self, attempt: Ref, end: Option<AttemptOutcome>) {
         let Some(t) = self.tries.get(attempt) else { return };
         t.open = false;
         let (want, hand) = (t.want, t.hand);
@@ -524,14 +525,14 @@
         }
         let Some(w) = self.wants.get(want) else { return };
         let (command, profile, tries) = (w.wanted.number, w.wanted.profile, w.tries);
-        let next = end.and_then(|end| again(self.scenario, profile, tries, end, &mut self.clients));
+        let next = end.and_then(|end| retry_delay(self.scenario, profile, tries, end, &mut self.clients));
         if let Some(pause) = next {
             self.after(pause, Event::Start(want));
             return;
         }
         self.wants.remove(want);
-        let ending = end.map_or(Ending::Left, Ending::from);
-        self.judges.see(Seen::Settled { command, profile, at: self.now, ending });
+        let outcome = end.map_or(CommandOutcome::ClientLeft, CommandOutcome::from);
+        self.judges.observe(Observation::CommandSettled { command, profile, at: self.now, outcome });
     }
 
     /// The client closes its connection: its node hears of it a trip later.
@@ -550,7 +551,7 @@
             return;
         }
         if !self.nodes[node].up || self.nodes[node].life != life {
-            self.end_try(attempt, Some(TryEnd::Refused));
+            self.end_try(attempt, Some(AttemptOutcome::NotConnected));
             return;
         }
         let Some(w) = self.wants.get(want) else { return };
@@ -559,9 +560,16 @@
         let id = CommandId(number as u32);
         let left = until.since(self.now);
         let mut own = Command::new(id, ProfileId(profile), self.now, left);
-        own.hint = wanted.hint.map(|h| Span(h as u64));
+        own.hint = wanted.work_hint.map(|h| Span(h as u64));
         own.repeat = repeat && self.scenario.clients.mark_repeats;
-        self.judges.see(Seen::Taken { attempt: number, command, profile, node, at: self.now, until });
+        self.judges.observe(Observation::AttemptAccepted {
+            attempt: number,
+            command,
+            profile,
+            node,
+            at: self.now,
+            until,
+        });
         let held =
             Held { task: Task { command: own, sent: Vec::new() }, attempt, command, work, armed: None };
         let hand = self.nodes[node].hands.add(held);
@@ -585,15 +593,15 @@
             Say::NotYet => {}
             Say::TurnBack(span) => {
                 let told = self.scenario.allow.come_back.is_some() && span.0 > 0;
-                self.answer(node, hand, Final::TurnedBack, told.then_some(span.0));
+                self.answer(node, hand, FinalAnswer::Rejected, told.then_some(span.0));
             }
-            Say::Errored => self.answer(node, hand, Final::Errored, None),
+            Say::Errored => self.answer(node, hand, FinalAnswer::Errored, None),
             Say::CallOff(launch) => self.outcome(node, hand, launch, Outcome::Cancelled),
         }
         self.settle(node, hand);
     }
 
-    fn answer(&mut self, node: usize, hand: Ref, what: Final, come_back: Option<u64>) {
+    fn answer(&mut self, node: usize, hand: Ref, what: FinalAnswer, come_back: Option<u64>) {
         let Some(held) = self.nodes[node].hands.get(hand) else { return };
         held.task.command.closed = true;
         let (attempt, number) = (held.attempt, u64::from(held.task.command.id.0));
@@ -652,7 +660,7 @@
             let life = self.nodes[node].life;
             match errand {
                 Errand::Probe(backend) => {
-                    self.judges.see(Seen::Probed);
+                    self.judges.observe(Observation::ProbeReceived);
                     let trip = self.way(node, backend.0 as usize);
                     let (node, backend, sent) = (node as u32, backend.0, self.now.0);
                     self.after(trip, Event::ProbeAt { node, life, backend, sent });
@@ -703,7 +711,7 @@
         let same = self.nodes[node].zone == self.fleet.backends[backend].zone;
         let base = if same { net.same.0 } else { net.cross.0 };
         let jitter = self.network.exponential(net.jitter.micros()) as u64;
-        Span((base + jitter).saturating_add_signed(self.fleet.delay))
+        Span((base + jitter).saturating_add_signed(self.fleet.extra_delay_us))
     }
 
     fn launch(&mut self, node: usize, hand: Ref, backend: usize) {
@@ -713,8 +721,14 @@
         let (command, profile, work) = (held.command, held.task.command.profile.0, held.work);
         let try_number = u64::from(held.task.command.id.0);
         let p = &self.scenario.profiles[usize::from(profile)];
-        let tag = (p.effect == EffectOf::Tagged).then(|| (command, p.memory.span()));
-        self.judges.see(Seen::Launched { node, backend, attempt: try_number, at: self.now, told_left: None });
+        let tag = (p.effect == CommandEffect::Tagged).then(|| (command, p.memory.span()));
+        self.judges.observe(Observation::LaunchStarted {
+            node,
+            backend,
+            attempt: try_number,
+            at: self.now,
+            announced_time_left: None,
+        });
         let n = &mut self.nodes[node];
         n.idle.resize(n.idle.len().max(backend + 1), 0);
         let new = n.idle[backend] == 0;
@@ -733,7 +747,7 @@
             backend,
             sent: self.now,
             new,
-            answer: OnTheWay::Comes,
+            answer: AnswerFate::Delivered,
             node_done: false,
             backend_done: false,
         });
@@ -755,7 +769,7 @@
             self.flights.remove(flight);
             return;
         }
-        if self.fleet.backends[i].cut {
+        if self.fleet.backends[i].is_cut_off {
             f.backend_done = true;
             if new {
                 let at = (sent + self.scenario.net.dial.span()).max(self.now);
@@ -764,20 +778,29 @@
             return;
         }
         self.pass(i);
-        if self.fleet.backends[i].up {
+        if self.fleet.backends[i].is_up {
             if new {
                 let burden = self.fleet.backends[i].kind.connection_work.micros();
-                self.fleet.backends[i].burden(burden);
+                self.fleet.backends[i].add_overhead(burden);
             }
-            self.judges.see(Seen::Reached { backend: i, work, at: self.now });
+            self.judges.observe(Observation::LaunchReceived { backend: i, work, at: self.now });
         }
         let scope = self.scenario.profiles[profile].scope;
-        let tag = tag.map(|(tag, span)| Tag { scope: self.fleet.scope(scope, i), tag, span });
-        let answer = self.fleet.answer(&mut self.network);
+        let tag = tag.map(|(key, retention)| IdempotencyKey {
+            scope: self.fleet.scope_id(scope, i),
+            key,
+            retention,
+        });
+        let answer = self.fleet.draw_answer_fate(&mut self.network);
         let fleet = &mut self.fleet;
-        let reply = fleet.backends[i].arrive(self.now, (key, work, tag), &mut fleet.memory, &mut self.told);
+        let reply = fleet.backends[i].arrive(
+            self.now,
+            (key, work, tag),
+            &mut fleet.idempotency_store,
+            &mut self.told,
+        );
         let outcome = match reply {
-            Reply::Taken => {
+            Reply::Accepted => {
                 if let Some(f) = self.flights.get(flight) {
                     f.answer = answer;
                 }
@@ -789,10 +812,10 @@
             Reply::Error => Outcome::Errored,
             Reply::Down if new => Outcome::Unreachable,
             Reply::Down => Outcome::Broken,
-            Reply::Fell => {
-                self.judges.see(Seen::Fell { backend: i, at: self.now });
+            Reply::Crashed => {
+                self.judges.observe(Observation::BackendCrashed { backend: i, at: self.now });
                 let mut asked = std::mem::take(&mut self.asked);
-                self.fleet.fall(self.now, i, &mut asked);
+                self.fleet.crash(self.now, i, &mut asked);
                 self.asked = asked;
                 self.do_asked();
                 Outcome::Broken
@@ -819,7 +842,7 @@
     /// Lets a backend's time pass to now.
     fn pass(&mut self, i: usize) {
         let fleet = &mut self.fleet;
-        fleet.backends[i].advance(self.now, &mut fleet.memory, &mut self.told);
+        fleet.backends[i].advance(self.now, &mut fleet.idempotency_store, &mut self.told);
         self.happened();
     }
 
@@ -827,34 +850,41 @@
         let mut told = std::mem::take(&mut self.told);
         for one in told.drain(..) {
             let (key, began) = match one {
-                Happened::Began(key, _) => (key, true),
-                Happened::Ended(key, _) => (key, false),
+                BackendEvent::WorkStarted(key, _) => (key, true),
+                BackendEvent::WorkFinished(key, _) => (key, false),
             };
             let flight = Ref { key: (key >> 32) as u32, id: key as u32 };
             let Some(f) = self.flights.get(flight) else { continue };
             if began {
                 let (backend, attempt, command) = (f.backend, f.attempt, f.command);
                 let (profile, work) = (f.profile, f.work);
-                self.judges.see(Seen::Began { backend, attempt, command, profile, work, at: self.now });
+                self.judges.observe(Observation::WorkStarted {
+                    backend,
+                    attempt,
+                    command,
+                    profile,
+                    work,
+                    at: self.now,
+                });
                 continue;
             }
             f.backend_done = true;
             // A machine that is cut off works on, but nobody hears of it.
-            if self.fleet.backends[f.backend].cut && !f.node_done {
+            if self.fleet.backends[f.backend].is_cut_off && !f.node_done {
                 continue;
             }
             match f.answer {
-                OnTheWay::Comes => self.come_back(flight, Outcome::Finished),
-                OnTheWay::Breaks => self.come_back(flight, Outcome::Broken),
-                OnTheWay::Lost if f.node_done => drop(self.flights.remove(flight)),
-                OnTheWay::Lost => {}
+                AnswerFate::Delivered => self.come_back(flight, Outcome::Finished),
+                AnswerFate::ConnectionBroken => self.come_back(flight, Outcome::Broken),
+                AnswerFate::Lost if f.node_done => drop(self.flights.remove(flight)),
+                AnswerFate::Lost => {}
             }
         }
         self.told = told;
     }
 
     fn arm(&mut self, i: usize) {
-        let next = self.fleet.backends[i].next().map(|at| at.max(self.now + Span(1)));
+        let next = self.fleet.backends[i].next_change().map(|at| at.max(self.now + Span(1)));
         let (turn, armed) = &mut self.turns[i];
         if *armed != next {
             *turn += 1;
@@ -895,7 +925,7 @@
         held.task.command.closed |= outcome == Outcome::Finished;
         let say = n.policy.after(self.now, Hand(hand.key), &mut held.task, number, outcome, &self.fleet);
         if finishes {
-            self.answer(node, hand, Final::Finished, None);
+            self.answer(node, hand, FinalAnswer::Finished, None);
         }
         self.say(node, hand, say);
         self.upkeep(node);
@@ -921,15 +951,15 @@
             self.flights.remove(flight);
             return;
         }
-        if self.fleet.backends[i].cut || !self.fleet.backends[i].up {
+        if self.fleet.backends[i].is_cut_off || !self.fleet.backends[i].is_up {
             return;
         }
         self.pass(i);
         let key = u64::from(flight.key) << 32 | u64::from(flight.id);
-        let held = self.fleet.backends[i].held();
+        let held = self.fleet.backends[i].held_commands();
         let fleet = &mut self.fleet;
-        fleet.backends[i].stop(self.now, key, &mut fleet.memory, &mut self.told);
-        if fleet.backends[i].held() < held {
+        fleet.backends[i].cancel(self.now, key, &mut fleet.idempotency_store, &mut self.told);
+        if fleet.backends[i].held_commands() < held {
             self.flights.remove(flight);
         }
         self.happened();
@@ -939,17 +969,17 @@
     fn probe_at(&mut self, node: u32, life: u32, backend: u32, sent: u64) {
         let i = backend as usize;
         let b = &self.fleet.backends[i];
-        let silent = b.cut || b.hung || self.now < b.stands_until;
+        let silent = b.is_cut_off || b.is_hung || self.now < b.stalled_until;
         let (mut report, mut way) = (None, self.way(node as usize, i));
         if silent {
             way = (Moment(sent) + PROBE_WAIT).since(self.now);
-        } else if self.fleet.backends[i].up {
+        } else if self.fleet.backends[i].is_up {
             self.pass(i);
             let b = &mut self.fleet.backends[i];
-            b.burden(b.kind.probe_work.micros());
+            b.add_overhead(b.kind.probe_work.micros());
             let (at, held, queued) = &mut self.reports[i];
             if self.now >= *at + b.kind.refresh.span() {
-                (*at, *held, *queued) = (self.now, b.held() as u32, b.waiting() as u32);
+                (*at, *held, *queued) = (self.now, b.held_commands() as u32, b.queued_commands() as u32);
             }
             report = Some((*held, *queued));
             self.arm(i);
@@ -960,13 +990,13 @@
     // The list.
 
     fn trip(&mut self) -> Span {
-        self.scenario.list.trip.span().scaled(self.network.unit())
+        self.scenario.list.trip.span().scaled(self.network.uniform())
     }
 
     fn cached(&mut self, node: usize) {
-        let lines: Vec<Listed> = self.fleet.whole().collect();
+        let lines: Vec<Listed> = self.fleet.snapshot().collect();
         self.nodes[node].policy.list(self.now, ListKind::Cached, &lines);
-        if self.scenario.list.mode == Follow::Watch {
+        if self.scenario.list.mode == ListMode::Watch {
             let (trip, life) = (self.trip(), self.nodes[node].life);
             self.after(trip, Event::Ask { node: node as u32, life });
         }
@@ -974,12 +1004,12 @@
     }
 
     fn tell(&mut self, node: usize, backend: usize) {
-        let ready = self.fleet.said[backend].state == State::Ready;
-        self.judges.see(Seen::Told { node, backend, ready, at: self.now });
+        let ready = self.fleet.entries[backend].state == State::Ready;
+        self.judges.observe(Observation::ListEntryDelivered { node, backend, ready, at: self.now });
     }
 
     fn publish(&mut self, i: usize) {
-        if !self.fleet.publish(i) || !self.fleet.list_up {
+        if !self.fleet.publish(i) || !self.fleet.discovery_is_up {
             return;
         }
         for node in 0..self.nodes.len() {
@@ -1009,20 +1039,20 @@
             Step::StartNode(node) => self.revive(node)?,
             _ => {
                 if let Step::Hang(i, _)
-                | Step::Slow(i, _)
-                | Step::Stand(i, _)
-                | Step::Die(i)
+                | Step::ScaleSpeed(i, _)
+                | Step::Stall(i, _)
+                | Step::Kill(i)
                 | Step::Drain(i) = step
                 {
                     self.pass(i);
                 }
                 let mut asked = std::mem::take(&mut self.asked);
-                self.fleet.step(self.now, step, &mut asked);
+                self.fleet.apply(self.now, step, &mut asked);
                 self.asked = asked;
                 self.do_asked();
             }
         }
-        if step == Step::ListDown {
+        if step == Step::DiscoveryDown {
             for node in 0..self.nodes.len() {
                 if std::mem::take(&mut self.nodes[node].follows) {
                     let (trip, life) = (self.trip(), self.nodes[node].life);
@@ -1037,10 +1067,10 @@
         let mut asked = std::mem::take(&mut self.asked);
         for one in asked.drain(..) {
             match one {
-                Asked::Reset(i) => self.reset(i),
-                Asked::Publish(at, i) => self.at(at, Event::Publish(i as u32)),
-                Asked::Later(at, step) => self.later_step(at, step),
-                Asked::Started(i) => {
+                DriverAction::ResetConnections(i) => self.reset(i),
+                DriverAction::Publish(at, i) => self.at(at, Event::Publish(i as u32)),
+                DriverAction::ScheduleStep(at, step) => self.later_step(at, step),
+                DriverAction::ReportColdStart(i) => {
                     let count = self.fleet.backends.len();
                     self.turns.resize(count, (0, None));
                     self.reports.resize(count, (Moment(0), 0, 0));
@@ -1048,10 +1078,16 @@
                     let (share, warm) = (b.kind.cold, b.kind.warm.micros());
                     let capacity = b.cores() * b.speed;
                     if warm > 0.0 {
-                        self.judges.see(Seen::Started { backend: i, at: self.now, share, warm, capacity });
+                        self.judges.observe(Observation::ColdStart {
+                            backend: i,
+                            at: self.now,
+                            share,
+                            warm,
+                            capacity,
+                        });
                     }
                 }
-                Asked::Turned(i) => self.arm(i),
+                DriverAction::UpdateNextChange(i) => self.arm(i),
             }
         }
         self.asked = asked;
@@ -1064,7 +1100,7 @@
                 *idle = 0;
             }
         }
-        let held = self.fleet.backends[i].up;
+        let held = self.fleet.backends[i].is_up;
         for flight in self.flights.refs() {
             let now = self.now;
             let Some(f) = self.flights.get(flight).filter(|f| f.backend == i && f.sent < now) else {
@@ -1084,7 +1120,7 @@
         let life = n.life;
         n.hands = Arena::new();
         n.idle.fill(0);
-        self.judges.see(Seen::Killed { node, at: self.now });
+        self.judges.observe(Observation::NodeKilled { node, at: self.now });
         self.drop_tries(node, life);
         for flight in self.flights.refs() {
             if self.flights.get(flight).is_some_and(|f| f.node == node && f.life == life && !f.node_done) {
@@ -1139,7 +1175,7 @@
         n.follows = false;
         n.up = true;
         self.in_front(node, true);
-        self.judges.see(Seen::Fresh { node });
+        self.judges.observe(Observation::NodeStarted { node });
         self.cached(node);
         Ok(())
     }
--- a/crates/rehearsal/tests/judges.rs
+++ b/crates/rehearsal/tests/judges.rs
@@ -1,9 +1,9 @@
 //! Rules broken on purpose by faulty policies: the judge must see each, and nothing else.
 
-use rehearsal::judge::rules::Rules;
-use rehearsal::judge::{Final, Seen};
+use rehearsal::judge::rules::RuleJudge;
+use rehearsal::judge::{FinalAnswer, Observation};
 use rehearsal::model::fleet::Fleet;
-use rehearsal::policy::{self, Birth, Policy, Task};
+use rehearsal::policy::{self, NodeContext, Policy, Task};
 use rehearsal::scenario::Scenario;
 use rehearsal::virtual_clock;
 use yarrowfront::command::Outcome;
@@ -122,7 +122,8 @@
 
 fn broken(text: &str, fault: Fault) -> [u64; 4] {
     let scenario = Scenario::parse(text).expect("a good scenario");
-    let make = |_: &Birth| Ok(Box::new(Faulty { fault, turn: 0, known: Vec::new() }) as Box<dyn Policy>);
+    let make =
+        |_: &NodeContext| Ok(Box::new(Faulty { fault, turn: 0, known: Vec::new() }) as Box<dyn Policy>);
     let (played, _) = virtual_clock::play(&scenario, 1, "faulty", &make, &mut |_| ()).expect("it plays");
     let r = played.rules;
     assert_eq!(r.cases.is_empty(), r.answers + r.effects + r.drains + r.pushes == 0, "cases in words");
@@ -177,7 +178,7 @@
         let plain = PLAIN.replace("nodes = 1", &format!("nodes = 1\nlist = {{ mode = \"{mode}\" }}"));
         let scenario = Scenario::parse(&format!("{plain}{}{trouble}", profile(effect))).expect("good");
         for name in policy::NAMES {
-            let make = |birth: &Birth| policy::make(name, birth);
+            let make = |birth: &NodeContext| policy::create(name, birth);
             let (played, _) = virtual_clock::play(&scenario, 3, name, &make, &mut |_| ()).expect("plays");
             assert!(!played.rules.any(), "{name}, {effect}: {:?}", played.rules);
             assert!(played.service > 0.3, "{name}, {effect}: {}", played.service);
@@ -185,16 +186,16 @@
     }
 }
 
-fn rules() -> Rules {
+fn rules() -> RuleJudge {
     let scenario = Scenario::parse(&format!("{PLAIN}{}", profile("tagged"))).expect("good");
-    Rules::new(&scenario, Moment(0))
+    RuleJudge::new(&scenario, Moment(0))
 }
 
 /// Sightings by hand, for what no policy on the virtual clock can do wrong.
 #[test]
 fn sightings_by_hand() {
     let at = |ms: u64| Moment(ms * 1000);
-    let taken = |attempt, node| Seen::Taken {
+    let taken = |attempt, node| Observation::AttemptAccepted {
         attempt,
         command: attempt,
         profile: 0,
@@ -202,23 +203,43 @@
         at: at(0),
         until: at(500),
     };
-    let answered =
-        |attempt, made_for, ms| Seen::Answered { attempt, what: Final::Finished, made_for, at: at(ms) };
-    let began =
-        |attempt, command| Seen::Began { backend: 0, attempt, command, profile: 0, work: 1.0, at: at(1) };
-    let told = |ready, ms| Seen::Told { node: 0, backend: 1, ready, at: at(ms) };
-    let launched = |node, ms| Seen::Launched { node, backend: 1, attempt: 1, at: at(ms), told_left: None };
+    let answered = |attempt, made_for, ms| Observation::Answered {
+        attempt,
+        answer: FinalAnswer::Finished,
+        made_for,
+        at: at(ms),
+    };
+    let began = |attempt, command| Observation::WorkStarted {
+        backend: 0,
+        attempt,
+        command,
+        profile: 0,
+        work: 1.0,
+        at: at(1),
+    };
+    let told = |ready, ms| Observation::ListEntryDelivered { node: 0, backend: 1, ready, at: at(ms) };
+    let launched = |node, ms| Observation::LaunchStarted {
+        node,
+        backend: 1,
+        attempt: 1,
+        at: at(ms),
+        announced_time_left: None,
+    };
     // What is seen, and how often which rule is broken then: answers, effects, drains.
-    let cases: [(&str, Vec<Seen>, [u64; 3]); 13] = [
+    let cases: [(&str, Vec<Observation>, [u64; 3]); 13] = [
         ("in time", vec![taken(1, 0), answered(1, Some(1), 500)], [0, 0, 0]),
         ("late", vec![taken(1, 0), answered(1, Some(1), 551)], [1, 0, 0]),
         ("made for another", vec![taken(1, 0), answered(1, Some(2), 100)], [1, 0, 0]),
         ("made for nobody", vec![taken(1, 0), answered(1, None, 100)], [1, 0, 0]),
         ("never", vec![taken(1, 0)], [1, 0, 0]),
-        ("its connection ended", vec![taken(1, 0), Seen::Broken { attempt: 1, at: at(9) }], [1, 0, 0]),
-        ("its client left", vec![taken(1, 0), Seen::Left { attempt: 1, at: at(1) }], [0, 0, 0]),
-        ("its node was killed", vec![taken(1, 2), Seen::Killed { node: 2, at: at(9) }], [0, 0, 0]),
-        ("another was killed", vec![taken(1, 2), Seen::Killed { node: 1, at: at(9) }], [1, 0, 0]),
+        (
+            "its connection ended",
+            vec![taken(1, 0), Observation::ConnectionBroken { attempt: 1, at: at(9) }],
+            [1, 0, 0],
+        ),
+        ("its client left", vec![taken(1, 0), Observation::ClientLeft { attempt: 1, at: at(1) }], [0, 0, 0]),
+        ("its node was killed", vec![taken(1, 2), Observation::NodeKilled { node: 2, at: at(9) }], [0, 0, 0]),
+        ("another was killed", vec![taken(1, 2), Observation::NodeKilled { node: 1, at: at(9) }], [1, 0, 0]),
         ("two effects by two tries", vec![began(1, 7), began(2, 7)], [0, 1, 0]),
         ("within the grace", vec![told(false, 0), launched(0, 500)], [0, 0, 0]),
         ("past the grace, told twice", vec![told(false, 0), told(false, 400), launched(0, 501)], [0, 0, 1]),
@@ -230,8 +251,8 @@
     ];
     for (what, seen, wanted) in cases {
         let mut rules = rules();
-        seen.iter().for_each(|s| rules.see(s));
-        rules.end(at(10_000));
+        seen.iter().for_each(|s| rules.observe(s));
+        rules.finish(at(10_000));
         let b = &rules.broken;
         assert_eq!([b.answers, b.effects, b.drains], wanted, "{what}: {b:?}");
     }
@@ -240,7 +261,7 @@
 /// The work that a cold backend bears within the window grows with its warmth; what came before it counts no more.
 #[test]
 fn a_cold_backends_budget() {
-    let start = Seen::Started { backend: 1, at: Moment(0), share: 0.5, warm: 10e6, capacity: 1.0 };
+    let start = Observation::ColdStart { backend: 1, at: Moment(0), share: 0.5, warm: 10e6, capacity: 1.0 };
     // At the start four times half a core for two seconds are borne, some 4 s of work, and a little for chance.
     let cases = [
         ("little by little", 40, 90_000, 50_000.0, 0),
@@ -249,9 +270,9 @@
     ];
     for (what, count, apart, work, wanted) in cases {
         let mut rules = rules();
-        rules.see(&start);
+        rules.observe(&start);
         for n in 0..count {
-            rules.see(&Seen::Reached { backend: 1, work, at: Moment(n * apart) });
+            rules.observe(&Observation::LaunchReceived { backend: 1, work, at: Moment(n * apart) });
         }
         assert_eq!(rules.broken.pushes, wanted, "{what}");
     }
--- a/crates/rehearsal/tests/model.rs
+++ b/crates/rehearsal/tests/model.rs
@@ -1,12 +1,12 @@
 //! The model against closed forms, and each way in which a backend can go wrong.
 
-use rehearsal::draw::{Draw, Stream};
+use rehearsal::draw::{RngStream, SeededRng};
 use rehearsal::model::arrivals::Arrivals;
-use rehearsal::model::backend::{Backend, Happened, Memory, Reply, Tag};
-use rehearsal::model::clients::{again, TryEnd};
+use rehearsal::model::backend::{Backend, BackendEvent, IdempotencyKey, IdempotencyStore, Reply};
+use rehearsal::model::clients::{retry_delay, AttemptOutcome};
 use rehearsal::model::troubles::{timeline, Step};
-use rehearsal::policy::{self, Birth};
-use rehearsal::scenario::{Again, Scenario};
+use rehearsal::policy::{self, NodeContext};
+use rehearsal::scenario::{RetryMode, Scenario};
 use rehearsal::virtual_clock;
 use yarrowfront::times::{Moment, Span};
 
@@ -28,7 +28,7 @@
     for (law, variation) in [("exponential", 1.0), ("fixed", 0.0)] {
         for load in [0.3, 0.6, 0.75] {
             let scenario = queue(law, load);
-            let make = |birth: &Birth| policy::make("random", birth);
+            let make = |birth: &NodeContext| policy::create("random", birth);
             let (played, _) =
                 virtual_clock::play(&scenario, 11, "random", &make, &mut |_| ()).expect("plays");
             let wanted = 20.0 * (1.0 + load * (1.0 + variation) / (2.0 * (1.0 - load)));
@@ -49,8 +49,8 @@
 
 struct Bench {
     backend: Backend,
-    memory: Memory,
-    told: Vec<Happened>,
+    memory: IdempotencyStore,
+    told: Vec<BackendEvent>,
 }
 
 impl Bench {
@@ -60,14 +60,14 @@
         let started = cold.then_some(Moment(0));
         let own = scenario.backends[0].clone();
         let backend = Backend::new(own, (0, 0), started, Moment(0), budget, (1, 1));
-        Bench { backend, memory: Memory::default(), told: Vec::new() }
+        Bench { backend, memory: IdempotencyStore::default(), told: Vec::new() }
     }
 
     fn send(&mut self, ms: u64, key: u64, work_ms: f64) -> Reply {
         self.tagged(ms, key, work_ms, None)
     }
 
-    fn tagged(&mut self, ms: u64, key: u64, work_ms: f64, tag: Option<Tag>) -> Reply {
+    fn tagged(&mut self, ms: u64, key: u64, work_ms: f64, tag: Option<IdempotencyKey>) -> Reply {
         let now = Moment(ms * 1000);
         self.backend.advance(now, &mut self.memory, &mut self.told);
         self.backend.arrive(now, (key, work_ms * 1000.0, tag), &mut self.memory, &mut self.told)
@@ -79,9 +79,9 @@
 
     /// Keys and milliseconds of all ends so far.
     fn ends(&self) -> Vec<(u64, u64)> {
-        let end = |h: &Happened| match h {
-            Happened::Ended(key, at) => Some((*key, (at.0 + 500) / 1000)),
-            Happened::Began(..) => None,
+        let end = |h: &BackendEvent| match h {
+            BackendEvent::WorkFinished(key, at) => Some((*key, (at.0 + 500) / 1000)),
+            BackendEvent::WorkStarted(..) => None,
         };
         self.told.iter().filter_map(end).collect()
     }
@@ -89,7 +89,7 @@
     fn begun(&self) -> Vec<u64> {
         self.told
             .iter()
-            .filter_map(|h| if let Happened::Began(key, _) = h { Some(*key) } else { None })
+            .filter_map(|h| if let BackendEvent::WorkStarted(key, _) = h { Some(*key) } else { None })
             .collect()
     }
 }
@@ -117,7 +117,7 @@
     for (more, cold, sent, wanted) in cases {
         let mut bench = Bench::new(more, cold);
         for (key, (ms, work)) in sent.iter().enumerate() {
-            assert_eq!(bench.send(*ms, key as u64, *work), Reply::Taken, "{more}");
+            assert_eq!(bench.send(*ms, key as u64, *work), Reply::Accepted, "{more}");
         }
         bench.until(5000);
         assert_eq!(bench.ends(), wanted, "{more}");
@@ -130,16 +130,16 @@
     let mut bench = Bench::new("cores = 1", false);
     bench.send(0, 1, 100.0);
     bench.until(50);
-    bench.backend.stands_until = Moment(250_000);
+    bench.backend.stalled_until = Moment(250_000);
     bench.backend.changed(Moment(50_000));
     bench.until(400);
     assert_eq!(bench.ends(), [(1, 300)], "stood for 200 ms");
-    bench.backend.hung = true;
+    bench.backend.is_hung = true;
     bench.backend.changed(Moment(400_000));
     bench.send(400, 2, 10.0);
     bench.until(2000);
     assert_eq!(bench.ends().len(), 1, "hung");
-    bench.backend.hung = false;
+    bench.backend.is_hung = false;
     bench.backend.part = 0.1;
     bench.backend.changed(Moment(2_000_000));
     bench.until(2101);
@@ -159,18 +159,18 @@
 fn full_errors_and_falling_over() {
     let mut bench = Bench::new("queue = 2", false);
     let replies: Vec<Reply> = (0..4).map(|key| bench.send(0, key, 10.0)).collect();
-    assert_eq!(replies, [Reply::Taken, Reply::Taken, Reply::Taken, Reply::Full]);
+    assert_eq!(replies, [Reply::Accepted, Reply::Accepted, Reply::Accepted, Reply::Full]);
     let mut bench = Bench::new("errors = 1.0", false);
     assert_eq!(bench.send(0, 1, 10.0), Reply::Error);
     // Four times 0.4 of a core for two seconds, a tenth and three commands more: about 3.7 s of work.
     let pushed = |cold| {
         let mut bench = Bench::new("queue = 100, cold = 0.4", cold);
-        (0..60).position(|key| bench.send(0, key, 100.0) == Reply::Fell)
+        (0..60).position(|key| bench.send(0, key, 100.0) == Reply::Crashed)
     };
     assert_eq!(pushed(false), None, "a warm one does not fall");
     assert!((35..=42).contains(&pushed(true).unwrap_or(0)), "{:?}", pushed(true));
     let mut slow = Bench::new("queue = 100, cold = 0.4", true);
-    let fell = (0..60).any(|key| slow.send(key * 100, key, 50.0) == Reply::Fell);
+    let fell = (0..60).any(|key| slow.send(key * 100, key, 50.0) == Reply::Crashed);
     assert!(!fell, "little by little it is borne");
 }
 
@@ -185,7 +185,7 @@
         bench.until(10);
         // The first runs, the second waits.
         for key in [1, 0] {
-            bench.backend.stop(Moment(10_000), key, &mut bench.memory, &mut bench.told);
+            bench.backend.cancel(Moment(10_000), key, &mut bench.memory, &mut bench.told);
         }
         bench.until(1000);
         assert_eq!((bench.begun().len(), bench.ends().len()), (begun, ends), "{stops}");
@@ -195,7 +195,7 @@
 /// A tag's repeat has no effect within its span and scope.
 #[test]
 fn repeats_of_a_tag() {
-    let tag = |scope, tag| Some(Tag { scope, tag, span: Span::millis(500) });
+    let tag = |scope, key| Some(IdempotencyKey { scope, key, retention: Span::millis(500) });
     let cases = [
         ("the same", (0, 7), 100, false),
         ("another tag", (0, 8), 100, true),
@@ -249,31 +249,31 @@
 #[test]
 fn what_clients_try_again() {
     let mut scenario = kind("cores = 1");
-    let mut draw = Draw::new(1, Stream::Clients);
+    let mut draw = SeededRng::new(1, RngStream::Clients);
     let told = Some(Span::millis(700));
     // For a tagged command: the end of a try, the clients' way, and whether the next try comes at once, as told,
     // after a wait, or not at all.
     let cases = [
-        (TryEnd::TurnedBack(told), Again::Advised, Some(700..=700)),
-        (TryEnd::TurnedBack(None), Again::Advised, Some(50..=150)),
-        (TryEnd::TurnedBack(told), Again::AtOnce, Some(0..=0)),
-        (TryEnd::TurnedBack(told), Again::Wait, Some(50..=150)),
-        (TryEnd::TurnedBack(told), Again::Never, None),
-        (TryEnd::Refused, Again::Wait, Some(50..=150)),
-        (TryEnd::Errored, Again::AtOnce, None),
-        (TryEnd::Lost, Again::AtOnce, None),
-        (TryEnd::Finished, Again::AtOnce, None),
+        (AttemptOutcome::Rejected(told), RetryMode::Advised, Some(700..=700)),
+        (AttemptOutcome::Rejected(None), RetryMode::Advised, Some(50..=150)),
+        (AttemptOutcome::Rejected(told), RetryMode::AtOnce, Some(0..=0)),
+        (AttemptOutcome::Rejected(told), RetryMode::Wait, Some(50..=150)),
+        (AttemptOutcome::Rejected(told), RetryMode::Never, None),
+        (AttemptOutcome::NotConnected, RetryMode::Wait, Some(50..=150)),
+        (AttemptOutcome::Errored, RetryMode::AtOnce, None),
+        (AttemptOutcome::Lost, RetryMode::AtOnce, None),
+        (AttemptOutcome::Finished, RetryMode::AtOnce, None),
     ];
     for (end, way, wanted) in cases {
-        scenario.clients.again = way;
-        let pause = again(&scenario, 0, 1, end, &mut draw).map(|p| p.0 / 1000);
+        scenario.clients.retry_mode = way;
+        let pause = retry_delay(&scenario, 0, 1, end, &mut draw).map(|p| p.0 / 1000);
         let fits = match (&pause, &wanted) {
             (None, None) => true,
             (Some(pause), Some(range)) => range.contains(pause),
             _ => false,
         };
         assert!(fits, "{end:?}, {way:?}: {pause:?}");
-        assert!(again(&scenario, 0, 3, end, &mut draw).is_none(), "two repeats at most");
+        assert!(retry_delay(&scenario, 0, 3, end, &mut draw).is_none(), "two repeats at most");
     }
 }
 
@@ -289,7 +289,7 @@
     assert_eq!((drains(&one), drains(&both)), (18, 18));
     assert!(one.iter().all(|step| both.contains(step)), "the deploy is as it was");
     let count = |wanted: fn(&Step) -> bool| both.iter().filter(|(_, s)| wanted(s)).count();
-    assert_eq!(count(|s| matches!(s, Step::Die(_))), 4);
-    assert_eq!(count(|s| matches!(s, Step::Rise(_))), 18 + 4);
+    assert_eq!(count(|s| matches!(s, Step::Kill(_))), 4);
+    assert_eq!(count(|s| matches!(s, Step::Restart(_))), 18 + 4);
     assert!(both.windows(2).all(|w| w[0].0 <= w[1].0), "in the order of time");
 }
--- a/crates/rehearsal/tests/real.rs
+++ b/crates/rehearsal/tests/real.rs
@@ -2,7 +2,7 @@
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use rehearsal::judge::result::Played;
+use rehearsal::judge::result::PlayResult;
 use rehearsal::program;
 use rehearsal::real::{play, shrink, Means};
 use rehearsal::scenario::Scenario;
@@ -81,7 +81,7 @@
 strength = 0.2
 "#;
 
-fn run(text: &str, program: PathBuf, arguments: &[&str]) -> Played {
+fn run(text: &str, program: PathBuf, arguments: &[&str]) -> PlayResult {
     let scenario = Scenario::parse(text).unwrap_or_else(|(line, why)| panic!("{line}: {why}"));
     let arguments = arguments.iter().map(|a| a.to_string()).collect();
     let means = Means { program, logs: None, arguments, variables: Vec::new() };
@@ -92,7 +92,7 @@
 #[test]
 fn the_node_in_overlapping_troubles() {
     let _alone = one_at_a_time();
-    let played = run(&format!("{QUIET}{TROUBLES}"), program::node().expect("the node"), &[]);
+    let played = run(&format!("{QUIET}{TROUBLES}"), program::node_binary().expect("the node"), &[]);
     assert!(!played.rules.any(), "{:?}", played.rules);
     let ended: u64 =
         played.latency.values().map(|p| p.finished + p.turned_back + p.errored + p.lost + p.left).sum();
@@ -104,7 +104,7 @@
 }
 
 /// The same scenario by each of these faulty nodes, each in its own thread: they wait more than they work.
-fn by_faulty(text: &str, faults: impl Iterator<Item = &'static str>) -> Vec<Played> {
+fn by_faulty(text: &str, faults: impl Iterator<Item = &'static str>) -> Vec<PlayResult> {
     let _alone = one_at_a_time();
     let faulty = PathBuf::from(env!("CARGO_BIN_EXE_yarrowfront-faulty"));
     std::thread::scope(|scope| {
@@ -176,7 +176,7 @@
          { at = \"6500ms\", what = \"start n3\" }, { at = \"7s\", what = \"heal\" }]\nzones = 2\n";
     let text = VIEW.to_owned() + faults + &QUIET.replace("length = \"5s\"", "length = \"14s\"");
     let text = text.replace("nodes = 2", "nodes = 4").replace("agree = \"5s\"", "agree = \"6s\"");
-    let played = run(&text, program::node().expect("the node"), &[]);
+    let played = run(&text, program::node_binary().expect("the node"), &[]);
     assert!(!played.rules.any(), "{:?}", played.rules);
     assert_eq!(played.faults.lines().count(), 7, "{}", played.faults);
     assert!(played.faults.starts_with("2000 one-way n0 n1\n"), "{}", played.faults);
@@ -246,7 +246,7 @@
 #[test]
 fn a_lost_site_with_a_plan_and_without() {
     let _alone = one_at_a_time();
-    let program = program::node().expect("the node");
+    let program = program::node_binary().expect("the node");
     // What a site's backends do.
     let texts: [&'static str; 2] = [SITES, (site_plan(52.0) + SITES).leak()];
     let round = |_| {
@@ -259,8 +259,8 @@
             started.map(|s| s.join().expect("played"))
         })
     };
-    let played: Vec<[Played; 2]> = (0..3).map(round).collect();
-    let served = |played: &Played, name: &str| {
+    let played: Vec<[PlayResult; 2]> = (0..3).map(round).collect();
+    let served = |played: &PlayResult, name: &str| {
         let profile = &played.latency[name];
         profile.in_time as f64 / profile.asked as f64
     };
@@ -273,7 +273,7 @@
             served(played, "count")
         );
     }
-    let mean = |of: usize, value: &dyn Fn(&Played) -> f64| {
+    let mean = |of: usize, value: &dyn Fn(&PlayResult) -> f64| {
         played.iter().map(|round| value(&round[of])).sum::<f64>() / played.len() as f64
     };
     let [without, with] = [0, 1].map(|of| mean(of, &|played| played.service));
@@ -317,7 +317,7 @@
     let text = VIEW.replace("agree", "sure = \"1s\", agree") + QUIET;
     assert!(Scenario::parse(&text).err().is_some_and(|(_, why)| why.contains("four times")));
     let scenario = Scenario::parse(&(VIEW.to_owned() + QUIET)).expect("good");
-    let make = |birth: &rehearsal::policy::Birth| rehearsal::policy::make("yarrowfront", birth);
+    let make = |birth: &rehearsal::policy::NodeContext| rehearsal::policy::create("yarrowfront", birth);
     let why = rehearsal::virtual_clock::play(&scenario, 1, "yarrowfront", &make, &mut |_| ()).err();
     assert!(why.is_some_and(|why| why.contains("--clock real")));
 }
@@ -347,7 +347,7 @@
 /// Ctrl-C and SIGTERM in the middle of a play leave no process behind.
 #[test]
 fn nothing_is_left_after_a_signal() {
-    let node = program::node().expect("the node");
+    let node = program::node_binary().expect("the node");
     for signal in [Signal::SIGINT, Signal::SIGTERM] {
         let folder = tempfile::tempdir().expect("a folder");
         let scenario = folder.path().join("quiet.toml");
--- a/crates/rehearsal/tests/scenarios.rs
+++ b/crates/rehearsal/tests/scenarios.rs
@@ -187,7 +187,7 @@
         + "[[troubles]]\nkind = \"node-deaths\"\nat = \"4s\"\nlength = \"1s\"\nshare = 0.5\ndown = \"1s\"\n";
     let scenario = Scenario::parse(&text).expect("good");
     let play = |seed| {
-        let make = |birth: &rehearsal::policy::Birth| rehearsal::policy::make("yarrowfront", birth);
+        let make = |birth: &rehearsal::policy::NodeContext| rehearsal::policy::create("yarrowfront", birth);
         let (played, judges) =
             virtual_clock::play(&scenario, seed, "yarrowfront", &make, &mut |_| ()).expect("plays");
         assert!(!played.rules.any(), "{:?}", played.rules);
