--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -5,7 +5,6 @@
 
 mod agenda;
 pub mod compare;
-pub mod draw;
 pub mod experiment;
 pub mod judge;
 pub mod model;
@@ -14,6 +13,7 @@
 pub mod program;
 pub mod real;
 pub mod report;
+pub mod rng;
 pub mod scenario;
 pub mod search;
 pub mod soak;
--- a/crates/rehearsal/src/model/arrivals.rs
+++ b/crates/rehearsal/src/model/arrivals.rs
@@ -1,6 +1,6 @@
 //! Commands as clients want them: drawn ahead of any answer, by the same numbers whatever serves them.
 
-use crate::draw::{RngStream, SeededRng};
+use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{LoadShape, Scenario, TroubleKind};
 use yarrowfront::times::Moment;
 
--- a/crates/rehearsal/src/model/backend.rs
+++ b/crates/rehearsal/src/model/backend.rs
@@ -5,7 +5,7 @@
 //! rate is constant between edges (an arrival, an end, a step of the warm-up, a stall), and `next` is the next
 //! edge: whoever drives it calls `advance` then.
 
-use crate::draw::{RngStream, SeededRng};
+use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{BackendKind, Spells, Stops};
 use std::collections::{HashMap, VecDeque};
 use yarrowfront::times::{Moment, Span};
--- a/crates/rehearsal/src/model/clients.rs
+++ b/crates/rehearsal/src/model/clients.rs
@@ -1,6 +1,6 @@
 //! What a client does when a try has ended: whether it tries again, and when.
 
-use crate::draw::SeededRng;
+use crate::rng::SeededRng;
 use crate::scenario::{CommandEffect, RetryMode, Scenario};
 use yarrowfront::times::Span;
 
--- a/crates/rehearsal/src/model/fleet.rs
+++ b/crates/rehearsal/src/model/fleet.rs
@@ -1,8 +1,8 @@
 //! All backends, what the list says of them, and what a trouble's step means for them.
 
-use crate::draw::SeededRng;
 use crate::model::backend::{Backend, IdempotencyStore};
 use crate::model::troubles::Step;
+use crate::rng::SeededRng;
 use crate::scenario::{Scenario, Scope};
 use yarrowfront::decide::{Listed, State};
 use yarrowfront::ids::{BackendId, GroupId, KindId, ZoneId};
--- a/crates/rehearsal/src/model/troubles.rs
+++ b/crates/rehearsal/src/model/troubles.rs
@@ -1,7 +1,7 @@
 //! Troubles as a timeline of single steps, drawn once for a scenario and a seed. They may overlap as they like:
 //! a step says what becomes of one thing, and `fleet` knows what that means where others have been before.
 
-use crate::draw::{RngStream, SeededRng};
+use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{Scenario, TroubleKind};
 use crate::span::Time;
 use yarrowfront::times::Span;
--- a/crates/rehearsal/src/paper.rs
+++ b/crates/rehearsal/src/paper.rs
@@ -1,9 +1,9 @@
 //! The model beside the paper that the design comes from: its policy as it stands there, on plain exponential
 //! servers, against the figures of its Table 3.
 
-use crate::draw::{RngStream, SeededRng};
 use crate::model::fleet::Fleet;
 use crate::policy::{self, NodeContext, Policy, Task};
+use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{Allow, CommandEffect, Scope};
 use crate::scenario::{
     BackendKind, Clients, List, Load, LoadShape, Net, Profile, Scenario, Stops, WorkDistribution,
--- a/crates/rehearsal/src/policy.rs
+++ b/crates/rehearsal/src/policy.rs
@@ -1,8 +1,8 @@
 //! Policies on the virtual clock: yarrowfront's own module, unchanged, and simple ones to compare it with.
 
-use crate::draw::{RngStream, SeededRng};
 use crate::model::fleet::Fleet;
 use crate::model::settings::node_settings;
+use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{CommandEffect, Scenario};
 use yarrowfront::command::{Command, Fate, Outcome};
 use yarrowfront::decide::{Balancer, Errand, ListKind, Listed, Say, State};
--- a/crates/rehearsal/src/real/clients.rs
+++ b/crates/rehearsal/src/real/clients.rs
@@ -1,12 +1,12 @@
 //! The clients: commands go out when they are due, whatever became of those before.
 
-use crate::draw::{RngStream, SeededRng};
 use crate::judge::{CommandOutcome, FinalAnswer, Observation};
 use crate::model::arrivals::{Arrival, Arrivals};
 use crate::model::clients::{retry_delay, AttemptOutcome};
 use crate::real::backends::ID;
 use crate::real::nodes::Crew;
 use crate::real::stage::{Sent, Stage};
+use crate::rng::{RngStream, SeededRng};
 use crate::scenario::CommandEffect;
 use crate::span::Time;
 use bytes::Bytes;
--- a/crates/rehearsal/src/real/nodes.rs
+++ b/crates/rehearsal/src/real/nodes.rs
@@ -1,11 +1,11 @@
 //! The nodes: real processes, started, stopped and killed by plan. None outlives the rehearsal.
 
-use crate::draw::{RngStream, SeededRng};
 use crate::judge::result::ProcessUsage;
 use crate::judge::Observation;
 use crate::model::settings::node_settings;
 use crate::real::stage::Stage;
 use crate::real::{discovery, ports, ways};
+use crate::rng::{RngStream, SeededRng};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::json;
--- a/crates/rehearsal/src/real/stage.rs
+++ b/crates/rehearsal/src/real/stage.rs
@@ -1,7 +1,6 @@
 //! What all parts on the real clock share: the model, the judges, the clock. Borrowed within a call and never
 //! across an await.
 
-use crate::draw::{RngStream, SeededRng};
 use crate::judge::views::ViewJudge;
 use crate::judge::{Judges, Observation};
 use crate::model::backend::{BackendEvent, IdempotencyKey, Reply};
@@ -9,6 +8,7 @@
 use crate::model::settings::zone_name;
 use crate::model::troubles::Step;
 use crate::real::ways::Ways;
+use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{CommandEffect, Scenario};
 use crate::span::Time;
 use serde_json::{json, Value};
--- a/crates/rehearsal/src/search.rs
+++ b/crates/rehearsal/src/search.rs
@@ -1,7 +1,7 @@
 //! Looks for the pair of overlapping troubles that does worst, and shrinks it to a small scenario.
 
-use crate::draw::{RngStream, SeededRng};
 use crate::policy;
+use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{Scenario, Trouble, TroubleKind};
 use crate::span::Time;
 use crate::virtual_clock;
--- a/crates/rehearsal/src/soak/world.rs
+++ b/crates/rehearsal/src/soak/world.rs
@@ -1,6 +1,6 @@
 //! The world of a seed: a deployment, its clients, and several troubles that cross each other.
 
-use crate::draw::{RngStream, SeededRng};
+use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{
     CommandEffect, List, ListMode, Load, LoadShape, Net, Profile, RetryMode, Scenario, Scope, Stress,
     Trouble, TroubleKind,
--- a/crates/rehearsal/src/virtual_clock.rs
+++ b/crates/rehearsal/src/virtual_clock.rs
@@ -2,7 +2,6 @@
 //! the same scenario, policy and seed give the same bytes.
 
 use crate::agenda::Agenda;
-use crate::draw::{RngStream, SeededRng};
 use crate::judge::result::PlayResult;
 use crate::judge::{CommandOutcome, FinalAnswer, Judges, Observation};
 use crate::model::arrivals::{Arrival, Arrivals};
@@ -11,6 +10,7 @@
 use crate::model::fleet::{AnswerFate, DriverAction, Fleet};
 use crate::model::troubles::{timeline, Step};
 use crate::policy::{NodeContext, Policy, PolicyFactory, Sent, Task};
+use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{CommandEffect, ListMode, Scenario};
 use slab::Slab;
 use yarrowfront::command::{Command, Fate, Outcome};
--- a/crates/rehearsal/tests/model.rs
+++ b/crates/rehearsal/tests/model.rs
@@ -1,11 +1,11 @@
 //! The model against closed forms, and each way in which a backend can go wrong.
 
-use rehearsal::draw::{RngStream, SeededRng};
 use rehearsal::model::arrivals::Arrivals;
 use rehearsal::model::backend::{Backend, BackendEvent, IdempotencyKey, IdempotencyStore, Reply};
 use rehearsal::model::clients::{retry_delay, AttemptOutcome};
 use rehearsal::model::troubles::{timeline, Step};
 use rehearsal::policy::{self, NodeContext};
+use rehearsal::rng::{RngStream, SeededRng};
 use rehearsal::scenario::{RetryMode, Scenario};
 use rehearsal::virtual_clock;
 use yarrowfront::times::{Moment, Span};
