--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -1,16 +1,16 @@
 //! Judges: they see what clients and backends saw, in words of their own, and share no code with what they
 //! judge. Both clocks tell them the same sightings.
 
+pub mod observation;
 pub mod result;
 pub mod rules;
-pub mod seen;
 pub mod service;
 pub mod views;
 
 use crate::scenario::Scenario;
+pub use observation::{CommandOutcome, FinalAnswer, Observation};
 use result::PlayResult;
 use rules::RuleJudge;
-pub use seen::{CommandOutcome, FinalAnswer, Observation};
 use service::ServiceJudge;
 use views::ViewJudge;
 use yarrowfront::times::Moment;
--- a/crates/rehearsal/src/judge/rules.rs
+++ b/crates/rehearsal/src/judge/rules.rs
@@ -1,6 +1,6 @@
 //! The four rules, counted from what clients and backends saw.
 
-use crate::judge::seen::{FinalAnswer, Observation};
+use crate::judge::observation::{FinalAnswer, Observation};
 use crate::scenario::{CommandEffect, Scenario, Scope};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
--- a/crates/rehearsal/src/judge/service.rs
+++ b/crates/rehearsal/src/judge/service.rs
@@ -1,6 +1,6 @@
 //! How well clients were served: payoff within the goal time over payoff asked for, and what it took.
 
-use crate::judge::seen::{CommandOutcome, FinalAnswer, Observation};
+use crate::judge::observation::{CommandOutcome, FinalAnswer, Observation};
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -3,8 +3,8 @@
 //! `experiment`, `report`) to the clocks (`virtual_clock`, `real`), to policies and judges, to the model.
 #![forbid(unsafe_code)]
 
-mod agenda;
 pub mod compare;
+mod event_queue;
 pub mod experiment;
 pub mod judge;
 pub mod model;
--- a/crates/rehearsal/src/virtual_clock.rs
+++ b/crates/rehearsal/src/virtual_clock.rs
@@ -1,7 +1,7 @@
 //! The virtual clock: discrete events drive policies and model in one process. One thread, one order of events:
 //! the same scenario, policy and seed give the same bytes.
 
-use crate::agenda::Agenda;
+use crate::event_queue::Agenda;
 use crate::judge::result::PlayResult;
 use crate::judge::{CommandOutcome, FinalAnswer, Judges, Observation};
 use crate::model::arrivals::{Arrival, Arrivals};
