--- a/crates/rehearsal/src/judge/observation.rs
+++ b/crates/rehearsal/src/judge/observation.rs
@@ -30,7 +30,7 @@
         at: Moment,
     },
     /// A node has a try of it whole, and `until` when the client waits.
-    AttemptAccepted {
+    AttemptReceived {
         attempt: u64,
         command: u64,
         profile: u16,
--- a/crates/rehearsal/src/judge/rules.rs
+++ b/crates/rehearsal/src/judge/rules.rs
@@ -122,8 +122,8 @@
 
     pub fn observe(&mut self, seen: &Observation) {
         match *seen {
-            Observation::AttemptAccepted { node, .. } if self.dead.contains(&node) => {}
-            Observation::AttemptAccepted { attempt, command, profile, node, until, .. } => {
+            Observation::AttemptReceived { node, .. } if self.dead.contains(&node) => {}
+            Observation::AttemptReceived { attempt, command, profile, node, until, .. } => {
                 // Its client may have turned to another node.
                 self.left.remove(&attempt);
                 self.open.insert(attempt, Open { command, profile, node, until });
--- a/crates/rehearsal/src/judge/service.rs
+++ b/crates/rehearsal/src/judge/service.rs
@@ -111,7 +111,7 @@
                 self.seconds[second].commands += 1;
                 p.asked += u64::from(counted);
             }
-            Observation::AttemptAccepted { command, node, .. } => {
+            Observation::AttemptReceived { command, node, .. } => {
                 self.taken += 1;
                 if let Some(open) = self.open.get_mut(&command) {
                     open.node = Some(node);
--- a/crates/rehearsal/src/real/clients.rs
+++ b/crates/rehearsal/src/real/clients.rs
@@ -172,7 +172,7 @@
                 let limit = self.stage.scenario.profiles[usize::from(profile)].limit.span();
                 let at = self.stage.now();
                 let until = at + limit;
-                self.stage.see(Observation::AttemptAccepted { attempt, command, profile, node, at, until });
+                self.stage.see(Observation::AttemptReceived { attempt, command, profile, node, at, until });
             }
             match sender.send_request(self.request(attempt, wanted, repeat)).await {
                 Ok(response) => {
--- a/crates/rehearsal/src/virtual_clock.rs
+++ b/crates/rehearsal/src/virtual_clock.rs
@@ -562,7 +562,7 @@
         let mut own = Command::new(id, ProfileId(profile), self.now, left);
         own.hint = wanted.work_hint.map(|h| Span(h as u64));
         own.repeat = repeat && self.scenario.clients.mark_repeats;
-        self.judges.observe(Observation::AttemptAccepted {
+        self.judges.observe(Observation::AttemptReceived {
             attempt: number,
             command,
             profile,
--- a/crates/rehearsal/tests/judges.rs
+++ b/crates/rehearsal/tests/judges.rs
@@ -195,7 +195,7 @@
 #[test]
 fn sightings_by_hand() {
     let at = |ms: u64| Moment(ms * 1000);
-    let taken = |attempt, node| Observation::AttemptAccepted {
+    let taken = |attempt, node| Observation::AttemptReceived {
         attempt,
         command: attempt,
         profile: 0,
