--- a/crates/fleet/src/net.rs
+++ b/crates/fleet/src/net.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
-use yarrowfront::times::{Timestamp, Micros};
+use yarrowfront::times::{Micros, Timestamp};
 use yarrowfront_view::config::ViewConfig;
 use yarrowfront_view::node_info::{Generation, NodeInfo, Phase};
 use yarrowfront_view::share::{Share, ShareTracker};
--- a/crates/fleet/src/search.rs
+++ b/crates/fleet/src/search.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
-use yarrowfront::times::{Timestamp, Micros};
+use yarrowfront::times::{Micros, Timestamp};
 use yarrowfront_view::config::ViewConfig;
 use yarrowfront_view::node_info::{Generation, Incarnation, MemberState, NodeInfo, Phase};
 use yarrowfront_view::share::{Share, ShareReason, ShareTracker, SlotOccupancy, NO_SHARE};
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -17,7 +17,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant};
-use yarrowfront::times::{Timestamp, Micros};
+use yarrowfront::times::{Micros, Timestamp};
 use yarrowfront_view::config::ViewConfig;
 use yarrowfront_view::member::Member;
 use yarrowfront_view::node_info::{Generation, Load, NodeInfo, Phase};
--- a/crates/rehearsal/src/soak/mod.rs
+++ b/crates/rehearsal/src/soak/mod.rs
@@ -4,7 +4,7 @@
 mod shim;
 pub mod world;
 
-use crate::judge::result::Played;
+use crate::judge::result::PlayResult;
 use crate::real::{self, NodeProcessOptions};
 use std::fmt;
 use std::ops::RangeInclusive;
@@ -86,7 +86,7 @@
     Ok(found)
 }
 
-fn verdict(played: &Played, found: &mut SoakSummary) -> String {
+fn verdict(played: &PlayResult, found: &mut SoakSummary) -> String {
     let rules = &played.rules;
     if let Some(why) = &played.void {
         found.inconclusive += 1;
--- a/crates/view/src/config.rs
+++ b/crates/view/src/config.rs
@@ -198,7 +198,8 @@
             }
         }
         let [probe_interval, probe_timeout, seed_interval, forget_after, takeover_delay, release_after] =
-            [times.period, answer, times.seeds, times.forget, times.sure, times.release].map(Micros::from_millis);
+            [times.period, answer, times.seeds, times.forget, times.sure, times.release]
+                .map(Micros::from_millis);
         Ok(ViewConfig {
             fleet: file.fleet,
             listen: file.listen,
--- a/crates/view/src/member.rs
+++ b/crates/view/src/member.rs
@@ -1,7 +1,7 @@
 //! The books on one member, and how long a suspicion of it lasts.
 
 use crate::node_info::{Generation, Incarnation, Load, MemberState, NodeInfo};
-use yarrowfront::times::{Timestamp, Micros};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// So many that suspect it independently make a suspicion as short as it gets (Lifeguard's K).
 pub const MAX_CONFIRMATIONS: usize = 3;
--- a/crates/view/tests/view.rs
+++ b/crates/view/tests/view.rs
@@ -1,7 +1,7 @@
 //! The state machine by hand: one node, and what is said to it.
 
 use std::net::SocketAddr;
-use yarrowfront::times::{Timestamp, Micros};
+use yarrowfront::times::{Micros, Timestamp};
 use yarrowfront_view::config::{Network, ViewConfig};
 use yarrowfront_view::node_info::{Generation, Incarnation, Load, MemberState, NodeInfo, Phase};
 use yarrowfront_view::share::{Share, ShareReason, ShareTracker, SlotOccupancy, NO_SHARE};
