--- a/crates/rehearsal/src/real/mod.rs
+++ b/crates/rehearsal/src/real/mod.rs
@@ -10,7 +10,7 @@
 mod stage;
 mod ways;
 
-use crate::judge::result::Played;
+use crate::judge::result::PlayResult;
 use crate::judge::Judges;
 use crate::model::troubles::{timeline, Step};
 use crate::scenario::Scenario;
@@ -18,7 +18,7 @@
 use hdrhistogram::Histogram;
 use links::schedule::Schedule;
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
-pub use nodes::Means;
+pub use nodes::NodeProcessOptions;
 use stage::Stage;
 use std::future::pending;
 use std::rc::Rc;
@@ -42,9 +42,9 @@
 pub fn play(
     scenario: &Scenario,
     seed: u64,
-    means: &Means,
+    means: &NodeProcessOptions,
     progress: &mut dyn FnMut(u64),
-) -> Result<(Played, Judges), String> {
+) -> Result<(PlayResult, Judges), String> {
     // Clients, ways and backends of a whole fleet are this one process's.
     if let Ok((_, most)) = getrlimit(Resource::RLIMIT_NOFILE) {
         let _ = setrlimit(Resource::RLIMIT_NOFILE, most.min(DESCRIPTORS), most);
@@ -72,9 +72,9 @@
 async fn run(
     scenario: &Scenario,
     seed: u64,
-    means: &Means,
+    means: &NodeProcessOptions,
     progress: &mut dyn FnMut(u64),
-) -> Result<(Played, Judges), String> {
+) -> Result<(PlayResult, Judges), String> {
     let folder = tempfile::tempdir().map_err(|e| format!("a folder for the nodes' files: {e}"))?;
     let (stage, mut replaced) = Stage::new(scenario, seed);
     for i in 0..stage.backends() {
@@ -110,11 +110,11 @@
     silent.abort();
     moves.abort();
     watched.inspect(|watched| watched.abort());
-    stage.view(|views, now| views.end(now));
+    stage.view(|views, now| views.finish(now));
     let processes = crew.end_all().await;
     let mut judges = stage.end();
     let now = stage.now();
-    judges.rules.end(now);
+    judges.rules.finish(now);
     let mut played = judges.result(scenario, ("yarrowfront", "real"), seed);
     played.processes = processes;
     played.faults = schedule.to_string();
@@ -123,7 +123,12 @@
 }
 
 /// Leaves out faults of a play that broke something for as long as something still breaks, in so many plays at the most.
-pub fn shrink(scenario: &Scenario, seed: u64, means: &Means, most: usize) -> Result<Scenario, String> {
+pub fn shrink_faults(
+    scenario: &Scenario,
+    seed: u64,
+    means: &NodeProcessOptions,
+    most: usize,
+) -> Result<Scenario, String> {
     let (mut left, mut fault) = (most, None);
     let schedule = scenario.schedule(seed)?.shrink(|fewer: &Schedule| {
         if left == 0 || fault.is_some() {
