--- a/example/toy/src/main.rs
+++ b/example/toy/src/main.rs
@@ -1,5 +1,5 @@
-//! Toy backends and a toy discovery, to try the node by hand: see the README beside it. The backends are
-//! those that the node's configuration knows; lines typed on standard input change what they do.
+//! Toy backends and a toy discovery for trying out the node by hand; see the README next to it. The backends are
+//! those in the node's configuration. Lines typed on standard input change their behaviour.
 #![forbid(unsafe_code)]
 
 use serde_json::{json, Value};
@@ -14,35 +14,38 @@
 const HELP: &str =
     "ready NAME | drain NAME | gone NAME | slow NAME MILLISECONDS | fail NAME | well NAME | list";
 
-/// What a backend does, besides working one command at a time.
+/// State of a toy backend, which works on one command at a time.
 struct Backend {
-    millis: u64,
-    failing: bool,
-    draining: bool,
-    inflight: usize,
+    /// How long it works on a command.
+    work_ms: u64,
+    is_failing: bool,
+    is_draining: bool,
+    in_flight: usize,
 }
 
+/// Discovery's list of backends.
 #[derive(Default)]
-struct List {
+struct BackendList {
     index: u64,
     entries: Vec<Value>,
-    /// Each change, with the version that it made.
+    /// Each change with the list index that it led to.
     changes: Vec<(u64, Value)>,
 }
 
+/// State shared by all threads.
 #[derive(Default)]
-struct World {
-    list: Mutex<List>,
+struct SharedState {
+    list: Mutex<BackendList>,
     changed: Condvar,
     backends: Mutex<HashMap<String, Backend>>,
-    /// One core each: whoever holds it works.
+    /// One core per backend: the thread that holds the lock is working.
     cores: HashMap<String, Mutex<()>>,
 }
 
-/// A message's first line, its length of body read over.
-fn read(stream: &mut BufReader<TcpStream>) -> Option<String> {
-    let (mut first, mut line, mut length) = (String::new(), String::new(), 0);
-    stream.read_line(&mut first).ok().filter(|&n| n > 0)?;
+/// Reads a request and skips its body; returns the request line.
+fn read_request(stream: &mut BufReader<TcpStream>) -> Option<String> {
+    let (mut request_line, mut line, mut length) = (String::new(), String::new(), 0);
+    stream.read_line(&mut request_line).ok().filter(|&n| n > 0)?;
     loop {
         line.clear();
         stream.read_line(&mut line).ok().filter(|&n| n > 0)?;
@@ -56,64 +59,66 @@
         }
     }
     io::copy(&mut stream.by_ref().take(length), &mut io::sink()).ok()?;
-    Some(first)
+    Some(request_line)
 }
 
-fn backend(world: &World, name: &str, stream: TcpStream) -> io::Result<()> {
+/// Answers the requests on one connection to a backend.
+fn serve_backend(state: &SharedState, name: &str, stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut stream = BufReader::new(stream);
-    while let Some(first) = read(&mut stream) {
-        let path = first.split(' ').nth(1).unwrap_or_default().to_owned();
+    while let Some(request_line) = read_request(&mut stream) {
+        let path = request_line.split(' ').nth(1).unwrap_or_default().to_owned();
         let answer = if path == "/metrics/load" || path == "/alive" {
-            let inflight = world.backends.lock().expect("backends")[name].inflight;
-            let load = json!({"inflight": inflight, "queue": inflight.saturating_sub(1), "util": 0.0});
+            let in_flight = state.backends.lock().expect("backends")[name].in_flight;
+            let load = json!({"inflight": in_flight, "queue": in_flight.saturating_sub(1), "util": 0.0});
             ("200 OK", format!("{load}\n"))
         } else {
-            work(world, name, &path)
+            run_command(state, name, &path)
         };
         let (status, body) = answer;
-        let more = if status.starts_with("503") { "X-Unprocessed: 1\r\n" } else { "" };
-        let head = format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n", body.len());
+        let extra_header = if status.starts_with("503") { "X-Unprocessed: 1\r\n" } else { "" };
+        let head = format!("HTTP/1.1 {status}\r\n{extra_header}Content-Length: {}\r\n\r\n", body.len());
         stream.get_mut().write_all((head + &body).as_bytes())?;
     }
     Ok(())
 }
 
-fn work(world: &World, name: &str, path: &str) -> (&'static str, String) {
+/// Works on a command; returns status and body of the answer.
+fn run_command(state: &SharedState, name: &str, path: &str) -> (&'static str, String) {
     {
-        let mut backends = world.backends.lock().expect("backends");
-        let own = backends.get_mut(name).expect("a known name");
-        if own.draining {
+        let mut backends = state.backends.lock().expect("backends");
+        let backend = backends.get_mut(name).expect("a known name");
+        if backend.is_draining {
             return ("503 Service Unavailable", "draining\n".into());
         }
-        own.inflight += 1;
+        backend.in_flight += 1;
     }
-    let (millis, failing) = {
-        let _core = world.cores[name].lock().expect("a core");
-        let (millis, failing) = {
-            let own = &world.backends.lock().expect("backends")[name];
-            (own.millis, own.failing)
+    let (work_ms, is_failing) = {
+        let _core = state.cores[name].lock().expect("a core");
+        let (work_ms, is_failing) = {
+            let backend = &state.backends.lock().expect("backends")[name];
+            (backend.work_ms, backend.is_failing)
         };
-        sleep(Duration::from_millis(millis));
-        (millis, failing)
+        sleep(Duration::from_millis(work_ms));
+        (work_ms, is_failing)
     };
-    world.backends.lock().expect("backends").get_mut(name).expect("a known name").inflight -= 1;
-    match failing {
+    state.backends.lock().expect("backends").get_mut(name).expect("a known name").in_flight -= 1;
+    match is_failing {
         true => ("500 Internal Server Error", "failing\n".into()),
-        false => ("200 OK", format!("{name} served {path} in {millis} ms\n")),
+        false => ("200 OK", format!("{name} served {path} in {work_ms} ms\n")),
     }
 }
 
-/// The list once, or a watch on its changes.
-fn discovery(world: &World, stream: TcpStream) -> io::Result<()> {
+/// Sends the list once, or watches it and sends its changes.
+fn serve_discovery(state: &SharedState, stream: TcpStream) -> io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut stream = stream;
-    let Some(first) = read(&mut reader) else { return Ok(()) };
-    let path = first.split(' ').nth(1).unwrap_or_default();
-    let asked = path.split(['?', '&']).find_map(|p| p.strip_prefix("index="));
-    let mut seen: Option<u64> = asked.and_then(|v| v.parse().ok());
+    let Some(request_line) = read_request(&mut reader) else { return Ok(()) };
+    let path = request_line.split(' ').nth(1).unwrap_or_default();
+    let index_text = path.split(['?', '&']).find_map(|p| p.strip_prefix("index="));
+    let mut sent_index: Option<u64> = index_text.and_then(|text| text.parse().ok());
     if !path.contains("stream=1") {
-        let list = world.list.lock().expect("the list");
+        let list = state.list.lock().expect("the list");
         let body = json!({"index": list.index, "snapshot": true, "endpoints": list.entries}).to_string();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         return stream.write_all((head + &body).as_bytes());
@@ -121,17 +126,17 @@
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
     loop {
         let line = {
-            let mut list = world.list.lock().expect("the list");
-            if seen == Some(list.index) {
-                list = world.changed.wait_timeout(list, Duration::from_secs(2)).expect("the list").0;
+            let mut list = state.list.lock().expect("the list");
+            if sent_index == Some(list.index) {
+                list = state.changed.wait_timeout(list, Duration::from_secs(2)).expect("the list").0;
             }
-            let (index, version) = (list.index, seen.replace(list.index));
-            match version {
-                Some(v) if v == index => String::new(),
-                Some(v) if v < index => {
-                    let new = list.changes.iter().filter(|(at, _)| *at > v);
-                    let new: Vec<&Value> = new.map(|(_, entry)| entry).collect();
-                    json!({"index": index, "snapshot": false, "endpoints": new}).to_string()
+            let (index, previous_index) = (list.index, sent_index.replace(list.index));
+            match previous_index {
+                Some(previous) if previous == index => String::new(),
+                Some(previous) if previous < index => {
+                    let changes = list.changes.iter().filter(|(at, _)| *at > previous);
+                    let changes: Vec<&Value> = changes.map(|(_, entry)| entry).collect();
+                    json!({"index": index, "snapshot": false, "endpoints": changes}).to_string()
                 }
                 _ => json!({"index": index, "snapshot": true, "endpoints": list.entries}).to_string(),
             }
@@ -140,29 +145,29 @@
     }
 }
 
-/// Carries out a typed line.
-fn obey(world: &World, line: &str) -> Result<(), String> {
+/// Executes a line typed by the user.
+fn execute_line(state: &SharedState, line: &str) -> Result<(), String> {
     let words: Vec<&str> = line.split_whitespace().collect();
     let (verb, name) = match words[..] {
         [] => return Ok(()),
         ["list"] => {
-            let list = world.list.lock().expect("the list");
-            list.entries.iter().for_each(|e| println!("{} {}", e["name"], e["status"]));
+            let list = state.list.lock().expect("the list");
+            list.entries.iter().for_each(|entry| println!("{} {}", entry["name"], entry["status"]));
             return Ok(());
         }
         [verb, name, ..] => (verb, name),
         _ => return Err(HELP.into()),
     };
-    let mut backends = world.backends.lock().expect("backends");
-    let own = backends.get_mut(name).ok_or("no such backend")?;
+    let mut backends = state.backends.lock().expect("backends");
+    let backend = backends.get_mut(name).ok_or("no backend has this name")?;
     let status = match verb {
         "slow" => {
-            let millis = words.get(2).and_then(|m| m.parse().ok());
-            own.millis = millis.ok_or("slow NAME MILLISECONDS")?;
+            let work_ms = words.get(2).and_then(|m| m.parse().ok());
+            backend.work_ms = work_ms.ok_or("slow NAME MILLISECONDS")?;
             return Ok(());
         }
         "fail" | "well" => {
-            own.failing = verb == "fail";
+            backend.is_failing = verb == "fail";
             return Ok(());
         }
         "ready" => "ready",
@@ -170,11 +175,12 @@
         "gone" => "gone",
         _ => return Err(HELP.into()),
     };
-    own.draining = status != "ready";
-    let mut list = world.list.lock().expect("the list");
+    backend.is_draining = status != "ready";
+    let mut list = state.list.lock().expect("the list");
     list.index += 1;
     let index = list.index;
-    let entry = list.entries.iter_mut().find(|e| e["name"] == name).ok_or("no such backend")?;
+    let entry =
+        list.entries.iter_mut().find(|entry| entry["name"] == name).ok_or("no backend has this name")?;
     if status == "ready" {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         entry["since_ms"] = (now.as_millis() as u64).into();
@@ -182,12 +188,12 @@
     entry["status"] = status.into();
     let entry = entry.clone();
     list.changes.push((index, entry));
-    world.changed.notify_all();
+    state.changed.notify_all();
     Ok(())
 }
 
-fn text<'a>(value: &'a Value, key: &str) -> Result<&'a str, String> {
-    value[key].as_str().ok_or_else(|| format!("{key} is missing or not a text"))
+fn string_at<'a>(value: &'a Value, key: &str) -> Result<&'a str, String> {
+    value[key].as_str().ok_or_else(|| format!("{key} is missing or not a string"))
 }
 
 fn run() -> Result<(), String> {
@@ -195,43 +201,43 @@
     let file = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
     let config: Value = serde_json::from_slice(&file).map_err(|e| format!("{path}: {e}"))?;
     let entries = config["known"]["endpoints"].as_array().ok_or("known.endpoints is not a list")?.clone();
-    let mut world = World::default();
+    let mut state = SharedState::default();
     let mut listeners = Vec::new();
     for entry in &entries {
-        let (name, address) = (text(entry, "name")?.to_owned(), text(entry, "address")?);
+        let (name, address) = (string_at(entry, "name")?.to_owned(), string_at(entry, "address")?);
         listeners.push((name.clone(), TcpListener::bind(address).map_err(|e| format!("{address}: {e}"))?));
-        let fresh = Backend { millis: 50, failing: false, draining: false, inflight: 0 };
-        world.backends.lock().expect("backends").insert(name.clone(), fresh);
-        world.cores.insert(name, Mutex::new(()));
+        let backend = Backend { work_ms: 50, is_failing: false, is_draining: false, in_flight: 0 };
+        state.backends.lock().expect("backends").insert(name.clone(), backend);
+        state.cores.insert(name, Mutex::new(()));
     }
     let index = config["known"]["index"].as_u64().unwrap_or(0);
-    *world.list.lock().expect("the list") = List { index, entries, changes: Vec::new() };
-    let address = text(&config, "discovery")?;
+    *state.list.lock().expect("the list") = BackendList { index, entries, changes: Vec::new() };
+    let address = string_at(&config, "discovery")?;
     let listener = TcpListener::bind(address).map_err(|e| format!("{address}: {e}"))?;
-    let world = Arc::new(world);
+    let state = Arc::new(state);
     for (name, listener) in listeners {
-        let world = world.clone();
+        let state = state.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (world, name) = (world.clone(), name.clone());
-                spawn(move || backend(&world, &name, stream));
+                let (state, name) = (state.clone(), name.clone());
+                spawn(move || serve_backend(&state, &name, stream));
             }
         });
     }
-    let watched = world.clone();
+    let watched = state.clone();
     spawn(move || {
         for stream in listener.incoming().flatten() {
-            let world = watched.clone();
-            spawn(move || discovery(&world, stream));
+            let state = watched.clone();
+            spawn(move || serve_discovery(&state, stream));
         }
     });
     println!("toy backends and discovery are up; {HELP}");
     for line in io::stdin().lock().lines().map_while(Result::ok) {
-        if let Err(why) = obey(&world, &line) {
-            println!("{why}");
+        if let Err(error) = execute_line(&state, &line) {
+            println!("{error}");
         }
     }
-    // Without anybody to type it goes on until it is ended.
+    // Without standard input the process runs until it is stopped.
     loop {
         sleep(Duration::from_secs(3600));
     }
@@ -240,8 +246,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("yarrowfront-toy: {why}");
+        Err(error) => {
+            eprintln!("yarrowfront-toy: {error}");
             ExitCode::FAILURE
         }
     }
