--- a/src/backend.rs
+++ b/src/backend.rs
@@ -23,9 +23,11 @@
     pub(crate) abandoned_at: Timestamp,
     /// Since when it owes an answer without having given one.
     pub(crate) silent_since: Timestamp,
-    /// Time per unit of expected work, counting all work ahead; and the same for launches with nothing ahead.
+    /// Microseconds per standard microsecond of expected work, counting all work ahead of an answer.
     pub(crate) time_per_work: f64,
+    /// The same for launches with nothing ahead.
     pub(crate) time_per_work_alone: f64,
+    /// Answers since the backend started.
     pub(crate) answer_count: u32,
     /// Own launches that may be in flight at the same time; its floor counts.
     pub(crate) concurrency_limit: f64,
@@ -35,6 +37,7 @@
     pub(crate) evidence_at: Timestamp,
     /// Commands of other nodes in flight there, by the last report.
     pub(crate) peer_in_flight: f64,
+    /// When the last load report arrived.
     pub(crate) reported_at: Timestamp,
     /// Largest weight that the list has given.
     pub(crate) max_weight: f64,
@@ -104,6 +107,7 @@
 
 /// What is learned of a profile: its mean work, and how well hints predict it.
 pub(crate) struct ProfileStats {
+    /// In standard microseconds.
     pub(crate) mean_work: f64,
     pub(crate) answer_count: f64,
     /// When a command of this profile was last launched at any backend.
--- a/src/command.rs
+++ b/src/command.rs
@@ -49,16 +49,19 @@
     pub group: GroupId,
     pub sent_at: Timestamp,
     pub state: LaunchState,
-    /// Expected work of the command, and expected work at the backend including it, both in standard microseconds.
+    /// Expected work of the command in standard microseconds.
     pub expected_work: f64,
+    /// Expected work at the backend including this command, in standard microseconds.
     pub work_ahead: f64,
     /// Own launches in flight at the backend, including this one.
     pub depth: u32,
-    /// When the launch starts to count as lost, and whether it does. A lost launch may still be answered.
+    /// When the launch starts to count as lost.
     pub lost_at: Timestamp,
+    /// Whether it counts as lost. It may still be answered.
     pub is_lost: bool,
-    /// Whether a new connection was opened for it, and how long the used connection had been idle.
+    /// Whether a new connection was opened for it.
     pub is_new_connection: bool,
+    /// How long its connection had been idle before.
     pub connection_idle: Micros,
 }
 
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -29,9 +29,9 @@
     backend_indices: BTreeMap<BackendId, usize>,
     /// Backends that operators have put in maintenance, whatever the list says of them.
     in_maintenance: BTreeSet<BackendId>,
-    /// Indices of the ready backends in hash order, rotated to this node's start position. The node considers only
-    /// the first `subset_size` of them.
+    /// Indices of the ready backends in hash order, rotated to this node's start position.
     ready_backends: Vec<usize>,
+    /// The node considers only this many of them, from the first one on: its subset.
     subset_size: usize,
     /// Number of healthy backends of the subset that the node keeps to while they have room.
     preferred_size: usize,
@@ -47,6 +47,7 @@
     profile_stats: Vec<ProfileStats>,
     /// Mean work of a command over all profiles.
     mean_work: f64,
+    /// Answers that `mean_work` averages over.
     answer_count: f64,
     /// Mean time per unit of work by backend type: the first estimate for a new backend.
     time_per_work_by_type: BTreeMap<BackendTypeId, f64>,
@@ -63,7 +64,8 @@
     retry_allowance: RetryAllowance,
     /// Moving average of the share of commands rejected.
     rejection_rate: f64,
-    /// Share of the incoming work that is admitted; the most valuable work goes first.
+    /// Share of the incoming work that is admitted; the most valuable work goes first. A value above 1 is credit that
+    /// a few late launches may use up before anything is rejected.
     admitted_fraction: f64,
     /// Moving average of the share of their goal time that launches take.
     goal_time_use: f64,
@@ -73,12 +75,15 @@
     mean_peer_in_flight: f64,
     /// Median over the subset of the share of launches that failed.
     median_failure_share: f64,
-    /// Moving averages of shares: launches late at a backend reported idle, launches refused as full, failed dials,
-    /// and launches lost on recently used and on idle connections.
+    /// Moving average of the share of late launches among those to backends with nothing ahead.
     false_idle_rate: f64,
+    /// Moving average of the share of launches that backends refused as full.
     full_rate: f64,
+    /// Moving average of the share of dials that failed.
     dial_failure_rate: f64,
+    /// Moving average of the share of launches lost on connections that were in use just before.
     used_connection_loss_rate: f64,
+    /// The same for connections that had been idle.
     idle_connection_loss_rate: f64,
     /// Longest idle time, in microseconds, after which a connection is still trusted to be alive.
     trusted_idle_us: f64,
@@ -95,8 +100,9 @@
 /// Longest delay of a process between its decision and the write to the socket.
 const MAX_SEND_DELAY: Micros = Micros::from_millis(150);
 
-/// Lifetime of an idle token, and the share of commands that explore. Both are the design proposal's values.
+/// Lifetime of an idle token, as in the proposal of the algorithm (docs/design.md).
 const TOKEN_EXPIRY: Micros = Micros::from_millis(2000);
+/// Share of commands that choose between two random backends instead of taking an idle token, as in the proposal.
 const EXPLORATION_SHARE: f64 = 0.1;
 /// Smallest number of backends that a node considers: if a third of them fail at once it still has a choice. Half as
 /// many again where probes find the idle one among them; where backends report nothing, a smaller subset loses fewer
@@ -109,10 +115,10 @@
 const RECENT_ARRIVALS: usize = 32;
 /// Share by which one late launch reduces the admitted fraction: four in a row halve it.
 const ADMISSION_STEP: f64 = 0.15;
-/// Share of launches that may be late before admission is reduced, and the mean share of their goal time that
-/// launches may take when many nodes share the fleet: 0.9 of the mean at which a fifth of the accepted share is late
-/// (docs/assumptions.md).
+/// Share of launches that may be late before admission is reduced.
 const ACCEPTED_LATE_SHARE: f64 = 0.1;
+/// Mean share of their goal time that launches may take where many nodes share the fleet: 0.9 of the mean at which a
+/// fifth of the accepted share is late (docs/assumptions.md).
 const TARGET_GOAL_TIME_USE: f64 = 0.23;
 /// Increase of that mean, as a share of it, where backends refuse one launch in forty or more as full: their queues
 /// are bounded, which limits the spread of latencies. At the increased mean half of the accepted share is late.
@@ -122,11 +128,12 @@
 /// Rounds of probes while none finds an idle backend: at two thirds load the third round still fails for one command
 /// in thirty.
 const MAX_PROBE_ROUNDS: u8 = 5;
-/// Times in multiples of the mean work of a command: the interval at which a queued command looks for a free backend,
-/// the age up to which a report counts as fresh, and the wait for probes beyond twice their round trip. At a mean
-/// work of 75 ms they are about 20 ms, 10 ms and 2.5 ms.
+/// Interval at which a queued command looks for a free backend, in multiples of the mean work of a command: about
+/// 20 ms at a mean work of 75 ms.
 const RECHECK_INTERVAL_IN_MEAN_WORK: f64 = 0.27;
+/// Age up to which a report or an idle token counts as fresh, in the same unit: about 10 ms at 75 ms.
 const FRESHNESS_IN_MEAN_WORK: f64 = 0.13;
+/// Wait for probes beyond twice their round trip, in the same unit: about 2.5 ms at 75 ms.
 const PROBE_WAIT_IN_MEAN_WORK: f64 = 0.033;
 
 /// Answers of a profile before work hints are used: a slope fitted through fewer is chance.
@@ -135,10 +142,10 @@
 /// Share of failed dials above which only open connections are used.
 const DIAL_FAILURE_LIMIT: f64 = 0.15;
 
-/// A connection idle for less than this counts as in use: no device on the path drops connections that soon. Above
-/// the second value, the share of launches lost on connections idle for longer means that idle connections are
-/// dropped. It takes two losses in six, as a single heavy command may look lost on any connection.
+/// A connection idle for less than this counts as in use: no device on the path drops connections that soon.
 const BRIEF_IDLE_TIME: Micros = Micros::from_millis(200);
+/// Share of launches lost on connections idle for longer than that, above which idle connections count as dropped on
+/// the path. It takes two losses in six, as a single heavy command may look lost on any connection.
 const IDLE_LOSS_LIMIT: f64 = 0.3;
 
 /// Additional places of a hot key per backend's worth of its traffic; fewer than one, as commands need about half the
@@ -560,8 +567,8 @@
         }
         self.retry_allowance.record(now, self.retry_budget(), false);
         let work = self.expected_work(command);
-        let work_per_payoff = if self.settings.payoff_is_per_work { 1.0 } else { work.max(1.0) };
-        let payoff_density = self.profile_of(command).payoff / work_per_payoff;
+        let work_divisor = if self.settings.payoff_is_per_work { 1.0 } else { work.max(1.0) };
+        let payoff_density = self.profile_of(command).payoff / work_divisor;
         // A client's retry has spent part of its goal time elsewhere.
         command.payoff_density = if command.is_client_retry { payoff_density * 0.5 } else { payoff_density };
         self.recent_arrivals[self.arrivals_seen as usize % RECENT_ARRIVALS] =
@@ -841,7 +848,7 @@
             if open_connections_only && !self.has_usable_connection(now, backend_index) {
                 continue;
             }
-            let is_healthy = self.passes_health_check(now, backend_index, command);
+            let is_healthy = self.is_considered_healthy(now, backend_index, command);
             preferred_left = preferred_left.saturating_sub(usize::from(is_healthy));
             // A backend that already had a launch of this command does not count.
             any_healthy_left |= is_healthy
@@ -983,9 +990,10 @@
             && now.since(backend.connection_used_at) < self.settings.connection_idle_timeout
     }
 
-    /// If launches on long-idle connections are lost, but few on recently used ones, something on the path drops idle
-    /// connections. Half of the idle time is trusted from then on. Every answer raises that by a hundredth, so that
-    /// it doubles within seventy answers and longer idle times are tried again.
+    /// Records whether a launch was lost on its connection, and adapts the idle time up to which connections are
+    /// trusted. If launches on long-idle connections are lost, but few on recently used ones, something on the path
+    /// drops idle connections, and half of that idle time is trusted from then on. Every answer raises it by a
+    /// hundredth, so that it doubles within seventy answers and longer idle times are tried again.
     fn record_connection_loss(&mut self, launch: &Launch, is_lost: bool) {
         // Then the backend is gone or hangs, and the loss says nothing about the connection.
         let backend_failed = is_lost && self.backends[self.backend_indices[&launch.backend]].failures >= 0.3;
@@ -1093,16 +1101,17 @@
             .max(self.decayed_work_per_backend * self.decay_factor(now) * std::f64::consts::LN_2 / 4e6)
     }
 
-    /// This node's share of the work per microsecond that a cold backend can take beyond its capacity. The factor
-    /// 0.47 keeps a full bucket plus what drains from it meanwhile below the whole.
+    /// This node's share of the work per microsecond that a cold backend can take beyond its capacity. With the factor
+    /// 0.47 a full bucket, plus what drains from it within the collapse window, stays below the collapse limit.
     fn cold_work_rate(&self, now: Timestamp, started_at: Timestamp) -> f64 {
         0.47 * (self.settings.collapse_load_multiple - 1.0).max(0.1)
             * self.warm_capacity_share(now, started_at)
             * self.own_share(now)
     }
 
-    /// Leaky bucket of the work that a cold backend was given and has not done, which drains within the collapse
-    /// window: its level after this work, or `None` if that is too much.
+    /// Level of the leaky bucket of a backend after this work, or `None` if a cold backend cannot take it. The bucket
+    /// holds the work that this node has sent and the backend has not done; a full one drains within the collapse
+    /// window.
     fn cold_level_after(&self, now: Timestamp, backend: &Backend, work: f64) -> Option<f64> {
         let rate = self.cold_work_rate(now, backend.entry.started_at);
         let level = (backend.cold_level - rate * now.since(backend.cold_level_at).as_f64()).max(0.0) + work;
@@ -1113,7 +1122,7 @@
 
     /// Whether the backend counts as healthy for this command. When in doubt, a draw from the posterior distribution
     /// of its success rate decides (Thompson sampling).
-    fn passes_health_check(&mut self, now: Timestamp, backend_index: usize, command: &Command) -> bool {
+    fn is_considered_healthy(&mut self, now: Timestamp, backend_index: usize, command: &Command) -> bool {
         self.record_evidence(now, backend_index, 0.0, 0.0);
         let round_trip_us = self.probe_round_trip_us;
         let backend = &self.backends[backend_index];
@@ -1133,8 +1142,8 @@
             let expected_failures = self.median_failure_share * (backend.successes + backend.failures);
             return backend.failures < 0.3 + expected_failures + expected_failures.sqrt();
         }
-        // The draw has to reach 0.8 of the median success rate. A draw from Beta(a, b) exceeds x if fewer than `a` of
-        // `a + b - 1` uniform draws fall below x.
+        // The draw has to reach 0.8 of the median success rate. A draw from Beta(alpha, beta) exceeds x if fewer than
+        // `alpha` of `alpha + beta - 1` uniform draws fall below x.
         let min_success_chance = 0.8 * (1.0 - self.median_failure_share);
         let (alpha, draw_count) = (
             1 + backend.successes.round() as u32,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -60,11 +60,13 @@
     pub list_is_requested: bool,
     /// Longest time between two calls for the list while no watch is open.
     pub list_request_interval: Micros,
+    /// Whether nodes may ask backends for load reports.
     pub probes_allowed: bool,
-    /// Field of a load report with the commands in flight, and with those queued.
+    /// Index in a load report of the number of commands in flight.
     pub report_in_flight_index: Option<usize>,
+    /// Index in a load report of the number of queued commands.
     pub report_queue_index: Option<usize>,
-    /// Field of a load report with the utilization of the backend's cores.
+    /// Index in a load report of the utilization of the backend's cores, from 0 to 1.
     pub report_utilization_index: Option<usize>,
     /// Reports come with answers too, not only with probes.
     pub reports_piggybacked: bool,
@@ -82,14 +84,17 @@
     pub connection_idle_timeout: Micros,
     /// Longest retry-after that a client may be given; zero if none may be given.
     pub max_retry_after: Micros,
-    /// Cost of a probe, of a launch in another zone and of a connection, in units of payoff.
+    /// Cost of a probe, in units of payoff.
     pub probe_penalty: f64,
+    /// Cost of a launch in another zone, in units of payoff.
     pub cross_zone_penalty: f64,
+    /// Cost of an open connection, in units of payoff.
     pub connection_penalty: f64,
-    /// Share of its capacity that a backend has when it starts, and the time until it has all of it.
+    /// Share of its capacity that a backend has when it starts.
     pub initial_capacity: f64,
+    /// Time until a started backend has its whole capacity.
     pub warm_up_time: Micros,
-    /// A cold backend collapses if it is given this multiple of what it can do for the length of the window.
+    /// A cold backend collapses if it is given this multiple of what it can do throughout `collapse_window`.
     pub collapse_load_multiple: f64,
     pub collapse_window: Micros,
     /// Time after a backend is known to drain or to be gone in which it may still get launches.
@@ -100,8 +105,9 @@
     pub full_may_have_run: bool,
     /// A backend listed as gone, or taken into maintenance, without having drained may still get launches.
     pub only_draining_is_binding: bool,
-    /// Weight of the availability nines in the score of the service, and how many of them count in full.
+    /// Weight of the availability nines in the score of the service.
     pub log_loss_weight: f64,
+    /// Number of nines that count in full.
     pub max_nines: f64,
 }
 
