--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -168,14 +168,14 @@
                 if let Some(&slot) = self.slot_by_id.get(&u32_at(event, 5)) {
                     let command = &mut self.commands[slot].command;
                     command.is_closed |= event[24] != 0;
-                    let say = self.balancer.on_launch_outcome(
+                    let decision = self.balancer.on_launch_outcome(
                         now,
                         CommandHandle(slot as u32),
                         command,
                         event[9],
                         outcome,
                     );
-                    self.carry_out(now, slot, say, reply);
+                    self.carry_out(now, slot, decision, reply);
                 }
                 self.balancer.on_load_report(now, backend, true, None, &values[..count]);
             }
--- a/crates/sites/src/detection.rs
+++ b/crates/sites/src/detection.rs
@@ -45,13 +45,15 @@
     pub live_nodes: Option<(u32, u32)>,
     /// This node sees no majority of the fleet, or no other node, so its own view of others does not count.
     pub node_is_isolated: bool,
-    /// Backends of the site that are listed as ready now, and all that were listed before; and the age of the list.
+    /// Backends of the site that are listed as ready now, and all that were listed before.
     pub ready_backends: Option<(u32, u32)>,
+    /// Age of the backend list.
     pub list_age: Micros,
     /// The backends of all sites have disappeared from the list at once.
     pub list_is_empty: bool,
-    /// This node's launches and dials there: with any answer, and without (refused, reset or silent).
+    /// This node's launches and dials there that got any answer.
     pub answered: u32,
+    /// This node's launches and dials there without an answer: refused, reset or silent.
     pub unanswered: u32,
     /// The same for all other sites together: answered and unanswered.
     pub other_sites: (u32, u32),
@@ -99,8 +101,9 @@
 pub struct DetectionTimes {
     pub lost: Micros,
     pub impaired: Micros,
-    /// Until a lost site that answers again is returning, and until a returning site is healthy.
+    /// Until a lost site that answers again is returning.
     pub returning: Micros,
+    /// Until a returning site is healthy.
     pub healthy: Micros,
     /// A list older than this is no evidence.
     pub max_list_age: Micros,
--- a/crates/sites/src/failover.rs
+++ b/crates/sites/src/failover.rs
@@ -57,8 +57,9 @@
     pub routed: BTreeMap<(SiteId, SiteId, ProfileId), f64>,
     /// Rejected commands per second, by the clients' site and the profile.
     pub rejected: BTreeMap<(SiteId, ProfileId), f64>,
-    /// Payoff per second, served and requested.
+    /// Payoff per second of the commands that are served.
     pub served_payoff: f64,
+    /// Payoff per second of all commands that are requested.
     pub requested_payoff: f64,
 }
 
@@ -297,8 +298,9 @@
 /// by half in either direction.
 #[derive(Clone, Debug)]
 pub struct AdmissionGate {
-    /// Capacity by the plan, and the current estimate, in standard commands per second.
+    /// Capacity by the plan, in standard commands per second.
     planned_capacity: f64,
+    /// The current estimate of the capacity, in standard commands per second.
     pub capacity: f64,
     /// Largest recent work rate done within the goal time, decaying: the node can do that much, whatever the plan
     /// says.
@@ -363,18 +365,21 @@
     }
 }
 
-/// Share of ended commands that must be in time for more to be admitted; below the second share less is admitted.
+/// Share of ended commands that must be in time for more to be admitted.
 const OPEN_ABOVE: f64 = 0.97;
+/// Share of ended commands in time below which less is admitted.
 const CLOSE_BELOW: f64 = 0.92;
 /// Commands judged together at least: of 60, one late one still opens and five close. At nodes with twenty commands a
 /// second, verdicts on single seconds closed the gate after one or two late commands: 0.792 of the payoff against
 /// 0.853 without a plan. Share of the possible served in the model of the test `few_commands_do_not_close_the_gate`:
 /// at 20 a second 1 gives 0.68, 40 gives 0.89 and 60 gives 0.91.
 const MIN_ENDED: f64 = 60.0;
-/// Factor by which one second raises the capacity. Consecutive steps grow up to a limit, so that a plan that is too low by
-/// half is corrected in about eight seconds. Reducing the capacity to half takes seven seconds at `CLOSE_FACTOR`.
+/// Factor by which a good second raises the capacity, to the power of the seconds for which it has been rising: a plan
+/// that is too low by half is corrected in about eight seconds.
 const OPEN_FACTOR_PER_S: f64 = 1.03;
+/// Limit of that power.
 const MAX_OPENING_S: f64 = 4.0;
+/// Factor of the capacity after a bad verdict: half of it is left within seven steps.
 const CLOSE_FACTOR: f64 = 0.9;
 /// The capacity estimate stays within this factor of the plan.
 const MAX_PLAN_ERROR_FACTOR: f64 = 3.0;
--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -1,5 +1,6 @@
-//! The loss of a whole site, without sockets and without a clock: what is known of other sites, where a lost one's load
-//! goes and what is refused first, and how a return is paced. `docs/sites.md` tells why it is as it is.
+//! Handling the loss of a whole site, without sockets or a clock: detection of the state of other sites, failover of
+//! a lost site's load and what is rejected first, and the slow start of a site that returns. `docs/sites.md` gives
+//! the reasons.
 #![forbid(unsafe_code)]
 
 pub mod admission;
--- a/crates/sites/src/return_ramp.rs
+++ b/crates/sites/src/return_ramp.rs
@@ -7,14 +7,17 @@
 
 use yarrowfront::times::{Micros, Timestamp};
 
-/// Share of its load in the first step, and the growth factor of each further step.
+/// Share of its load that a site gets in the first step.
 const FIRST_SHARE: f64 = 0.05;
+/// Growth factor of each further step.
 const SHARE_GROWTH: f64 = 1.6;
-/// A step needs this many answers, this share of them within the goal time, and this much time.
+/// Answers needed to judge a step.
 const MIN_ANSWERS_PER_STEP: f64 = 30.0;
+/// Share of the answers that has to be within the goal time for the next step.
 const MIN_WITHIN_GOAL_SHARE: f64 = 0.95;
+/// Shortest duration of a step.
 const STEP_INTERVAL: Micros = Micros::from_millis(2000);
-/// Wait before the first return, and its upper limit.
+/// Wait after the first loss; it doubles with each further loss.
 const MIN_BACKOFF: Micros = Micros::from_millis(2000);
 const MAX_BACKOFF: Micros = Micros::from_millis(120_000);
 
@@ -25,8 +28,9 @@
     load_share: f64,
     /// Start of the current step.
     step_at: Timestamp,
-    /// Answers in the current step, in total and within the goal time.
+    /// Answers in the current step.
     answered: f64,
+    /// Of these, answers within the goal time.
     within_goal: f64,
     backoff: Micros,
     /// Losses since the site was last healthy.
--- a/src/list_calls.rs
+++ b/src/list_calls.rs
@@ -113,6 +113,6 @@
     }
 }
 
-fn per_node(span: Micros, settings: &Settings) -> Micros {
-    Micros(span.0 * u64::from(settings.node_count.max(1)))
+fn per_node(duration: Micros, settings: &Settings) -> Micros {
+    Micros(duration.0 * u64::from(settings.node_count.max(1)))
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -139,9 +139,9 @@
         }
     }
 
-    /// A duration, given in nanoseconds and rounded down: a shorter one is the safer value wherever it does not say
-    /// otherwise.
-    fn span(&self) -> Result<Micros, String> {
+    /// A duration, stated in nanoseconds and rounded down to microseconds: the shorter one is the safer value, except
+    /// where it is rounded up.
+    fn duration(&self) -> Result<Micros, String> {
         Ok(Micros((self.number(0.0, 1e18)? / 1000.0) as u64))
     }
 
@@ -175,11 +175,11 @@
     let dedup_scopes = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Group)];
     let is_by_key = idempotency == Idempotency::ByKey;
     Ok(Profile {
-        goal_time: key.required("goalTime")?.span()?,
-        time_limit: key.required("timeLimit")?.span()?,
+        goal_time: key.required("goalTime")?.duration()?,
+        time_limit: key.required("timeLimit")?.duration()?,
         idempotency,
         dedup_scope: if is_by_key { key.required("group")?.one_of(&dedup_scopes)? } else { DedupScope::All },
-        dedup_window: if is_by_key { key.required("memorySpan")?.span()? } else { Micros(0) },
+        dedup_window: if is_by_key { key.required("memorySpan")?.duration()? } else { Micros(0) },
         payoff: key.required("payoff")?.number(0.0, MAX_NUMBER)?,
     })
 }
@@ -193,14 +193,14 @@
     let [spare_launches, launches_per_command, window] = names.map(|name| guarantees.required(name));
     let window = window?;
     // Rounded up, as a longer window is the stricter one.
-    let window_span = Micros(window.span()?.0 + 1);
-    if window_span.0 == 1 {
+    let window_duration = Micros(window.duration()?.0 + 1);
+    if window_duration.0 == 1 {
         return Err(format!("settings: {} must be greater than zero", window.path));
     }
     Ok(Some(RetryBudget {
         spare_launches: spare_launches?.number(0.0, 1e9)?,
         launches_per_command: launches_per_command?.number(0.0, 1e6)?,
-        window: window_span,
+        window: window_duration,
     }))
 }
 
@@ -242,7 +242,7 @@
             list_is_requested,
             list_request_interval: guarantees
                 .optional("askWithin")
-                .map_or(Ok(Micros(10_000_000)), |k| k.span())?,
+                .map_or(Ok(Micros(10_000_000)), |k| k.duration())?,
             probes_allowed: limit_flag("mayProbe")?,
             report_in_flight_index: report_index("outstanding"),
             report_queue_index: report_index("backlog"),
@@ -256,19 +256,21 @@
                 .optional("familyInfo")
                 .and_then(|f| f.optional("warmKeys"))
                 .map_or(Ok(false), |k| k.flag())?,
-            connection_idle_timeout: limits.optional("connIdle").map_or(Ok(Micros(0)), |key| key.span())?,
+            connection_idle_timeout: limits
+                .optional("connIdle")
+                .map_or(Ok(Micros(0)), |key| key.duration())?,
             max_retry_after: match retry_after_allowed {
-                true => limits.required("maxRetryAfter")?.span()?,
+                true => limits.required("maxRetryAfter")?.duration()?,
                 false => Micros(0),
             },
             probe_penalty: penalty("probe")?,
             cross_zone_penalty: penalty("crossZone")?,
             connection_penalty: penalty("connection")?,
             initial_capacity: guarantees.required("startCapacity")?.number(0.0, 1.0)?,
-            warm_up_time: Micros(guarantees.required("warmWithin")?.span()?.0 + 1),
+            warm_up_time: Micros(guarantees.required("warmWithin")?.duration()?.0 + 1),
             collapse_load_multiple: guarantees.required("tipMultiple")?.number(0.0, MAX_NUMBER)?,
-            collapse_window: guarantees.required("fall")?.span()?,
-            drain_grace: guarantees.optional("drainGrace").map_or(Ok(Micros(0)), |key| key.span())?,
+            collapse_window: guarantees.required("fall")?.duration()?,
+            drain_grace: guarantees.optional("drainGrace").map_or(Ok(Micros(0)), |key| key.duration())?,
             retry_budget: retry_budget(&guarantees)?,
             full_may_have_run: guarantee_flag("mayShedBegun")?,
             only_draining_is_binding: guarantee_flag("removalNotBinding")?,
--- a/src/times.rs
+++ b/src/times.rs
@@ -33,14 +33,14 @@
 
 impl Add<Micros> for Timestamp {
     type Output = Timestamp;
-    fn add(self, span: Micros) -> Timestamp {
-        Timestamp(self.0.saturating_add(span.0))
+    fn add(self, duration: Micros) -> Timestamp {
+        Timestamp(self.0.saturating_add(duration.0))
     }
 }
 
 impl Sub<Micros> for Timestamp {
     type Output = Timestamp;
-    fn sub(self, span: Micros) -> Timestamp {
-        Timestamp(self.0.saturating_sub(span.0))
+    fn sub(self, duration: Micros) -> Timestamp {
+        Timestamp(self.0.saturating_sub(duration.0))
     }
 }
