--- a/crates/sites/src/plan.rs
+++ b/crates/sites/src/plan.rs
@@ -26,8 +26,9 @@
     pub work: f64,
     /// Payoff of an answer within the goal time.
     pub payoff: f64,
-    /// Time within which an answer counts, and the time of an answer within the site, in milliseconds.
+    /// Time within which an answer counts.
     pub goal_ms: f64,
+    /// Time of an answer within the clients' own site.
     pub answer_ms: f64,
     /// Share of the demand that is admitted even if other profiles have a higher payoff density.
     #[serde(default)]
@@ -63,9 +64,9 @@
     demand_rates: BTreeMap<(SiteId, ProfileId), DemandRate>,
     /// Round-trip time in milliseconds between sites; without an entry there is no path.
     round_trips_ms: BTreeMap<(SiteId, SiteId), f64>,
-    /// Share of each site's capacity that is kept free, and the share reserved for its own clients while they need
-    /// it.
+    /// Share of each site's capacity that is kept free.
     pub headroom: f64,
+    /// Share of each site's capacity that is reserved for its own clients while they need it.
     pub own_share: f64,
 }
 
--- a/crates/sites/src/return_ramp.rs
+++ b/crates/sites/src/return_ramp.rs
@@ -17,8 +17,9 @@
 const MIN_WITHIN_GOAL_SHARE: f64 = 0.95;
 /// Shortest duration of a step.
 const STEP_INTERVAL: Micros = Micros::from_millis(2000);
-/// Wait after the first loss; it doubles with each further loss.
+/// Wait after a loss; it doubles with each loss during a return.
 const MIN_BACKOFF: Micros = Micros::from_millis(2000);
+/// Upper limit of the wait.
 const MAX_BACKOFF: Micros = Micros::from_millis(120_000);
 
 /// State of the return of one site.
