--- a/crates/sites/src/detection.rs
+++ b/crates/sites/src/detection.rs
@@ -22,6 +22,7 @@
 }
 
 impl SiteState {
+    /// Its name in the admin API and the log.
     pub fn text(self) -> &'static str {
         match self {
             SiteState::Healthy => "whole",
@@ -81,6 +82,7 @@
 }
 
 impl StateReason {
+    /// Its text in the admin API and the log.
     pub fn text(self) -> &'static str {
         match self {
             StateReason::Answers => "it answers",
--- a/crates/sites/tests/admission.rs
+++ b/crates/sites/tests/admission.rs
@@ -36,7 +36,7 @@
 }
 
 /// Sends the stated requests in each second. All admitted ones end in time. Returns the admitted commands per second.
-fn play(
+fn run_load(
     admission: &mut SiteAdmission,
     from: u64,
     seconds: u64,
@@ -79,17 +79,17 @@
     let mut admission = SiteAdmission::new(Timestamp(0), plan(), SiteId(2), DetectionTimes::default());
     let all_healthy =
         SiteObservations { evidence: vec![healthy(); 3], site_nodes: 1, ..SiteObservations::default() };
-    play(&mut admission, 0, 10, &all_healthy, &REQUESTS);
+    run_load(&mut admission, 0, 10, &all_healthy, &REQUESTS);
     assert_eq!(admission.rejected_count(), 0);
     let mut one_lost = all_healthy.clone();
     one_lost.evidence[0] = lost();
-    play(&mut admission, 10, 10, &one_lost, &REQUESTS);
+    run_load(&mut admission, 10, 10, &one_lost, &REQUESTS);
     assert_eq!(admission.detector(SiteId(0)).state, SiteState::Lost);
     // With everything admitted in time, the gate opens beyond the plan. Asked for several times as much, it has to
     // reject.
     let high_load: Vec<_> =
         REQUESTS.iter().map(|(origin, profile, count)| (*origin, *profile, count * 4)).collect();
-    let admitted = play(&mut admission, 20, 5, &one_lost, &high_load);
+    let admitted = run_load(&mut admission, 20, 5, &one_lost, &high_load);
     let share = |origin: ClientOrigin, profile: usize, requested: f64| {
         admitted.get(&(origin == ClientOrigin::Displaced, profile)).copied().unwrap_or(0.0) / requested
     };
@@ -102,10 +102,10 @@
     assert!(admission.rejected_count() > 1000);
     assert!(local[0] >= displaced[0] - 0.02 && local[1] > displaced[1], "{local:?} {displaced:?}");
     assert!(displaced[0] > displaced[1] && displaced[1] > displaced[2], "{displaced:?}");
-    play(&mut admission, 25, 60, &all_healthy, &REQUESTS);
+    run_load(&mut admission, 25, 60, &all_healthy, &REQUESTS);
     assert_eq!(admission.detector(SiteId(0)).state, SiteState::Healthy);
     let before = admission.rejected_count();
-    play(&mut admission, 85, 5, &all_healthy, &high_load);
+    run_load(&mut admission, 85, 5, &all_healthy, &high_load);
     assert_eq!(admission.rejected_count(), before);
 }
 
@@ -118,8 +118,8 @@
         site_nodes: 1,
         ..SiteObservations::default()
     };
-    play(&mut admission, 0, 8, &one_lost, &[(ClientOrigin::Displaced, 1, 100)]);
-    play(&mut admission, 8, 3, &one_lost, &[(ClientOrigin::Displaced, 1, 5000)]);
+    run_load(&mut admission, 0, 8, &one_lost, &[(ClientOrigin::Displaced, 1, 100)]);
+    run_load(&mut admission, 8, 3, &one_lost, &[(ClientOrigin::Displaced, 1, 5000)]);
     let mut retry_afters = Vec::new();
     for _ in 0..2000 {
         if let Admission::Rejected(span) =
@@ -159,12 +159,12 @@
     for (is_new_node, is_limited) in [(true, true), (false, false)] {
         let mut admission = SiteAdmission::new(Timestamp(0), plan(), SiteId(2), DetectionTimes::default());
         let requests = [(ClientOrigin::Local, 0, 300), (ClientOrigin::Local, 1, 300)];
-        let first = play(&mut admission, 0, 3, &cold(is_new_node), &requests);
+        let first = run_load(&mut admission, 0, 3, &cold(is_new_node), &requests);
         let all = |admitted: &BTreeMap<(bool, usize), f64>| admitted.values().sum::<f64>() / 600.0;
         assert_eq!(all(&first) < 0.75, is_limited, "{first:?}");
         let warm = SiteObservations { is_new_node: false, cold_share: 0.0, ..cold(false) };
-        play(&mut admission, 3, 40, &warm, &requests);
-        let last = play(&mut admission, 43, 3, &warm, &requests);
+        run_load(&mut admission, 3, 40, &warm, &requests);
+        let last = run_load(&mut admission, 43, 3, &warm, &requests);
         assert!(all(&last) > 0.99 && !admission.is_limiting(), "{last:?}");
     }
 }
--- a/crates/sites/tests/detection.rs
+++ b/crates/sites/tests/detection.rs
@@ -161,8 +161,8 @@
                         ready_backends == Some((0, 10)) && !list_is_empty,
                         unanswered > 0 && answered == 0,
                     ];
-                    let kinds = signs.iter().filter(|signs| **signs).count();
-                    assert!(state != SiteState::Lost || kinds >= 2, "{evidence:?}");
+                    let sign_count = signs.iter().filter(|signs| **signs).count();
+                    assert!(state != SiteState::Lost || sign_count >= 2, "{evidence:?}");
                     assert!(answered == 0 || state.accepts_new_commands(), "{evidence:?}");
                 }
             }
--- a/src/allowance.rs
+++ b/src/allowance.rs
@@ -28,22 +28,22 @@
     first_at: Timestamp,
     last_at: Timestamp,
     commands: u32,
-    extra_launches: u32,
+    further_launches: u32,
 }
 
 impl RetryAllowance {
-    /// Counts a new command, or a launch beyond a command's first (`is_extra`).
-    pub(crate) fn record(&mut self, now: Timestamp, budget: RetryBudget, is_extra: bool) {
+    /// Counts a new command, or a launch beyond a command's first (`is_further`).
+    pub(crate) fn record(&mut self, now: Timestamp, budget: RetryBudget, is_further: bool) {
         let slice_length = Micros(budget.window.0 / SLICES);
         if self.slices.back().is_none_or(|slice| now.since(slice.first_at) >= slice_length) {
-            self.slices.push_back(Slice { first_at: now, last_at: now, commands: 0, extra_launches: 0 });
+            self.slices.push_back(Slice { first_at: now, last_at: now, commands: 0, further_launches: 0 });
         }
         if self.slices.len() as u64 > 2 * SLICES {
             self.slices.pop_front();
         }
         let slice = self.slices.back_mut().expect("a slice has just been pushed");
         slice.last_at = now;
-        *(if is_extra { &mut slice.extra_launches } else { &mut slice.commands }) += 1;
+        *(if is_further { &mut slice.further_launches } else { &mut slice.commands }) += 1;
     }
 
     /// The further launches that count in the window that ends now, and how many are allowed.
@@ -55,19 +55,19 @@
             .filter(|slice| slice.first_at > window_start)
             .map(|slice| slice.commands)
             .sum();
-        let extra_launches: u32 = self
+        let further_launches: u32 = self
             .slices
             .iter()
             .filter(|slice| slice.last_at >= window_start)
-            .map(|slice| slice.extra_launches)
+            .map(|slice| slice.further_launches)
             .sum();
         let spare_launches = if now < self.no_spare_until { 0.0 } else { budget.spare_launches };
-        (f64::from(extra_launches), spare_launches + budget.launches_per_command * f64::from(commands))
+        (f64::from(further_launches), spare_launches + budget.launches_per_command * f64::from(commands))
     }
 
     /// When the oldest of the counted launches leaves the window.
     pub(crate) fn next_free_at(&self, now: Timestamp, budget: RetryBudget) -> Timestamp {
-        let is_counted = |slice: &&Slice| slice.extra_launches > 0 && slice.last_at >= now - budget.window;
+        let is_counted = |slice: &&Slice| slice.further_launches > 0 && slice.last_at >= now - budget.window;
         self.slices
             .iter()
             .find(is_counted)
--- a/src/list_calls.rs
+++ b/src/list_calls.rs
@@ -28,7 +28,7 @@
 const INITIAL_RETRY_INTERVAL: Micros = Micros::from_millis(250);
 const MAX_RETRY_INTERVAL: Micros = Micros::from_millis(1300);
 /// A call or watch that lasted this long needs no further pause.
-const LONG_CALL: Micros = Micros::from_millis(2000);
+const LONG_CALL_DURATION: Micros = Micros::from_millis(2000);
 /// Interval for a pushed list: the agent that pushes it serves no other node.
 const PUSHED_LIST_RETRY_INTERVAL: Micros = Micros::from_millis(60);
 
@@ -93,7 +93,7 @@
             self.next_at = now + PUSHED_LIST_RETRY_INTERVAL.scaled(0.5 + rng.next_unit());
             return;
         }
-        let was_long = now.since(self.called_at) >= LONG_CALL;
+        let was_long = now.since(self.called_at) >= LONG_CALL_DURATION;
         self.short_lived_calls = if was_long { 0 } else { self.short_lived_calls + 1 };
         let spread = match std::mem::take(&mut self.is_watching) {
             true => per_node(RECONNECT_SPREAD_PER_NODE, settings).min(MAX_RECONNECT_SPREAD),
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -2,7 +2,7 @@
 
 mod help;
 
-use help::{Bench, GOAL};
+use help::{Bench, GOAL_MS};
 use serde_json::{json, Value};
 use yarrowfront::command::Command;
 use yarrowfront::command::Outcome::{self, *};
@@ -27,22 +27,22 @@
     // into each day.
     let cases: &[(&str, &str, Outcome, u64, Then)] = &[
         ("repeatable", "all", Errored, 10, Anywhere),
-        ("repeatable", "all", TimedOut, GOAL + 1, Rejected),
+        ("repeatable", "all", TimedOut, GOAL_MS + 1, Rejected),
         ("by_key", "all", Errored, 10, Anywhere),
-        ("by_key", "all", Errored, GOAL + 1, Rejected),
+        ("by_key", "all", Errored, GOAL_MS + 1, Rejected),
         ("by_key", "cell", ConnectionLost, 10, SameGroup),
         ("by_key", "cell", Errored, 61, Failed),
         ("by_key", "cell", Full, 61, Anywhere),
-        ("by_key", "cell", ConnectFailed, GOAL + 1, Rejected),
+        ("by_key", "cell", ConnectFailed, GOAL_MS + 1, Rejected),
         ("once", "all", Errored, 10, Failed),
         ("once", "all", TimedOut, 400, Failed),
         ("once", "all", Full, 10, Anywhere),
-        ("once", "all", ConnectFailed, GOAL + 1, Rejected),
-        ("once", "all", NotSent, GOAL + 1, Rejected),
+        ("once", "all", ConnectFailed, GOAL_MS + 1, Rejected),
+        ("once", "all", NotSent, GOAL_MS + 1, Rejected),
         ("repeatable", "all", Full, 10, Anywhere),
         ("by_key", "cell", Full, 10, SameGroup),
         ("by_key", "cell", Full, 61, Failed),
-        ("by_key", "all", Full, GOAL + 1, Rejected),
+        ("by_key", "all", Full, GOAL_MS + 1, Rejected),
         ("once", "all", Full, 10, Failed),
         ("once", "all", ConnectFailed, 10, Anywhere),
     ];
@@ -156,19 +156,19 @@
 }
 
 /// Settings of a profile like the first, with a goal time of its own.
-fn class(settings: &Value, goal_ms: u64) -> Value {
-    let mut class = settings["profiles"][0].clone();
-    class["goalTime"] = (goal_ms * 1_000_000).into();
-    class["timeLimit"] = (goal_ms * 2_000_000).into();
-    class
+fn profile_with_goal(settings: &Value, goal_ms: u64) -> Value {
+    let mut profile = settings["profiles"][0].clone();
+    profile["goalTime"] = (goal_ms * 1_000_000).into();
+    profile["timeLimit"] = (goal_ms * 2_000_000).into();
+    profile
 }
 
 /// Sends commands of a profile one after another to idle backends, each answered after `answer_ms`. Returns how many
 /// were not launched.
-fn not_launched(bench: &mut Bench, class: u16, count: usize, answer_ms: u64) -> usize {
+fn count_not_launched(bench: &mut Bench, profile: u16, count: usize, answer_ms: u64) -> usize {
     let mut rejected = 0;
     for _ in 0..count {
-        let mut command = bench.command(class);
+        let mut command = bench.command(profile);
         command.deadline = command.arrived_at + Micros::from_millis(8000);
         if matches!(bench.decide(&mut command), Decision::Launch(_)) {
             bench.finish(&mut command, answer_ms);
@@ -207,21 +207,26 @@
         let case = format!("{long_goal_ms}, {short_goal_ms}, {known_answer_ms}, {node_count}");
         let settings = |json: &mut Value| {
             json["balancers"] = node_count.into();
-            json["profiles"] = json!([class(json, long_goal_ms), class(json, short_goal_ms)]);
+            json["profiles"] =
+                json!([profile_with_goal(json, long_goal_ms), profile_with_goal(json, short_goal_ms)]);
         };
         let mut bench = Bench::with_settings(3, settings);
         bench.list_backends(&[(1, 1), (2, 1), (3, 1), (4, 1), (5, 1), (6, 1)]);
         (0..10).for_each(|_| keep_all_busy(&mut bench, 6, known_answer_ms));
-        assert_eq!(not_launched(&mut bench, 1, 60, short_goal_ms / 20), 0, "{case}");
+        assert_eq!(count_not_launched(&mut bench, 1, 60, short_goal_ms / 20), 0, "{case}");
         let mut new_settings = help::terms();
         settings(&mut new_settings);
-        let third = class(&new_settings, short_goal_ms);
+        let third = profile_with_goal(&new_settings, short_goal_ms);
         new_settings["profiles"].as_array_mut().expect("profiles").push(third);
         bench.node.replace_settings(
             Settings::from_json(new_settings.to_string().as_bytes()).expect("good settings"),
         );
         keep_all_busy(&mut bench, 6, known_answer_ms);
-        assert_eq!(not_launched(&mut bench, 2, 60, short_goal_ms / 20), 0, "{case}, new in the settings");
+        assert_eq!(
+            count_not_launched(&mut bench, 2, 60, short_goal_ms / 20),
+            0,
+            "{case}, new in the settings"
+        );
     }
 }
 
@@ -229,8 +234,9 @@
 /// had less time left than the assumed work.
 #[test]
 fn a_profile_without_answers_waits_for_a_backend() {
-    let mut bench =
-        Bench::with_settings(3, |json| json["profiles"] = json!([class(json, 4000), class(json, 4000)]));
+    let mut bench = Bench::with_settings(3, |json| {
+        json["profiles"] = json!([profile_with_goal(json, 4000), profile_with_goal(json, 4000)])
+    });
     bench.list_backends(&[(1, 1), (2, 1)]);
     (0..10).for_each(|_| keep_all_busy(&mut bench, 2, 10));
     let mut in_flight = [bench.command(0), bench.command(0)];
@@ -246,19 +252,20 @@
 /// launched nothing more was learned of it. It is tried again within its goal time at an idle backend.
 #[test]
 fn a_profile_that_was_slow_once_is_tried_again() {
-    let mut bench =
-        Bench::with_settings(3, |json| json["profiles"] = json!([class(json, 4000), class(json, 200)]));
+    let mut bench = Bench::with_settings(3, |json| {
+        json["profiles"] = json!([profile_with_goal(json, 4000), profile_with_goal(json, 200)])
+    });
     bench.list_backends(&[(1, 1), (2, 1), (3, 1), (4, 1)]);
     (0..10).for_each(|_| keep_all_busy(&mut bench, 4, 10));
     for _ in 0..60 {
-        not_launched(&mut bench, 1, 1, 900);
+        count_not_launched(&mut bench, 1, 1, 900);
         bench.advance(1100);
     }
     let (mut rejected_since, mut rejected) = (None, 0);
     for _ in 0..400 {
         keep_all_busy(&mut bench, 4, 10);
         let started_at = bench.now;
-        if not_launched(&mut bench, 1, 1, 10) == 0 {
+        if count_not_launched(&mut bench, 1, 1, 10) == 0 {
             rejected_since = None;
             continue;
         }
@@ -277,7 +284,7 @@
 /// was offered to it, and no command queued behind it was woken again.
 #[test]
 fn an_answer_removes_a_command_from_the_queue() {
-    let mut bench = Bench::with_settings(1, |json| json["profiles"] = json!([class(json, 4000)]));
+    let mut bench = Bench::with_settings(1, |json| json["profiles"] = json!([profile_with_goal(json, 4000)]));
     bench.learn_mean_work();
     bench.list_backends(&[(1, 1), (2, 1)]);
     let decide = |bench: &mut Bench| {
@@ -356,12 +363,12 @@
     let mut queued = bench.command(0);
     assert_eq!(bench.decide(&mut queued), Decision::Wait);
     let wait = bench.node.wakeup_delay(bench.now, Some(&queued)).expect("a queued command has a timer");
-    assert!(wait < Micros::from_millis(GOAL));
+    assert!(wait < Micros::from_millis(GOAL_MS));
     bench.now = bench.now + wait;
     assert!(matches!(bench.decide(&mut queued), Decision::Reject(_)));
     assert_eq!(bench.node.wakeup_delay(bench.now, Some(&queued)), None);
     assert_eq!(bench.decide(&mut queued), Decision::Wait, "the command is closed");
-    bench.advance(GOAL);
+    bench.advance(GOAL_MS);
     assert!(matches!(bench.on_outcome(&mut in_flight, 0, TimedOut), Decision::Reject(_)));
     assert_eq!(bench.on_outcome(&mut in_flight, 0, TimedOut), Decision::Wait, "a repeated outcome");
 }
@@ -487,7 +494,7 @@
                 "{node_count} nodes: {decision:?}"
             );
             if matches!(decision, Decision::Launch(_)) {
-                bench.finish(&mut command, GOAL - 15);
+                bench.finish(&mut command, GOAL_MS - 15);
             }
         }
     }
@@ -617,7 +624,10 @@
             panic!("{idempotency}: not launched")
         };
         let lost = bench.node.wakeup_delay(bench.now, Some(&command)).expect("a timer");
-        assert!(lost > Micros::from_millis(8) && lost < Micros::from_millis(GOAL), "{idempotency}: {lost:?}");
+        assert!(
+            lost > Micros::from_millis(8) && lost < Micros::from_millis(GOAL_MS),
+            "{idempotency}: {lost:?}"
+        );
         bench.advance(lost.0 / 1000 + 1);
         let decision = bench.decide(&mut command);
         assert_eq!(
@@ -780,10 +790,10 @@
     bench.list_backends(&[(1, 1)]);
     let mut command = bench.command(0);
     assert!(matches!(bench.decide(&mut command), Decision::Launch(_)));
-    bench.advance(GOAL);
+    bench.advance(GOAL_MS);
     assert_eq!(bench.decide(&mut command), Decision::Wait);
     let lost = bench.node.wakeup_delay(bench.now, Some(&command)).expect("another timer");
-    assert!(lost < Micros::from_millis(500 - GOAL), "{lost:?}");
+    assert!(lost < Micros::from_millis(500 - GOAL_MS), "{lost:?}");
     bench.advance(lost.0 / 1000 + 1);
     assert_eq!(bench.decide(&mut command), Decision::Wait);
     bench.advance(100);
@@ -857,7 +867,7 @@
         ("repeatable", true, 0, true),
         ("once", true, 0, false),
         ("repeatable", false, 0, false),
-        ("repeatable", true, GOAL, false),
+        ("repeatable", true, GOAL_MS, false),
     ];
     for (idempotency, cancel_supported, after_ms, is_cancelled) in cases {
         let mut bench = Bench::with_settings(12, |json| {
@@ -978,7 +988,7 @@
     command.launch(0).expect("launched").lost_at = bench.now;
     assert_eq!(bench.decide(&mut command), Decision::Wait, "no second launch");
     // The profile it arrived with is still repeatable, so it may be rejected after its launch has ended.
-    bench.advance(GOAL);
+    bench.advance(GOAL_MS);
     assert!(matches!(bench.on_outcome(&mut command, 0, Outcome::TimedOut), Decision::Reject(_)));
     for profile in [0, 1] {
         let mut next = bench.command(profile);
@@ -1067,7 +1077,7 @@
     assert_eq!(bench.decide(&mut next), Decision::Wait, "now it occupies the backend");
     assert_eq!(
         bench.node.wakeup_delay(bench.now, Some(&slow)),
-        Some(Micros::from_millis(GOAL)),
+        Some(Micros::from_millis(GOAL_MS)),
         "its goal time begins"
     );
     bench.list_backends(&[(1, 0), (2, 0)]);
@@ -1096,7 +1106,7 @@
             json["guarantees"]["extraWindow"] = (window * 1_000_000).into();
         });
         bench.list_backends(&[1, 2, 3, 4, 5, 6, 7, 8].map(|id| (id, 1)));
-        let (mut arrivals, mut extra_launches) = (Vec::new(), Vec::new());
+        let (mut arrivals, mut further_launches) = (Vec::new(), Vec::new());
         let (mut max_used, mut draw) = (0, seed);
         for step in 0..3000u64 {
             draw = draw.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
@@ -1114,9 +1124,9 @@
                     .take_while(|at| bench.now.since(**at) < Micros::from_millis(window));
                 let allowed = spare_launches + ratio * recent_arrivals.count() as f64;
                 if n > 0 {
-                    extra_launches.push(bench.now);
+                    further_launches.push(bench.now);
                 }
-                let used = extra_launches.iter().rev().take_while(is_in_window).count();
+                let used = further_launches.iter().rev().take_while(is_in_window).count();
                 assert!(n == 0 || used as f64 <= allowed, "seed {seed}: {used} where {allowed} are allowed");
                 max_used = max_used.max(used);
                 decision = bench.on_outcome(
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod help;
 
-use help::{Bench, GOAL};
+use help::{Bench, GOAL_MS};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use yarrowfront::command::{Command, Outcome::*};
@@ -11,12 +11,12 @@
 use yarrowfront::times::Micros;
 
 /// A node among `node_count` nodes.
-fn among(node_count: u32, seed: u64) -> Bench {
+fn node_among(node_count: u32, seed: u64) -> Bench {
     Bench::with_settings(seed, |json| json["balancers"] = node_count.into())
 }
 
 /// A node that may probe backends at this penalty.
-fn asking(node_count: u32, seed: u64, probe_penalty: f64) -> Bench {
+fn probing_node(node_count: u32, seed: u64, probe_penalty: f64) -> Bench {
     Bench::with_settings(seed, |json| {
         json["balancers"] = node_count.into();
         json["limits"]["mayProbe"] = true.into();
@@ -26,7 +26,7 @@
 }
 
 /// The final decision, after the probed backends have answered and all waits are over.
-fn settled(bench: &mut Bench, command: &mut Command) -> Decision {
+fn final_decision(bench: &mut Bench, command: &mut Command) -> Decision {
     loop {
         let decision = bench.decide(command);
         for action in bench.actions() {
@@ -42,7 +42,7 @@
 }
 
 /// Ids and groups of `count` backends, in groups of `group_size`.
-fn groups(count: u32, group_size: u32) -> Vec<(u32, u16)> {
+fn backends_in_groups(count: u32, group_size: u32) -> Vec<(u32, u16)> {
     (0..count).map(|id| (id + 1, (id / group_size) as u16)).collect()
 }
 
@@ -51,9 +51,9 @@
 #[test]
 fn each_command_pays_for_probes() {
     for (in_flight, min, max) in [(3.0, 800, 1100), (0.0, 200, 700)] {
-        let mut bench = asking(500, 1, 0.002);
+        let mut bench = probing_node(500, 1, 0.002);
         assert_eq!(bench.actions().len(), 0);
-        bench.list_backends(&groups(100, 1));
+        bench.list_backends(&backends_in_groups(100, 1));
         let (mut probes, mut launched) = (0, 0);
         for _ in 0..200 {
             let mut command = bench.command(0);
@@ -101,7 +101,7 @@
     for (node_count, max_per_second) in [(100, 40), (2, 5)] {
         let mut calls = vec![0; 30];
         for seed in 0..node_count {
-            let mut bench = among(node_count, u64::from(seed));
+            let mut bench = node_among(node_count, u64::from(seed));
             let (start, mut last_call) = (bench.now, bench.now);
             while bench.now < start + Micros::from_millis(28_000) {
                 let wait = bench.node.wakeup_delay(bench.now, None).expect("a call is due");
@@ -126,8 +126,8 @@
 #[test]
 fn expensive_probes_are_not_sent() {
     for (penalty, expects_probes) in [(0.08, false), (0.009, true)] {
-        let mut bench = asking(100, 1, penalty);
-        bench.list_backends(&groups(60, 1));
+        let mut bench = probing_node(100, 1, penalty);
+        bench.list_backends(&backends_in_groups(60, 1));
         let mut probes = 0;
         for _ in 0..100 {
             let mut command = bench.command(0);
@@ -143,8 +143,8 @@
 #[test]
 fn a_nodes_subset_follows_its_traffic() {
     for (node_count, interval_ms, answer_ms, min, max) in [(500, 150, 20, 6, 16), (1, 1, 3, 60, 200)] {
-        let mut bench = among(node_count, 3);
-        bench.list_backends(&groups(200, 1));
+        let mut bench = node_among(node_count, 3);
+        bench.list_backends(&backends_in_groups(200, 1));
         let mut used = BTreeSet::new();
         for _ in 0..3000 {
             let mut command = bench.command(0);
@@ -172,11 +172,11 @@
             json["limits"]["mayProbe"] = true.into();
             json["penalties"] = json!({"probe": 0.08});
         });
-        bench.list_backends(&groups(60, 1));
+        bench.list_backends(&backends_in_groups(60, 1));
         let mut used = BTreeSet::new();
         for n in 0..6 {
             let mut command = bench.command(0);
-            if let Decision::Launch(backend) = settled(&mut bench, &mut command) {
+            if let Decision::Launch(backend) = final_decision(&mut bench, &mut command) {
                 used.insert(backend);
                 // The first three occupy its few backends, as a backend without answers gets one launch at a time.
                 if n < 3 {
@@ -201,7 +201,7 @@
         for _ in 0..6 {
             let mut command = bench.command(0);
             assert!(matches!(bench.decide(&mut command), Decision::Launch(_)));
-            bench.finish(&mut command, GOAL * 3 / 10);
+            bench.finish(&mut command, GOAL_MS * 3 / 10);
         }
         bench.apply_entry(ListUpdateKind::Snapshot, (2, BackendState::Ready, bench.now.0));
         let mut command = bench.command(0);
@@ -223,7 +223,7 @@
             json["profiles"][0]["idempotency"] = "by_key".into();
             json["profiles"][0]["group"] = "cell".into();
         });
-        bench.list_backends(&groups(200, 2));
+        bench.list_backends(&backends_in_groups(200, 2));
         let mut command = bench.command(0);
         let Decision::Launch(first) = bench.decide(&mut command) else { panic!("not launched") };
         bench.advance(10);
@@ -268,7 +268,7 @@
         let mut hits = 0;
         for seed in 0..40 {
             let mut bench = Bench::new(seed);
-            bench.list_backends(&groups(10, 1));
+            bench.list_backends(&backends_in_groups(10, 1));
             let mut command = bench.command(0);
             let Decision::Launch(first) = bench.decide(&mut command) else { panic!("not launched") };
             bench.finish(&mut command, 30);
@@ -284,13 +284,13 @@
 /// commands forever: backends not tried recently are tried.
 #[test]
 fn one_heavy_answer_has_no_lasting_effect() {
-    let mut bench = among(500, 1);
-    bench.list_backends(&groups(20, 1));
+    let mut bench = node_among(500, 1);
+    bench.list_backends(&backends_in_groups(20, 1));
     for n in 0..40 {
         let mut command = bench.command(0);
         let decision = bench.decide(&mut command);
         assert!(n < 15 || matches!(decision, Decision::Launch(_)), "command {n}: {decision:?}");
-        bench.finish(&mut command, if n == 0 { GOAL - 5 } else { 20 });
+        bench.finish(&mut command, if n == 0 { GOAL_MS - 5 } else { 20 });
         bench.advance(100);
     }
 }
@@ -306,7 +306,7 @@
         valuable["payoff"] = 8.0.into();
         json["profiles"].as_array_mut().expect("profiles").push(valuable);
     });
-    bench.list_backends(&groups(200, 1));
+    bench.list_backends(&backends_in_groups(200, 1));
     let run = |bench: &mut Bench, answer_ms: u64, count: u32| {
         let mut launched = [0, 0];
         for n in 0..count {
@@ -314,9 +314,9 @@
             let mut command = bench.command(profile as u16);
             if matches!(bench.decide(&mut command), Decision::Launch(_)) {
                 launched[profile] += 1;
-                bench.advance(answer_ms.min(GOAL + 1));
+                bench.advance(answer_ms.min(GOAL_MS + 1));
                 bench.decide(&mut command);
-                bench.finish(&mut command, answer_ms.saturating_sub(GOAL + 1));
+                bench.finish(&mut command, answer_ms.saturating_sub(GOAL_MS + 1));
             }
             bench.advance(100);
         }
@@ -324,7 +324,7 @@
     };
     let normal = run(&mut bench, 20, 200);
     assert_eq!(normal, [150, 50]);
-    let overloaded = run(&mut bench, GOAL + 50, 200);
+    let overloaded = run(&mut bench, GOAL_MS + 50, 200);
     assert!(
         overloaded[0] < 75 && overloaded[1] * 3 > overloaded[0] * 2,
         "{overloaded:?} of 150 and 50 while all are late"
@@ -340,8 +340,8 @@
     for (outcome, is_reused) in [(NotSent, true), (Full, false)] {
         let mut hits = 0;
         for seed in 0..40 {
-            let mut bench = asking(500, seed, 0.002);
-            bench.list_backends(&groups(2, 1));
+            let mut bench = probing_node(500, seed, 0.002);
+            bench.list_backends(&backends_in_groups(2, 1));
             let launch = |bench: &mut Bench| loop {
                 let mut command = bench.command(0);
                 for _ in 0..10 {
@@ -363,8 +363,8 @@
 /// time again.
 #[test]
 fn contradicted_reports_are_ignored() {
-    let mut bench = asking(500, 1, 0.002);
-    bench.list_backends(&groups(20, 1));
+    let mut bench = probing_node(500, 1, 0.002);
+    bench.list_backends(&backends_in_groups(20, 1));
     let run = |bench: &mut Bench, answer_ms: u64, count: u32| {
         let mut probes = 0;
         for _ in 0..count {
@@ -387,8 +387,8 @@
         probes
     };
     assert!(run(&mut bench, 30, 40) >= 40);
-    run(&mut bench, GOAL + 50, 12);
-    assert_eq!(run(&mut bench, GOAL + 50, 10), 0, "probes while reports are contradicted");
+    run(&mut bench, GOAL_MS + 50, 12);
+    assert_eq!(run(&mut bench, GOAL_MS + 50, 10), 0, "probes while reports are contradicted");
     run(&mut bench, 30, 60);
     assert!(run(&mut bench, 30, 40) >= 40, "reports are used again");
 }
@@ -398,8 +398,8 @@
 #[test]
 fn the_wait_for_probes_scales_with_the_work_of_a_command() {
     for (answer_ms, min_us, max_us) in [(5, 100, 700), (75, 2000, 3500)] {
-        let mut bench = asking(4, 1, 0.002);
-        bench.list_backends(&groups(3, 1));
+        let mut bench = probing_node(4, 1, 0.002);
+        bench.list_backends(&backends_in_groups(3, 1));
         let mut launched = 0;
         while launched < 60 {
             let mut command = bench.command(0);
@@ -433,7 +433,7 @@
         json["limits"]["secondCopies"] = false.into();
         json["report"] = json!({"how": "piggyback", "names": ["outstanding"]});
     });
-    bench.list_backends(&groups(4, 4));
+    bench.list_backends(&backends_in_groups(4, 4));
     for id in 0..60 {
         bench.node.on_load_report(bench.now, BackendId(1 + id % 4), true, None, &[20.0]);
     }
@@ -441,7 +441,7 @@
     for _ in 0..5 {
         bench.advance(1500);
         let mut command = bench.command(0);
-        if let Decision::Launch(_) = settled(&mut bench, &mut command) {
+        if let Decision::Launch(_) = final_decision(&mut bench, &mut command) {
             launched += 1;
             bench.finish(&mut command, 20);
         }
@@ -461,12 +461,12 @@
                 json["balancers"] = 6.into();
                 json["me"] = node.into();
             });
-            bench.list_backends(&groups(8, 4));
+            bench.list_backends(&backends_in_groups(8, 4));
             for n in 0..30 {
                 let mut command = bench.command(0);
                 // The key is one of thirty, so its share among recent commands is no more than chance.
                 command.affinity_key = if n % 10 == 0 { 77 } else { 1000 + n };
-                let Decision::Launch(backend) = settled(&mut bench, &mut command) else { continue };
+                let Decision::Launch(backend) = final_decision(&mut bench, &mut command) else { continue };
                 if command.affinity_key == 77 {
                     places.insert(backend);
                 }
@@ -487,7 +487,7 @@
     let launches_with_interval = |interval_ms: u64| {
         let mut bench = Bench::with_settings(5, |json| json["balancers"] = 400.into());
         bench.learn_mean_work();
-        bench.list_backends(&groups(4, 4));
+        bench.list_backends(&backends_in_groups(4, 4));
         for _ in 0..40 {
             let mut command = bench.command(0);
             bench.decide(&mut command);
--- a/tests/help/mod.rs
+++ b/tests/help/mod.rs
@@ -7,14 +7,14 @@
 use yarrowfront::settings::Settings;
 use yarrowfront::times::{Micros, Timestamp};
 
-/// Goal time in milliseconds.
-pub const GOAL: u64 = 200;
+/// Goal time of the commands.
+pub const GOAL_MS: u64 = 200;
 
 /// Settings of four nodes with one repeatable profile.
 pub fn terms() -> Value {
     json!({
         "balancers": 4, "zone": 0, "discovery": "ask",
-        "profiles": [{"goalTime": GOAL * 1_000_000, "timeLimit": 500_000_000, "idempotency": "repeatable",
+        "profiles": [{"goalTime": GOAL_MS * 1_000_000, "timeLimit": 500_000_000, "idempotency": "repeatable",
                       "group": "all", "memorySpan": 60_000_000, "payoff": 1.0}],
         "limits": {"mostLaunches": 4, "cancel": true, "secondCopies": true, "mayProbe": false,
                    "retryAfter": true, "maxRetryAfter": 2_000_000_000u64},
