--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -1,5 +1,6 @@
-//! Ways between processes on loopback, TCP and UDP, and what may happen to them; schedules of such faults, drawn from
-//! one seed, written down, and shrunk. A package of its own below the rehearsal, as the node's tests play with it too.
+//! TCP and UDP links between processes on loopback, with injected network faults, and schedules of such faults, which
+//! are generated from a seed, written as text and shrunk. This is a package of its own, below the rehearsal, because the
+//! node's tests use it too.
 #![forbid(unsafe_code)]
 
 mod relay;
--- a/crates/links/src/relay.rs
+++ b/crates/links/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relays: each ordered pair of processes has its own, on a thread beside the test.
+//! Relays between processes: each ordered pair of processes has its own. They all run on one thread beside the test.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,264 +14,297 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, Instant};
 
-/// What happens to all that goes one way. The plain one passes everything on at once.
+/// What happens to the traffic in one direction. The default forwards everything at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Impairment {
-    /// Nothing passes: datagrams are lost, connections that stand are silent, new ones are accepted and silent.
+    /// Nothing passes: datagrams are lost, open connections stall, new ones are accepted and stall.
     pub blocked: bool,
-    /// TCP alone: new connections are refused by a reset, and those that stand are reset.
+    /// TCP only: new connections are refused with a reset, and open ones are reset.
     pub resets_connections: bool,
-    /// Of a hundred datagrams so many are lost, come twice, or are held back until the next one has passed.
+    /// Share of datagrams that are lost.
     pub loss_percent: u8,
+    /// Share of datagrams that are delivered twice.
     pub duplicate_percent: u8,
+    /// Share of datagrams that are held reverse until the next one has passed.
     pub reorder_percent: u8,
-    /// Everything comes so much later, and by chance up to so much more.
+    /// Delay of every datagram and of every chunk of a stream.
     pub latency: Duration,
+    /// Upper bound of a random delay on top of `latency`; for datagrams only.
     pub jitter: Duration,
-    /// Bytes a second at the most; 0 for as many as there are. TCP alone.
+    /// TCP only: the bandwidth limit; 0 means unlimited.
     pub bytes_per_second: u32,
 }
 
-type Pair = (String, String);
+/// The names of the sending and of the receiving process.
+type Direction = (String, String);
 
 #[derive(Default)]
-struct Table {
-    laws: BTreeMap<Pair, Impairment>,
-    /// What has passed each way: datagrams and pieces of streams.
-    passed: BTreeMap<Pair, u64>,
+struct LinkTable {
+    impairments: BTreeMap<Direction, Impairment>,
+    /// The number of datagrams and stream chunks that were forwarded.
+    forwarded: BTreeMap<Direction, u64>,
 }
 
 #[derive(Clone, Default)]
-struct Shared(Arc<Mutex<Table>>);
+struct Shared(Arc<Mutex<LinkTable>>);
 
 impl Shared {
-    fn table(&self) -> MutexGuard<'_, Table> {
+    fn lock_table(&self) -> MutexGuard<'_, LinkTable> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn law(&self, pair: &Pair) -> Impairment {
-        self.table().laws.get(pair).copied().unwrap_or_default()
+    fn impairment(&self, direction: &Direction) -> Impairment {
+        self.lock_table().impairments.get(direction).copied().unwrap_or_default()
     }
 
-    fn passes(&self, pair: &Pair) {
-        *self.table().passed.entry(pair.clone()).or_default() += 1;
+    fn count_forwarded(&self, direction: &Direction) {
+        *self.lock_table().forwarded.entry(direction.clone()).or_default() += 1;
     }
 }
 
-enum Way {
+enum Socket {
     Udp(std::net::UdpSocket),
     Tcp(std::net::TcpListener),
 }
 
-/// All ways of a play, until it is dropped.
+/// All links of a test. Dropping it ends the relay thread and with it all links.
 pub struct Links {
     shared: Shared,
-    ways: mpsc::UnboundedSender<(Way, Pair, SocketAddr, u64)>,
+    new_links: mpsc::UnboundedSender<(Socket, Direction, SocketAddr, u64)>,
     seed: u64,
 }
 
 impl Links {
-    /// Its chance, of what is lost and how late, is drawn from the seed.
+    /// Starts the relay thread. Random losses and delays are derived from the seed.
     pub fn new(seed: u64) -> Links {
-        let (ways, mut new) = mpsc::unbounded_channel::<(Way, Pair, SocketAddr, u64)>();
+        let (new_links, mut open_requests) =
+            mpsc::unbounded_channel::<(Socket, Direction, SocketAddr, u64)>();
         let shared = Shared::default();
-        let kept = shared.clone();
+        let relay_shared = shared.clone();
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let Ok(runtime) = runtime else { return };
             LocalSet::new().block_on(&runtime, async move {
-                while let Some((way, pair, to, seed)) = new.recv().await {
-                    let chance = ChaCha8Rng::seed_from_u64(seed);
-                    match way {
-                        Way::Udp(socket) => drop(spawn_local(udp(socket, kept.clone(), pair, to, chance))),
-                        Way::Tcp(listener) => drop(spawn_local(tcp(listener, kept.clone(), pair, to))),
+                while let Some((socket, direction, target, seed)) = open_requests.recv().await {
+                    let rng = ChaCha8Rng::seed_from_u64(seed);
+                    match socket {
+                        Socket::Udp(socket) => {
+                            drop(spawn_local(relay_udp(socket, relay_shared.clone(), direction, target, rng)))
+                        }
+                        Socket::Tcp(listener) => {
+                            drop(spawn_local(relay_tcp(listener, relay_shared.clone(), direction, target)))
+                        }
                     }
                 }
             });
         });
-        Links { shared, ways, seed }
+        Links { shared, new_links, seed }
     }
 
-    /// A way for datagrams from one to the other, who hears them at `to`: where the one has to send them.
-    pub fn open_udp(&self, from: &str, to: &str, at: SocketAddr, host: IpAddr) -> io::Result<SocketAddr> {
-        let socket = std::net::UdpSocket::bind((host, 0))?;
-        let here = socket.local_addr()?;
-        self.start_relay(Way::Udp(socket), from, to, at);
-        Ok(here)
+    /// Opens a relay for datagrams from one process to another, which receives them at `target`. Returns the address to
+    /// which `from` has to send them.
+    pub fn open_udp(
+        &self,
+        from: &str,
+        to: &str,
+        target: SocketAddr,
+        relay_host: IpAddr,
+    ) -> io::Result<SocketAddr> {
+        let socket = std::net::UdpSocket::bind((relay_host, 0))?;
+        let relay_address = socket.local_addr()?;
+        self.start_relay(Socket::Udp(socket), from, to, target);
+        Ok(relay_address)
     }
 
-    /// A way for connections from one to the other, who accepts them at `at`. Bytes go by the law of their own
-    /// direction, the connection itself by that of `from` to `to`.
-    pub fn open_tcp(&self, from: &str, to: &str, at: SocketAddr, host: IpAddr) -> io::Result<SocketAddr> {
-        let listener = std::net::TcpListener::bind((host, 0))?;
-        let here = listener.local_addr()?;
-        self.start_relay(Way::Tcp(listener), from, to, at);
-        Ok(here)
+    /// Opens a relay for connections from one process to another, which accepts them at `target`. Returns the address to
+    /// which `from` has to connect. Bytes are subject to the impairment of their own direction, the connection itself to
+    /// that of `from` to `to`.
+    pub fn open_tcp(
+        &self,
+        from: &str,
+        to: &str,
+        target: SocketAddr,
+        relay_host: IpAddr,
+    ) -> io::Result<SocketAddr> {
+        let listener = std::net::TcpListener::bind((relay_host, 0))?;
+        let relay_address = listener.local_addr()?;
+        self.start_relay(Socket::Tcp(listener), from, to, target);
+        Ok(relay_address)
     }
 
-    fn start_relay(&self, way: Way, from: &str, to: &str, at: SocketAddr) {
-        let pair = (from.to_owned(), to.to_owned());
-        let seed = pair
+    fn start_relay(&self, socket: Socket, from: &str, to: &str, target: SocketAddr) {
+        let direction = (from.to_owned(), to.to_owned());
+        let seed = direction
             .0
             .bytes()
-            .chain(pair.1.bytes())
-            .fold(self.seed, |s, b| s.wrapping_mul(31).wrapping_add(b.into()));
-        let _ = self.ways.send((way, pair, at, seed));
+            .chain(direction.1.bytes())
+            .fold(self.seed, |seed, byte| seed.wrapping_mul(31).wrapping_add(byte.into()));
+        let _ = self.new_links.send((socket, direction, target, seed));
     }
 
-    /// The law of one direction from now on.
-    pub fn set_impairment(&self, from: &str, to: &str, law: Impairment) {
-        self.shared.table().laws.insert((from.to_owned(), to.to_owned()), law);
+    /// Sets the impairment of one direction from now on.
+    pub fn set_impairment(&self, from: &str, to: &str, impairment: Impairment) {
+        self.shared.lock_table().impairments.insert((from.to_owned(), to.to_owned()), impairment);
     }
 
-    /// The law of both directions.
-    pub fn set_impairment_both_ways(&self, one: &str, other: &str, law: Impairment) {
-        self.set_impairment(one, other, law);
-        self.set_impairment(other, one, law);
+    /// Sets the impairment of both directions from now on.
+    pub fn set_impairment_both_ways(&self, one: &str, other: &str, impairment: Impairment) {
+        self.set_impairment(one, other, impairment);
+        self.set_impairment(other, one, impairment);
     }
 
-    /// All ways are plain from now on.
+    /// Removes all impairments.
     pub fn heal(&self) {
-        self.shared.table().laws.clear();
+        self.shared.lock_table().impairments.clear();
     }
 
-    /// How much has passed from one to the other: datagrams, or pieces of streams.
+    /// The number of datagrams or stream chunks that were forwarded from one process to the other.
     pub fn forwarded_count(&self, from: &str, to: &str) -> u64 {
-        self.shared.table().passed.get(&(from.to_owned(), to.to_owned())).copied().unwrap_or_default()
+        self.shared.lock_table().forwarded.get(&(from.to_owned(), to.to_owned())).copied().unwrap_or_default()
     }
 }
 
-fn percent(chance: &mut ChaCha8Rng, of: u8) -> bool {
-    chance.random_range(0..100) < of
+fn happens(rng: &mut ChaCha8Rng, percent: u8) -> bool {
+    rng.random_range(0..100) < percent
 }
 
-fn delay(chance: &mut ChaCha8Rng, law: &Impairment) -> Duration {
-    law.latency + law.jitter.mul_f64(chance.random_range(0.0..1.0))
+fn draw_delay(rng: &mut ChaCha8Rng, impairment: &Impairment) -> Duration {
+    impairment.latency + impairment.jitter.mul_f64(rng.random_range(0.0..1.0))
 }
 
-async fn udp(
+async fn relay_udp(
     socket: std::net::UdpSocket,
     shared: Shared,
-    pair: Pair,
-    to: SocketAddr,
-    mut chance: ChaCha8Rng,
+    direction: Direction,
+    target: SocketAddr,
+    mut rng: ChaCha8Rng,
 ) {
     let socket = socket.set_nonblocking(true).and_then(|()| UdpSocket::from_std(socket));
     let Ok(socket) = socket.map(Rc::new) else { return };
     let mut bytes = vec![0; 65536];
-    let mut held: Option<Vec<u8>> = None;
+    let mut held_back: Option<Vec<u8>> = None;
     loop {
         let Ok((size, _)) = socket.recv_from(&mut bytes).await else { continue };
-        let law = shared.law(&pair);
-        if law.blocked || percent(&mut chance, law.loss_percent) {
+        let impairment = shared.impairment(&direction);
+        if impairment.blocked || happens(&mut rng, impairment.loss_percent) {
             continue;
         }
-        shared.passes(&pair);
-        let one = bytes[..size].to_vec();
-        if held.is_none() && percent(&mut chance, law.reorder_percent) {
-            held = Some(one);
+        shared.count_forwarded(&direction);
+        let datagram = bytes[..size].to_vec();
+        if held_back.is_none() && happens(&mut rng, impairment.reorder_percent) {
+            held_back = Some(datagram);
             continue;
         }
-        let copies = 1 + usize::from(percent(&mut chance, law.duplicate_percent));
-        let all = std::iter::repeat_n(one, copies).chain(held.take());
-        for one in all {
-            let wait = delay(&mut chance, &law);
-            if wait.is_zero() {
-                let _ = socket.send_to(&one, to).await;
+        let copies = 1 + usize::from(happens(&mut rng, impairment.duplicate_percent));
+        let outgoing = std::iter::repeat_n(datagram, copies).chain(held_back.take());
+        for datagram in outgoing {
+            let delay = draw_delay(&mut rng, &impairment);
+            if delay.is_zero() {
+                let _ = socket.send_to(&datagram, target).await;
                 continue;
             }
             let socket = socket.clone();
             spawn_local(async move {
-                sleep(wait).await;
-                let _ = socket.send_to(&one, to).await;
+                sleep(delay).await;
+                let _ = socket.send_to(&datagram, target).await;
             });
         }
     }
 }
 
-async fn tcp(listener: std::net::TcpListener, shared: Shared, pair: Pair, to: SocketAddr) {
+async fn relay_tcp(
+    listener: std::net::TcpListener,
+    shared: Shared,
+    direction: Direction,
+    target: SocketAddr,
+) {
     let listener = listener.set_nonblocking(true).and_then(|()| TcpListener::from_std(listener));
     let Ok(listener) = listener else { return };
     loop {
-        let Ok((near, _)) = listener.accept().await else { continue };
-        if shared.law(&pair).resets_connections {
-            reset(&near);
+        let Ok((client, _)) = listener.accept().await else { continue };
+        if shared.impairment(&direction).resets_connections {
+            close_with_reset(&client);
             continue;
         }
-        let (shared, pair) = (shared.clone(), pair.clone());
+        let (shared, direction) = (shared.clone(), direction.clone());
         spawn_local(async move {
-            while shared.law(&pair).blocked {
-                sleep(STEP).await;
+            while shared.impairment(&direction).blocked {
+                sleep(POLL_INTERVAL).await;
             }
-            let Ok(far) = TcpStream::connect(to).await else { return reset(&near) };
-            let _ = (near.set_nodelay(true), far.set_nodelay(true));
-            let back = (pair.1.clone(), pair.0.clone());
-            // A reset is one of both directions.
-            let (ends, law, pair_of_law) = (Rc::new((near, far)), shared.clone(), pair.clone());
-            let broken = async {
-                while !law.law(&pair_of_law).resets_connections {
-                    sleep(STEP).await;
+            let Ok(server) = TcpStream::connect(target).await else { return close_with_reset(&client) };
+            let _ = (client.set_nodelay(true), server.set_nodelay(true));
+            let reverse = (direction.1.clone(), direction.0.clone());
+            // A reset ends both directions.
+            let (ends, reset_shared, reset_direction) =
+                (Rc::new((client, server)), shared.clone(), direction.clone());
+            let was_reset = async {
+                while !reset_shared.impairment(&reset_direction).resets_connections {
+                    sleep(POLL_INTERVAL).await;
                 }
             };
             tokio::select! {
-                () = async { tokio::join!(pass(&ends.0, &ends.1, &shared, &pair), pass(&ends.1, &ends.0, &shared, &back)); } => {}
-                () = broken => {
-                    reset(&ends.0);
-                    reset(&ends.1);
+                () = async { tokio::join!(forward(&ends.0, &ends.1, &shared, &direction), forward(&ends.1, &ends.0, &shared, &reverse)); } => {}
+                () = was_reset => {
+                    close_with_reset(&ends.0);
+                    close_with_reset(&ends.1);
                 }
             }
         });
     }
 }
 
-/// How soon a change of law is seen by what waits.
-const STEP: Duration = Duration::from_millis(5);
+/// How often waiting tasks check whether the impairment has changed.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Closed with this nothing is said but a reset.
-fn reset(stream: &TcpStream) {
+/// Makes the kernel send a reset instead of an orderly end when the stream is dropped.
+fn close_with_reset(stream: &TcpStream) {
     let _ = stream.set_zero_linger();
 }
 
-/// Passes bytes on one way until their end, and the end too: whoever is at the other side has to see a client go.
-async fn pass(from: &TcpStream, to: &TcpStream, shared: &Shared, pair: &Pair) {
-    pass_bytes(from, to, shared, pair).await;
+/// Forwards bytes in one direction until their end, and then the end itself: the other side has to see when its peer has
+/// closed the connection.
+async fn forward(from: &TcpStream, to: &TcpStream, shared: &Shared, direction: &Direction) {
+    forward_bytes(from, to, shared, direction).await;
     let _ = SockRef::from(to).shutdown(Shutdown::Write);
 }
 
-async fn pass_bytes(from: &TcpStream, to: &TcpStream, shared: &Shared, pair: &Pair) {
+async fn forward_bytes(from: &TcpStream, to: &TcpStream, shared: &Shared, direction: &Direction) {
     let mut bytes = vec![0; 16384];
-    let mut free = Instant::now();
+    let mut next_send_at = Instant::now();
     loop {
         if from.readable().await.is_err() {
             break;
         }
-        let law = shared.law(pair);
-        if law.blocked {
-            sleep(STEP).await;
+        let impairment = shared.impairment(direction);
+        if impairment.blocked {
+            sleep(POLL_INTERVAL).await;
             continue;
         }
-        let most =
-            if law.bytes_per_second == 0 { bytes.len() } else { (law.bytes_per_second as usize / 50).max(1) };
-        let most = most.min(bytes.len());
-        let size = match from.try_read(&mut bytes[..most]) {
+        let max_read_size = if impairment.bytes_per_second == 0 {
+            bytes.len()
+        } else {
+            (impairment.bytes_per_second as usize / 50).max(1)
+        };
+        let max_read_size = max_read_size.min(bytes.len());
+        let size = match from.try_read(&mut bytes[..max_read_size]) {
             Ok(0) => break,
             Ok(size) => size,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => continue,
             Err(_) => break,
         };
-        shared.passes(pair);
-        if !law.latency.is_zero() {
-            sleep(law.latency).await;
+        shared.count_forwarded(direction);
+        if !impairment.latency.is_zero() {
+            sleep(impairment.latency).await;
         }
-        if law.bytes_per_second > 0 {
-            free = free.max(Instant::now())
-                + Duration::from_secs_f64(size as f64 / f64::from(law.bytes_per_second));
-            tokio::time::sleep_until(free).await;
+        if impairment.bytes_per_second > 0 {
+            next_send_at = next_send_at.max(Instant::now())
+                + Duration::from_secs_f64(size as f64 / f64::from(impairment.bytes_per_second));
+            tokio::time::sleep_until(next_send_at).await;
         }
-        let mut rest = &bytes[..size];
-        while !rest.is_empty() {
-            match to.try_write(rest) {
-                Ok(size) => rest = &rest[size..],
+        let mut unsent = &bytes[..size];
+        while !unsent.is_empty() {
+            match to.try_write(unsent) {
+                Ok(size) => unsent = &unsent[size..],
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     if to.writable().await.is_err() {
                         return;
