--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -44,14 +44,14 @@
     }
 
     /// Takes connections from now on, and finishes what comes on them.
-    fn let_go(&self, world: &World) {
+    fn let_go(&self, fixture: &NodeFixture) {
         rustix::net::listen(&self.listener, 128).expect("a queue");
         let listener = self.listener.try_clone().expect("the same");
-        stand(listener, HELD, |_| BackendAction::Succeed, &world.launches, &world.probes);
+        serve_backend(listener, HELD, |_| BackendAction::Succeed, &fixture.launches, &fixture.probes);
     }
 
     fn entry(&self, status: &str) -> Value {
-        with_status(&entry("held", self.at), status)
+        with_status(&backend_entry("held", self.at), status)
     }
 }
 
@@ -66,7 +66,7 @@
 
 /// Times that no wait of a test comes near: a handshake that was held is tried again by the kernel after a second.
 fn patient(config: &mut Value) {
-    config["admin"] = second_address(config).to_string().into();
+    config["admin"] = free_admin_address(config).to_string().into();
     config["settings"]["limits"]["dialTimeout"] = 8_000_000_000u64.into();
     for profile in config["settings"]["profiles"].as_array_mut().expect("profiles") {
         profile["goalTime"] = 8_000_000_000u64.into();
@@ -75,15 +75,15 @@
 }
 
 fn asks(profile: &str, body: &str) -> String {
-    asked(profile, body, 12_000)
+    command_request_within(profile, body, 12_000)
 }
 
 /// A node whose one ready backend holds its handshakes, beside one that is gone for now.
-fn held_world() -> (World, Held) {
-    let (world, held) = (World::new(1, |_| BackendAction::Succeed, patient), Held::new());
-    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
-    tell(&world, "only-held", &[with_status(&world.entries[0], "gone"), held.entry("ready")]);
-    (world, held)
+fn held_world() -> (NodeFixture, Held) {
+    let (fixture, held) = (NodeFixture::new(1, |_| BackendAction::Succeed, patient), Held::new());
+    wait_until("a watch", || fixture.watch_count.load(SeqCst) >= 1);
+    tell(&fixture, "only-held", &[with_status(&fixture.backend_entries[0], "gone"), held.entry("ready")]);
+    (fixture, held)
 }
 
 fn with_status(entry: &Value, status: &str) -> Value {
@@ -92,7 +92,7 @@
     entry
 }
 
-impl World {
+impl NodeFixture {
     fn bodies(&self) -> Vec<(usize, String)> {
         let launches = self.launches.lock().expect("launches");
         launches.iter().map(|(n, m)| (*n, String::from_utf8_lossy(&m.body).into_owned())).collect()
@@ -100,20 +100,20 @@
 }
 
 /// Has discovery say this, and waits until the node has taken it: a name that it never heard before tells so.
-fn tell(world: &World, mark: &str, entries: &[Value]) {
+fn tell(fixture: &NodeFixture, mark: &str, entries: &[Value]) {
     let mut entries = entries.to_vec();
     entries.push(json!({"name": mark, "status": "gone"}));
     let line = json!({"index": 9, "snapshot": false, "endpoints": entries}).to_string();
-    world.list.send(line).expect("a watch");
+    fixture.watch_lines.send(line).expect("a watch");
     wait_until("the list is taken", || {
-        call_admin(world.admin(), &format!("PUT /backends/{mark}/ready")).status() == 200
+        call_admin(fixture.admin_address(), &format!("PUT /backends/{mark}/ready")).status() == 200
     });
 }
 
 /// Nothing is left behind: no client's connection is open at the node, and told to stop it ends at once, as one that owes
 /// nothing does.
-fn at_rest(mut world: World) {
-    let at = in_table(world.listen);
+fn at_rest(mut fixture: NodeFixture) {
+    let at = in_table(fixture.listen);
     let open = |line: &str| {
         let words: Vec<&str> = line.split_whitespace().collect();
         // Neither listening nor ended, and still held by a process.
@@ -123,8 +123,8 @@
         !std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table").lines().any(open)
     });
     let told = Instant::now();
-    world.signal("-TERM");
-    assert!(world.node.wait().expect("an end").success());
+    fixture.send_signal("-TERM");
+    assert!(fixture.process.wait().expect("an end").success());
     assert!(told.elapsed() < Duration::from_secs(4), "{:?}", told.elapsed());
 }
 
@@ -164,8 +164,8 @@
     scope(|all| {
         for (what, command, behind, leave) in &ways {
             all.spawn(move || {
-                let (world, held) = held_world();
-                let mut stream = world.connect();
+                let (fixture, held) = held_world();
+                let mut stream = fixture.connect();
                 stream.write_all((command.clone() + behind).as_bytes()).expect("written");
                 wait_until(what, || held.dialled());
                 let (kept, since) = (leave(stream), Instant::now());
@@ -175,14 +175,14 @@
                     wait_until("its launch is called off", || !held.dialled());
                     assert!(since.elapsed() < Duration::from_secs(4), "{what}: {:?}", since.elapsed());
                 }
-                held.let_go(&world);
+                held.let_go(&fixture);
                 wait_until("nobody waits for a connection", || !held.dialled());
-                assert_eq!(world.ask(&asks("read", "later")).status(), 200, "{what}");
-                assert_eq!(world.bodies(), [(HELD, "later".to_owned())], "{what}");
+                assert_eq!(fixture.send_request(&asks("read", "later")).status(), 200, "{what}");
+                assert_eq!(fixture.bodies(), [(HELD, "later".to_owned())], "{what}");
                 drop(kept);
                 // Nor is its id kept any longer.
-                assert_eq!(world.ask(command).status(), 200, "{what}");
-                at_rest(world);
+                assert_eq!(fixture.send_request(command).status(), 200, "{what}");
+                at_rest(fixture);
             });
         }
     });
@@ -192,57 +192,57 @@
 /// Before, all of them were.
 #[test]
 fn clients_that_had_left_before_they_were_accepted() {
-    let world = World::new(1, |_| BackendAction::Succeed, patient);
-    world.signal("-STOP");
+    let fixture = NodeFixture::new(1, |_| BackendAction::Succeed, patient);
+    fixture.send_signal("-STOP");
     for n in 0..50 {
-        let mut stream = world.connect();
+        let mut stream = fixture.connect();
         stream.write_all(asks("read", "left").as_bytes()).expect("written");
         if n % 2 == 1 {
             reset(stream);
         }
     }
-    world.signal("-CONT");
+    fixture.send_signal("-CONT");
     // Turned back while the node still takes them all for clients that wait.
-    wait_until("served again", || world.ask(&asks("read", "later")).status() == 200);
-    assert_eq!(world.bodies(), [(0, "later".to_owned())]);
-    at_rest(world);
+    wait_until("served again", || fixture.send_request(&asks("read", "later")).status() == 200);
+    assert_eq!(fixture.bodies(), [(0, "later".to_owned())]);
+    at_rest(fixture);
 }
 
 /// Told of while a command waits for its connection there: the backend drains, is gone, has moved, is left out by the
 /// operators. It gets nothing, and the command, even a once-only one, goes to another. Before, it was written.
 #[test]
 fn a_backend_that_changes_while_a_command_waits_for_it() {
-    type Change = fn(&World, &Held);
+    type Change = fn(&NodeFixture, &Held);
     let cases: [(&str, Change); 4] = [
-        ("drains", |world, held| {
-            tell(world, "m", &[with_status(&world.entries[0], "ready"), held.entry("draining")])
+        ("drains", |fixture, held| {
+            tell(fixture, "m", &[with_status(&fixture.backend_entries[0], "ready"), held.entry("draining")])
         }),
-        ("is gone", |world, held| {
-            tell(world, "m", &[with_status(&world.entries[0], "ready"), held.entry("gone")])
+        ("is gone", |fixture, held| {
+            tell(fixture, "m", &[with_status(&fixture.backend_entries[0], "ready"), held.entry("gone")])
         }),
-        ("has moved", |world, held| {
+        ("has moved", |fixture, held| {
             let mut moved = held.entry("ready");
-            moved["address"] = world.entries[0]["address"].clone();
-            tell(world, "m", &[with_status(&world.entries[0], "ready"), moved]);
+            moved["address"] = fixture.backend_entries[0]["address"].clone();
+            tell(fixture, "m", &[with_status(&fixture.backend_entries[0], "ready"), moved]);
         }),
-        ("is left out", |world, _| {
-            tell(world, "m", &[with_status(&world.entries[0], "ready")]);
-            assert_eq!(call_admin(world.admin(), "PUT /backends/held/maint").status(), 200);
+        ("is left out", |fixture, _| {
+            tell(fixture, "m", &[with_status(&fixture.backend_entries[0], "ready")]);
+            assert_eq!(call_admin(fixture.admin_address(), "PUT /backends/held/maint").status(), 200);
         }),
     ];
     scope(|all| {
         for (what, change) in cases {
             all.spawn(move || {
-                let (world, held) = held_world();
-                let mut stream = world.connect();
+                let (fixture, held) = held_world();
+                let mut stream = fixture.connect();
                 stream.write_all(asks("pay", "once").as_bytes()).expect("written");
                 wait_until("it waits for a connection", || held.dialled());
-                change(&world, &held);
-                held.let_go(&world);
+                change(&fixture, &held);
+                held.let_go(&fixture);
                 assert_eq!(read_message(&mut stream).unwrap_or_default().status(), 200, "{what}");
-                assert_eq!(world.bodies(), [(0, "once".to_owned())], "{what}");
+                assert_eq!(fixture.bodies(), [(0, "once".to_owned())], "{what}");
                 drop(stream);
-                at_rest(world);
+                at_rest(fixture);
             });
         }
     });
@@ -252,28 +252,31 @@
 /// nothing along. Before, each of its lines was left out, and with them the drain.
 #[test]
 fn an_indented_list_in_pieces() {
-    let world = World::new(2, |_| BackendAction::Succeed, patient);
-    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
-    let entries = [with_status(&world.entries[0], "draining"), json!({"name": "m", "status": "gone"})];
+    let fixture = NodeFixture::new(2, |_| BackendAction::Succeed, patient);
+    wait_until("a watch", || fixture.watch_count.load(SeqCst) >= 1);
+    let entries =
+        [with_status(&fixture.backend_entries[0], "draining"), json!({"name": "m", "status": "gone"})];
     let message = json!({"index": 9, "snapshot": false, "endpoints": entries});
     let indented = serde_json::to_string_pretty(&message).expect("a text");
     // The stand-in ends each piece with a line break, as may stand between any two words.
     for line in ["{\"index\": 8, \"endpo"].into_iter().chain(indented.lines()) {
-        world.list.send(line.to_owned()).expect("a watch");
+        fixture.watch_lines.send(line.to_owned()).expect("a watch");
     }
-    wait_until("the list is taken", || call_admin(world.admin(), "PUT /backends/m/ready").status() == 200);
+    wait_until("the list is taken", || {
+        call_admin(fixture.admin_address(), "PUT /backends/m/ready").status() == 200
+    });
     for n in 0..8 {
-        assert_eq!(world.command("read").status(), 200);
-        assert_eq!(world.bodies()[n].0, 1);
+        assert_eq!(fixture.send_command("read").status(), 200);
+        assert_eq!(fixture.bodies()[n].0, 1);
     }
-    at_rest(world);
+    at_rest(fixture);
 }
 
 /// Whoever has sent part of a command is not the one to make room while others only stand there: the rest of it may be
 /// on its way. Before, a connection without a whole command was the first to be closed.
 #[test]
 fn a_command_half_here_outlives_a_crowd() {
-    let world = World::new(
+    let fixture = NodeFixture::new(
         1,
         |_| BackendAction::Succeed,
         |config| {
@@ -284,15 +287,15 @@
     wait_until("the rest has come in the time that a body has", || {
         let since = Instant::now();
         let mut halves = [40, 3].map(|part| {
-            let (whole, mut stream) = (asks("read", "half"), world.connect());
+            let (whole, mut stream) = (asks("read", "half"), fixture.connect());
             // The beginning of a head, and all but the last bytes of a body.
             let part = if part == 3 { whole.len() - part } else { part };
             stream.write_all(&whole.as_bytes()[..part]).expect("written");
             (whole[part..].to_owned(), stream)
         });
         // Twice as many as there is room for, all of them silent.
-        let crowd: Vec<TcpStream> = (0..50).map(|_| world.connect()).collect();
-        assert_eq!(world.ask(&asks("read", "behind the crowd")).status(), 200);
+        let crowd: Vec<TcpStream> = (0..50).map(|_| fixture.connect()).collect();
+        assert_eq!(fixture.send_request(&asks("read", "behind the crowd")).status(), 200);
         for (rest, stream) in &mut halves {
             let _ = stream.write_all(rest.as_bytes());
         }
@@ -304,14 +307,14 @@
         assert!(!in_time || said == [200, 200], "{said:?} after {took:?}");
         in_time
     });
-    at_rest(world);
+    at_rest(fixture);
 }
 
 /// Commands that come at once on one connection are answered in turn, each whole.
 #[test]
 fn commands_behind_each_other() {
-    let world = World::new(1, |_| BackendAction::Succeed, patient);
-    let mut stream = world.connect();
+    let fixture = NodeFixture::new(1, |_| BackendAction::Succeed, patient);
+    let mut stream = fixture.connect();
     let texts = ["a", "b", "c"].map(|body| asks("read", body));
     let bytes = format!("{}\r\n{}{}", texts[0], texts[1], texts[2]);
     for part in bytes.as_bytes().chunks(97) {
@@ -320,17 +323,17 @@
     for body in ["a", "b", "c"] {
         assert_eq!(read_message(&mut stream).unwrap_or_default().status(), 200, "{body}");
     }
-    assert_eq!(world.bodies(), ["a", "b", "c"].map(|body| (0, body.to_owned())));
+    assert_eq!(fixture.bodies(), ["a", "b", "c"].map(|body| (0, body.to_owned())));
     stream.shutdown(Shutdown::Write).expect("an end");
     assert_eq!(stream.read(&mut [0]).ok(), Some(0));
-    at_rest(world);
+    at_rest(fixture);
 }
 
 /// A backend that fails what it gets, and then one whose handshakes are held, on the list of a node that remembers tags
 /// for less time than the kernel takes to try a handshake again; a tagged command whose second launch waits there.
 /// None if the first took longer than its tag is remembered: then there is no second one.
-fn second_launch() -> Option<(World, Held, TcpStream)> {
-    let world = World::new(
+fn second_launch() -> Option<(NodeFixture, Held, TcpStream)> {
+    let fixture = NodeFixture::new(
         0,
         |_| BackendAction::Succeed,
         |config| {
@@ -341,13 +344,13 @@
         },
     );
     let (held, (failing, at)) = (Held::new(), bind_listener(&unique_loopback_address()));
-    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
-    tell(&world, "m", &[entry("failing", at)]);
-    let (mut stream, since) = (world.connect(), Instant::now());
+    wait_until("a watch", || fixture.watch_count.load(SeqCst) >= 1);
+    tell(&fixture, "m", &[backend_entry("failing", at)]);
+    let (mut stream, since) = (fixture.connect(), Instant::now());
     stream.write_all(asks("mark", "tagged").as_bytes()).expect("written");
     let (mut first, _) = failing.accept().expect("a connection");
     assert_eq!(read_message(&mut first).expect("a launch").body, b"tagged");
-    tell(&world, "m2", &[held.entry("ready")]);
+    tell(&fixture, "m2", &[held.entry("ready")]);
     respond(BackendAction::Status(500, ""), &mut first);
     while !held.dialled() {
         if since.elapsed() > Duration::from_millis(800) {
@@ -355,10 +358,10 @@
         }
         sleep(Duration::from_millis(5));
     }
-    Some((world, held, stream))
+    Some((fixture, held, stream))
 }
 
-fn second_launch_held() -> (World, Held, TcpStream) {
+fn second_launch_held() -> (NodeFixture, Held, TcpStream) {
     std::iter::repeat_with(second_launch).take(20).flatten().next().expect("a second launch in time")
 }
 
@@ -366,12 +369,12 @@
 /// second launch has its connection, and then it is not written. Before, it was, and ran twice.
 #[test]
 fn a_second_launch_whose_time_passes_while_it_waits() {
-    let (world, held, mut stream) = second_launch_held();
-    held.let_go(&world);
+    let (fixture, held, mut stream) = second_launch_held();
+    held.let_go(&fixture);
     assert_eq!(read_message(&mut stream).unwrap_or_default().status(), 503);
-    assert!(world.bodies().is_empty());
+    assert!(fixture.bodies().is_empty());
     drop(stream);
-    at_rest(world);
+    at_rest(fixture);
 }
 
 /// What may not be written any more is answered then, and not when its connection comes up or is given up, eight seconds
@@ -384,57 +387,57 @@
     };
     let (_world, _held, mut stream) = second_launch_held();
     soon("the tag's time", &mut stream, Instant::now());
-    let (world, held) = held_world();
-    let (mut stream, since) = (world.connect(), Instant::now());
-    stream.write_all(asked("pay", "short", 700).as_bytes()).expect("written");
+    let (fixture, held) = held_world();
+    let (mut stream, since) = (fixture.connect(), Instant::now());
+    stream.write_all(command_request_within("pay", "short", 700).as_bytes()).expect("written");
     wait_until("it waits for a connection", || held.dialled());
     soon("its own time", &mut stream, since);
-    assert!(world.bodies().is_empty());
+    assert!(fixture.bodies().is_empty());
     drop(stream);
-    at_rest(world);
+    at_rest(fixture);
 }
 
 /// A backend is told how long the client waits from when the launch is written, not from when it was decided: the kernel
 /// tries a handshake that was held again after a second. Before, that second was promised.
 #[test]
 fn the_time_left_is_that_of_the_write() {
-    let (world, held) = held_world();
-    let (mut stream, since) = (world.connect(), Instant::now());
+    let (fixture, held) = held_world();
+    let (mut stream, since) = (fixture.connect(), Instant::now());
     stream.write_all(asks("pay", "waited").as_bytes()).expect("written");
     wait_until("it waits for a connection", || held.dialled());
-    held.let_go(&world);
+    held.let_go(&fixture);
     assert_eq!(read_message(&mut stream).unwrap_or_default().status(), 200);
     assert!(since.elapsed() > Duration::from_millis(700), "the handshake was not held");
-    let left = world.launches.lock().expect("launches")[0].1.header("x-time-left-ms").map(str::to_owned);
+    let left = fixture.launches.lock().expect("launches")[0].1.header("x-time-left-ms").map(str::to_owned);
     assert!(left.as_ref().is_some_and(|left| left.parse::<u32>().is_ok_and(|ms| ms < 11_400)), "{left:?}");
     drop(stream);
-    at_rest(world);
+    at_rest(fixture);
 }
 
 /// Two launches of one command, the first of which waits for its connection when the other is answered: the client has
 /// that answer, and the first is never written. Before, it was, after the command's end.
 #[test]
 fn a_launch_that_waits_while_another_is_answered() {
-    let (world, held) = (World::new(1, |_| BackendAction::Succeed, patient), Held::new());
-    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
+    let (fixture, held) = (NodeFixture::new(1, |_| BackendAction::Succeed, patient), Held::new());
+    wait_until("a watch", || fixture.watch_count.load(SeqCst) >= 1);
     // From here on the node knows how soon an answer is to be expected, and waits for ten times that.
     for _ in 0..30 {
-        assert_eq!(world.ask(&asks("read", "before")).status(), 200);
+        assert_eq!(fixture.send_request(&asks("read", "before")).status(), 200);
     }
-    tell(&world, "only-held", &[with_status(&world.entries[0], "gone"), held.entry("ready")]);
-    let mut stream = world.connect();
+    tell(&fixture, "only-held", &[with_status(&fixture.backend_entries[0], "gone"), held.entry("ready")]);
+    let mut stream = fixture.connect();
     stream.write_all(asks("read", "two launches").as_bytes()).expect("written");
     wait_until("it waits for a connection", || held.dialled());
-    tell(&world, "m", &[with_status(&world.entries[0], "ready")]);
+    tell(&fixture, "m", &[with_status(&fixture.backend_entries[0], "ready")]);
     let reply = read_message(&mut stream).unwrap_or_default();
     assert_eq!(reply.status(), 200);
-    held.let_go(&world);
+    held.let_go(&fixture);
     wait_until("nobody waits for a connection", || !held.dialled());
-    assert_eq!(world.ask(&asks("read", "later")).status(), 200);
-    let both = world.bodies().into_iter().filter(|(_, body)| body == "two launches");
+    assert_eq!(fixture.send_request(&asks("read", "later")).status(), 200);
+    let both = fixture.bodies().into_iter().filter(|(_, body)| body == "two launches");
     assert_eq!(both.collect::<Vec<_>>(), [(0, "two launches".to_owned())]);
     drop(stream);
-    at_rest(world);
+    at_rest(fixture);
 }
 
 /// A discovery that gives each watch one beat and then ends it, or falls silent; its address and how many came.
@@ -465,13 +468,13 @@
     scope(|all| {
         for (how, ends, most) in [("ask", false, 6), ("push", false, 6), ("push", true, 2)] {
             all.spawn(move || {
-                let mut world = World::new(1, |_| BackendAction::Succeed, |_| {});
+                let mut fixture = NodeFixture::new(1, |_| BackendAction::Succeed, |_| {});
                 let (at, watches) = dying_watches(ends);
-                let mut config = world.config.clone();
+                let mut config = fixture.config.clone();
                 config["discovery"] = at.to_string().into();
                 config["settings"]["balancers"] = 300.into();
                 config["settings"]["discovery"] = how.into();
-                assert!(world.reload(&config.to_string()).contains(&at.to_string()));
+                assert!(fixture.reload(&config.to_string()).contains(&at.to_string()));
                 wait_until("a watch", || watches.load(SeqCst) >= 1);
                 let came = Instant::now();
                 wait_until("another one", || watches.load(SeqCst) >= 2);
@@ -490,23 +493,23 @@
 #[test]
 fn a_stop_while_a_command_waits() {
     for stays in [true, false] {
-        let (mut world, held) = held_world();
-        let mut stream = world.connect();
+        let (mut fixture, held) = held_world();
+        let mut stream = fixture.connect();
         stream.write_all(asks("pay", "held").as_bytes()).expect("written");
         wait_until("it waits for a connection", || held.dialled());
         let told = Instant::now();
-        world.signal("-TERM");
-        world.signal("-HUP");
-        world.signal("-TERM");
-        wait_until("it stops", || call_admin(world.admin(), "GET /healthcheck").status() == 503);
+        fixture.send_signal("-TERM");
+        fixture.send_signal("-HUP");
+        fixture.send_signal("-TERM");
+        wait_until("it stops", || call_admin(fixture.admin_address(), "GET /healthcheck").status() == 503);
         if stays {
-            held.let_go(&world);
+            held.let_go(&fixture);
             let reply = read_message(&mut stream).unwrap_or_default();
             assert_eq!((reply.status(), reply.header("connection")), (200, Some("close")));
         }
         drop(stream);
-        assert!(world.node.wait().expect("an end").success());
-        assert_eq!(world.launched(), usize::from(stays));
+        assert!(fixture.process.wait().expect("an end").success());
+        assert_eq!(fixture.launch_count(), usize::from(stays));
         // Far before the handshake is given up.
         assert!(told.elapsed() < Duration::from_secs(6), "{:?}", told.elapsed());
     }
@@ -517,17 +520,17 @@
 #[test]
 fn a_stop_answers_before_the_kill() {
     const KILL: Duration = Duration::from_millis(3700);
-    let mut world = World::new(4, |_| BackendAction::Text(""), patient);
-    let mut early = ["read", "mark", "pay"].map(|profile| (profile, world.connect()));
+    let mut fixture = NodeFixture::new(4, |_| BackendAction::RawText(""), patient);
+    let mut early = ["read", "mark", "pay"].map(|profile| (profile, fixture.connect()));
     for (profile, stream) in &mut early {
         stream.write_all(asks(profile, "held").as_bytes()).expect("written");
     }
-    let mut kept = world.connect();
-    kept.write_all(UP.as_bytes()).expect("written");
+    let mut kept = fixture.connect();
+    kept.write_all(UP_REQUEST.as_bytes()).expect("written");
     assert_eq!(read_message(&mut kept).unwrap_or_default().status(), 200);
-    wait_until("all are at the backend", || world.launched() == early.len());
+    wait_until("all are at the backend", || fixture.launch_count() == early.len());
     let told = Instant::now();
-    world.signal("-TERM");
+    fixture.send_signal("-TERM");
     kept.write_all(asks("pay", "after the signal").as_bytes()).expect("written");
     for (what, stream) in early.iter_mut().map(|(what, stream)| (*what, stream)).chain([("kept", &mut kept)])
     {
@@ -540,7 +543,7 @@
         );
         assert!(told.elapsed() < KILL, "{what}: answered after {:?}", told.elapsed());
     }
-    assert!(world.node.wait().expect("an end").success());
+    assert!(fixture.process.wait().expect("an end").success());
     assert!(told.elapsed() < KILL, "ended after {:?}", told.elapsed());
 }
 
@@ -553,16 +556,16 @@
 
 /// Whether they were: past that time nothing tells whose answer one is.
 fn second_answers() -> bool {
-    let world = World::new(0, |_| BackendAction::Succeed, patient);
+    let fixture = NodeFixture::new(0, |_| BackendAction::Succeed, patient);
     let (doubling, at) = bind_listener(&unique_loopback_address());
-    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
-    tell(&world, "m", &[entry("doubling", at)]);
+    wait_until("a watch", || fixture.watch_count.load(SeqCst) >= 1);
+    tell(&fixture, "m", &[backend_entry("doubling", at)]);
     let answer = |body: &[u8]| {
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         [head.as_bytes(), body].concat()
     };
     // The first, on a connection on which nothing is out by then.
-    let mut asker = world.connect();
+    let mut asker = fixture.connect();
     asker.write_all(asks("read", "one").as_bytes()).expect("written");
     let (mut first, _) = doubling.accept().expect("a connection");
     assert_eq!(read_message(&mut first).expect("a launch").body, b"one");
@@ -595,23 +598,23 @@
     let in_time = since.elapsed() < Duration::from_millis(10);
     assert!(!in_time || said == ["two", "three"].map(|body| (200, body.to_owned())), "{said:?}");
     drop(asker);
-    at_rest(world);
+    at_rest(fixture);
     in_time
 }
 
 /// A client that asks much and reads nothing for now, until the node can write no more to it: what it has and still owes it.
-fn stuck(world: &World) -> TcpStream {
+fn stuck(fixture: &NodeFixture) -> TcpStream {
     let socket = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
     set_socket_recv_buffer_size(&socket, 4096).expect("a small window");
-    rustix::net::connect(&socket, &world.listen).expect("it listens");
+    rustix::net::connect(&socket, &fixture.listen).expect("it listens");
     let mut stream = TcpStream::from(socket);
     stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a limit");
     let asks: String = (0..100).map(|n| asks("read", &n.to_string())).collect();
     stream.write_all(asks.as_bytes()).expect("written");
     let (mut launched, mut since) = (0, Instant::now());
     wait_until("no more is written", || {
-        if world.launched() > launched {
-            (launched, since) = (world.launched(), Instant::now());
+        if fixture.launch_count() > launched {
+            (launched, since) = (fixture.launch_count(), Instant::now());
         }
         launched > 0 && since.elapsed() > Duration::from_millis(300)
     });
@@ -623,33 +626,33 @@
 /// all commands are answered, and where others crowd in. Each answer that was begun comes whole.
 #[test]
 fn answers_not_yet_read() {
-    let large = |_| BackendAction::Sized(60_000);
+    let large = |_| BackendAction::BodyWithLength(60_000);
     let whole = |stream: &mut TcpStream| (0..100).map_while(|_| read_message(stream)).count();
-    let mut world = World::new(1, large, |config| {
+    let mut fixture = NodeFixture::new(1, large, |config| {
         for profile in config["settings"]["profiles"].as_array_mut().expect("profiles") {
             profile["timeLimit"] = 100_000_000.into();
         }
     });
-    let mut stream = stuck(&world);
-    world.signal("-TERM");
+    let mut stream = stuck(&fixture);
+    fixture.send_signal("-TERM");
     // For so long it does not read: the last command's time is over by then.
     sleep(Duration::from_millis(900));
-    assert_eq!(whole(&mut stream), world.launched());
-    assert!(world.node.wait().expect("an end").success());
+    assert_eq!(whole(&mut stream), fixture.launch_count());
+    assert!(fixture.process.wait().expect("an end").success());
 
-    let world = World::new(1, large, |config| {
+    let fixture = NodeFixture::new(1, large, |config| {
         patient(config);
         config["limits"]["sockets"] = 110.into();
     });
-    let mut stream = stuck(&world);
-    let before = world.launched();
-    let crowd: Vec<TcpStream> = (0..50).map(|_| world.connect()).collect();
-    assert_eq!(world.ask(&asks("read", "behind the crowd")).status(), 200);
+    let mut stream = stuck(&fixture);
+    let before = fixture.launch_count();
+    let crowd: Vec<TcpStream> = (0..50).map(|_| fixture.connect()).collect();
+    assert_eq!(fixture.send_request(&asks("read", "behind the crowd")).status(), 200);
     drop(crowd);
     let whole = whole(&mut stream);
-    assert!(whole >= before && whole + 1 == world.launched(), "{whole} of {}", world.launched());
+    assert!(whole >= before && whole + 1 == fixture.launch_count(), "{whole} of {}", fixture.launch_count());
     drop(stream);
-    at_rest(world);
+    at_rest(fixture);
 }
 
 /// A signal that comes while a process is still reading its start: a new configuration is read again once it serves, and a
@@ -657,33 +660,33 @@
 #[test]
 fn signals_during_a_start() {
     for signal_name in ["-HUP", "-TERM"] {
-        let mut world = World::new(1, |_| BackendAction::Succeed, patient);
-        world.node.kill().expect("killed");
-        world.node.wait().expect("an end");
-        let (node, file, mut told) = start_held(&world.folder, &[]);
-        world.node = node;
-        world.log = BufReader::new(world.node.stderr.take().expect("a log"));
-        world.signal(signal_name);
-        told.write_all(world.config.to_string().as_bytes()).expect("written");
+        let mut fixture = NodeFixture::new(1, |_| BackendAction::Succeed, patient);
+        fixture.process.kill().expect("killed");
+        fixture.process.wait().expect("an end");
+        let (node, file, mut told) = start_node_reading_fifo(&fixture.dir, &[]);
+        fixture.process = node;
+        fixture.log = BufReader::new(fixture.process.stderr.take().expect("a log"));
+        fixture.send_signal(signal_name);
+        told.write_all(fixture.config.to_string().as_bytes()).expect("written");
         drop(told);
-        let log = |world: &mut World, begins: &str| {
+        let log = |fixture: &mut NodeFixture, begins: &str| {
             let mut line = String::new();
             while !line.contains(begins) {
                 line.clear();
-                assert!(world.log.read_line(&mut line).expect("a log") > 0, "{signal_name}: it has ended");
+                assert!(fixture.log.read_line(&mut line).expect("a log") > 0, "{signal_name}: it has ended");
             }
         };
-        log(&mut world, "listening on");
+        log(&mut fixture, "listening on");
         if signal_name == "-HUP" {
             let mut again = File::options().write(true).open(&file).expect("it reads again");
-            again.write_all(world.config.to_string().as_bytes()).expect("written");
+            again.write_all(fixture.config.to_string().as_bytes()).expect("written");
             drop(again);
-            log(&mut world, "reload: discovery is at");
-            assert_eq!(world.ask(&asks("read", "after it")).status(), 200);
-            at_rest(world);
+            log(&mut fixture, "reload: discovery is at");
+            assert_eq!(fixture.send_request(&asks("read", "after it")).status(), 200);
+            at_rest(fixture);
         } else {
-            assert_eq!(world.ask(&asks("read", "before its end")).status(), 200);
-            assert!(world.node.wait().expect("an end").success());
+            assert_eq!(fixture.send_request(&asks("read", "before its end")).status(), 200);
+            assert!(fixture.process.wait().expect("an end").success());
         }
     }
 }
@@ -693,33 +696,36 @@
 #[test]
 fn a_log_that_nobody_reads() {
     for stands_still in [false, true] {
-        let mut world = World::new(1, |_| BackendAction::Succeed, patient);
-        world.node.kill().expect("killed");
-        world.node.wait().expect("an end");
+        let mut fixture = NodeFixture::new(1, |_| BackendAction::Succeed, patient);
+        fixture.process.kill().expect("killed");
+        fixture.process.wait().expect("an end");
         // A backend that is not there has something to be said of it.
         let gone = bind_listener(&unique_loopback_address()).1;
-        world.config["known"]["endpoints"].as_array_mut().expect("a list").push(entry("gone", gone));
-        let file = world.folder.join("config.json");
-        std::fs::write(&file, world.config.to_string()).expect("a file");
+        fixture.config["known"]["endpoints"]
+            .as_array_mut()
+            .expect("a list")
+            .push(backend_entry("gone", gone));
+        let file = fixture.dir.join("config.json");
+        std::fs::write(&file, fixture.config.to_string()).expect("a file");
         let (reader, mut writer) = std::io::pipe().expect("a pipe");
         let kept = stands_still.then_some(reader);
         if kept.is_some() {
             writer.write_all(&[b'.'; 65_536]).expect("all that it holds");
         }
         let mut command = Command::new(node_program());
-        command.env_clear().env("ROUTER_CONFIG", &file).env("TMPDIR", &world.folder).stderr(writer);
-        world.node = {
+        command.env_clear().env("ROUTER_CONFIG", &file).env("TMPDIR", &fixture.dir).stderr(writer);
+        fixture.process = {
             let _alone = lock_process_start();
             command.spawn().expect("the node starts")
         };
         drop(command);
-        wait_until("it is up", || TcpStream::connect(world.listen).is_ok());
+        wait_until("it is up", || TcpStream::connect(fixture.listen).is_ok());
         for n in 0..20 {
-            assert_eq!(world.ask(&asks("read", &n.to_string())).status(), 200, "{n}");
+            assert_eq!(fixture.send_request(&asks("read", &n.to_string())).status(), 200, "{n}");
         }
-        world.signal("-HUP");
-        wait_until("it has read it again", || world.ask(UP).status() == 200);
-        at_rest(world);
+        fixture.send_signal("-HUP");
+        wait_until("it has read it again", || fixture.send_request(UP_REQUEST).status() == 200);
+        at_rest(fixture);
         drop(kept);
     }
 }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -85,7 +85,7 @@
         let host: IpAddr = own.parse().expect("an address");
         let (launches, probes): (Launches, Arc<Mutex<Vec<Message>>>) = Default::default();
         let backends: Vec<Value> = (0..4)
-            .map(|number| backend(&own, number, |_| BackendAction::Succeed, &launches, &probes))
+            .map(|number| start_backend(&own, number, |_| BackendAction::Succeed, &launches, &probes))
             .collect();
         let (list, told, _) = start_discovery(&own);
         // The ways have a host of their own: a place kept free for a node must not become one of them.
@@ -613,7 +613,7 @@
     fleet.kill(2);
     fleet.agree(&[0, 1], 8);
     fleet.start(2);
-    let admin = second_address(&json!({"listen": fleet.nodes[2].listen.to_string()}));
+    let admin = free_admin_address(&json!({"listen": fleet.nodes[2].listen.to_string()}));
     let process = &mut fleet.nodes[2];
     let file = process.folder.join("config.json");
     let mut second = start_node_in(&process.folder, &file, &[("ROUTER_ADMIN", &admin.to_string())]);
@@ -733,7 +733,7 @@
     let life = fleet.nodes[0].view().expect("a view")["life"].as_u64();
     let second = fleet.nodes[0].admin;
     let own: Value = json!({"listen": fleet.nodes[0].listen.to_string()});
-    let admin = second_address(&own);
+    let admin = free_admin_address(&own);
     let variables = [("ROUTER_ADMIN", admin.to_string())];
     let process = &mut fleet.nodes[0];
     let variables: Vec<(&str, &str)> = variables.iter().map(|(k, v)| (*k, v.as_str())).collect();
@@ -794,9 +794,9 @@
 /// Without an operators' file nothing is opened and nothing is told.
 #[test]
 fn off_without_its_file() {
-    let (world, admin) = World::with_admin(1, |_| BackendAction::Succeed);
+    let (fixture, admin) = NodeFixture::with_admin(1, |_| BackendAction::Succeed);
     assert_eq!(call_admin(admin, "GET /fleet").status(), 404);
-    let pid = world.node.id();
+    let pid = fixture.process.id();
     let sockets = std::fs::read_to_string(format!("/proc/{pid}/net/udp")).expect("sockets");
     let own: BTreeSet<String> = std::fs::read_dir(format!("/proc/{pid}/fd"))
         .expect("descriptors")
--- a/crates/node/tests/list_calls.rs
+++ b/crates/node/tests/list_calls.rs
@@ -118,44 +118,44 @@
 }
 
 /// A list that leaves the first backend out and names one that was never there.
-fn without_the_first(world: &World) -> Value {
-    whole_list(6, &[world.entries[1].clone(), json!({"name": NEW, "status": "gone"})])
+fn without_the_first(fixture: &NodeFixture) -> Value {
+    whole_list(6, &[fixture.backend_entries[1].clone(), json!({"name": NEW, "status": "gone"})])
 }
 
 const NEW: &str = "new";
 
 /// Waits until the node has that list, and sees that it goes by it.
-fn until_known(world: &World) {
+fn until_known(fixture: &NodeFixture) {
     let known = format!("PUT /backends/{NEW}/ready");
-    wait_until("the list is known", || call_admin(world.admin(), &known).status() == 200);
-    let before = launches_at(world, 0);
-    (0..8).for_each(|_| assert_eq!(world.command("read").status(), 200));
-    assert_eq!(launches_at(world, 0), before);
+    wait_until("the list is known", || call_admin(fixture.admin_address(), &known).status() == 200);
+    let before = launches_at(fixture, 0);
+    (0..8).for_each(|_| assert_eq!(fixture.send_command("read").status(), 200));
+    assert_eq!(launches_at(fixture, 0), before);
 }
 
 /// A node among so many, on a list of two backends, with a watch on a discovery that is asked.
-fn watching_node(nodes: u32) -> (World, Discovery) {
-    let (mut world, _) = World::with_admin(2, |_| BackendAction::Succeed);
-    let discovery = Discovery::start(whole_list(5, &world.entries));
-    configure(&mut world, &discovery, |config| config["settings"]["balancers"] = nodes.into());
+fn watching_node(nodes: u32) -> (NodeFixture, Discovery) {
+    let (mut fixture, _) = NodeFixture::with_admin(2, |_| BackendAction::Succeed);
+    let discovery = Discovery::start(whole_list(5, &fixture.backend_entries));
+    configure(&mut fixture, &discovery, |config| config["settings"]["balancers"] = nodes.into());
     wait_until("a watch", || discovery.with(|state| !state.watches.is_empty()));
-    (world, discovery)
+    (fixture, discovery)
 }
 
 /// Gives the node its first configuration again with this discovery, and with this change.
-fn configure(world: &mut World, discovery: &Discovery, change: impl FnOnce(&mut Value)) {
-    let mut config = world.config.clone();
+fn configure(fixture: &mut NodeFixture, discovery: &Discovery, change: impl FnOnce(&mut Value)) {
+    let mut config = fixture.config.clone();
     config["discovery"] = discovery.at.to_string().into();
     change(&mut config);
-    assert!(world.reload(&config.to_string()).contains(&discovery.at.to_string()));
+    assert!(fixture.reload(&config.to_string()).contains(&discovery.at.to_string()));
 }
 
-fn move_discovery(world: &mut World, discovery: &Discovery) {
-    configure(world, discovery, |_| {});
+fn move_discovery(fixture: &mut NodeFixture, discovery: &Discovery) {
+    configure(fixture, discovery, |_| {});
 }
 
-fn launches_at(world: &World, backend: usize) -> usize {
-    world.launches.lock().expect("launches").iter().filter(|(number, _)| *number == backend).count()
+fn launches_at(fixture: &NodeFixture, backend: usize) -> usize {
+    fixture.launches.lock().expect("launches").iter().filter(|(number, _)| *number == backend).count()
 }
 
 /// A watch that ends may hide a drain, which counts as known two seconds later; then the grace runs.
@@ -165,15 +165,15 @@
     scope(|all| {
         for nodes in [2, 6, 44, 300] {
             all.spawn(move || {
-                let (world, discovery) = watching_node(nodes);
+                let (fixture, discovery) = watching_node(nodes);
                 discovery.with(|state| state.answers = Answers::Watch(Duration::from_millis(400)));
                 let before = discovery.calls();
                 let ended = Instant::now();
-                discovery.reset_watches(without_the_first(&world));
+                discovery.reset_watches(without_the_first(&fixture));
                 wait_until("another call", || discovery.calls() > before);
                 let paused = ended.elapsed();
                 assert!(paused < Duration::from_millis(1000), "{nodes} nodes: {paused:?} before the call");
-                until_known(&world);
+                until_known(&fixture);
                 assert!(ended.elapsed() < COUNTS_AS_KNOWN, "{nodes} nodes: {:?}", ended.elapsed());
             });
         }
@@ -187,11 +187,11 @@
     scope(|all| {
         for (nodes, most) in [(2, 600), (44, 1400), (300, 2800)] {
             all.spawn(move || {
-                let (world, discovery) = watching_node(nodes);
+                let (fixture, discovery) = watching_node(nodes);
                 let hangs = Duration::from_millis(2200);
                 discovery.with(|state| state.answers = Answers::Unavailable(hangs));
                 let first = discovery.calls();
-                discovery.reset_watches(without_the_first(&world));
+                discovery.reset_watches(without_the_first(&fixture));
                 wait_until("three calls", || discovery.calls() >= first + 3);
                 for span in discovery.spans_from(first) {
                     assert!(span < hangs + Duration::from_millis(most), "{nodes} nodes: {span:?}");
@@ -207,10 +207,10 @@
     scope(|all| {
         for nodes in [2, 44, 300] {
             all.spawn(move || {
-                let (world, discovery) = watching_node(nodes);
+                let (fixture, discovery) = watching_node(nodes);
                 discovery.with(|state| state.answers = Answers::Unavailable(Duration::ZERO));
                 let first = discovery.calls();
-                discovery.reset_watches(without_the_first(&world));
+                discovery.reset_watches(without_the_first(&fixture));
                 sleep(Duration::from_secs(9));
                 let spans = discovery.spans_from(first);
                 assert!((5..=25).contains(&spans.len()), "{nodes} nodes: {spans:?}");
@@ -224,11 +224,11 @@
 /// A message is whole with its last brace: its line end may come with the next sign of life, two seconds later.
 #[test]
 fn a_message_whose_line_end_is_late() {
-    let (world, discovery) = watching_node(2);
+    let (fixture, discovery) = watching_node(2);
     discovery.with(|state| state.answers = Answers::WithoutLineEnd);
     let ended = Instant::now();
-    discovery.reset_watches(without_the_first(&world));
-    until_known(&world);
+    discovery.reset_watches(without_the_first(&fixture));
+    until_known(&fixture);
     assert!(ended.elapsed() < Duration::from_secs(2), "{:?}", ended.elapsed());
 }
 
@@ -239,27 +239,27 @@
     scope(|all| {
         for moves in [1, 3] {
             all.spawn(move || {
-                let (mut world, discovery) = watching_node(6);
+                let (mut fixture, discovery) = watching_node(6);
                 let waits = Duration::from_millis(1200);
                 discovery.with(|state| state.answers = Answers::Watch(waits));
                 let ended = Instant::now();
                 let before = discovery.calls();
-                discovery.reset_watches(without_the_first(&world));
+                discovery.reset_watches(without_the_first(&fixture));
                 wait_until("a call that waits", || discovery.calls() > before);
-                let list = whole_list(5, &world.entries);
+                let list = whole_list(5, &fixture.backend_entries);
                 let next: Vec<_> = (0..moves).map(|_| Discovery::start(list.clone())).collect();
                 for discovery in &next {
                     discovery.with(|state| state.answers = Answers::Watch(Duration::from_secs(2)));
-                    move_discovery(&mut world, discovery);
+                    move_discovery(&mut fixture, discovery);
                 }
-                until_known(&world);
+                until_known(&fixture);
                 assert!(
                     ended.elapsed() < waits + Duration::from_millis(800),
                     "{moves}: {:?}",
                     ended.elapsed()
                 );
                 let (last, passed) = next.split_last().expect("a move");
-                last.with(|state| state.list = without_the_first(&world));
+                last.with(|state| state.list = without_the_first(&fixture));
                 wait_until("a watch at the new address", || last.with(|state| !state.watches.is_empty()));
                 let calls: Vec<_> = next.iter().map(Discovery::calls).collect();
                 assert_eq!(calls, [vec![0; passed.len()], vec![1]].concat(), "one call, at the last address");
@@ -272,15 +272,15 @@
 /// protocol has it serve.
 #[test]
 fn a_former_address_that_hangs_is_not_waited_for() {
-    let (mut world, discovery) = watching_node(6);
+    let (mut fixture, discovery) = watching_node(6);
     discovery.with(|state| state.answers = Answers::Watch(Duration::from_secs(10)));
     let before = discovery.calls();
-    discovery.reset_watches(whole_list(5, &world.entries));
+    discovery.reset_watches(whole_list(5, &fixture.backend_entries));
     wait_until("a call that hangs", || discovery.calls() > before);
-    let next = Discovery::start(without_the_first(&world));
-    move_discovery(&mut world, &next);
+    let next = Discovery::start(without_the_first(&fixture));
+    move_discovery(&mut fixture, &next);
     let moved = Instant::now();
-    until_known(&world);
+    until_known(&fixture);
     assert!(moved.elapsed() < Duration::from_millis(2300), "{:?}", moved.elapsed());
 }
 
@@ -290,21 +290,21 @@
 fn nothing_is_sent_by_a_list_that_no_longer_holds() {
     const COUNTS_AS_KNOWN: Duration = Duration::from_millis(2000);
     const BINDS_FROM: Duration = Duration::from_millis(2300);
-    let (mut world, discovery) = watching_node(6);
-    configure(&mut world, &discovery, |config| {
+    let (mut fixture, discovery) = watching_node(6);
+    configure(&mut fixture, &discovery, |config| {
         config["settings"]["guarantees"]["drainGrace"] = 300_000_000.into();
     });
     discovery.with(|state| state.answers = Answers::Watch(Duration::from_millis(3000)));
     let ended = Instant::now();
-    discovery.reset_watches(without_the_first(&world));
+    discovery.reset_watches(without_the_first(&fixture));
     let mut answered = (0, 0);
     while ended.elapsed() < Duration::from_millis(3600) {
         let binds = ended.elapsed() >= BINDS_FROM;
-        let sent = launches_at(&world, 0);
-        let status = world.command("read").status();
+        let sent = launches_at(&fixture, 0);
+        let status = fixture.send_command("read").status();
         let holds = ended.elapsed() < COUNTS_AS_KNOWN;
         assert!(status == 200 || !holds && status == 503, "{status} after {:?}", ended.elapsed());
-        assert!(!binds || launches_at(&world, 0) == sent, "sent after {:?}", ended.elapsed());
+        assert!(!binds || launches_at(&fixture, 0) == sent, "sent after {:?}", ended.elapsed());
         answered = match (binds, status) {
             (false, _) => (answered.0 + 1, answered.1),
             (true, 200) => (answered.0, answered.1 + 1),
@@ -312,18 +312,18 @@
         };
     }
     assert!(answered.0 > 0 && answered.1 > 0, "served before and after: {answered:?}");
-    until_known(&world);
+    until_known(&fixture);
 }
 
 /// Where discovery cannot be reached, or fails each call, the list serves on as it is known.
 #[test]
 fn a_list_serves_on_while_discovery_is_down() {
-    let (world, discovery) = watching_node(6);
+    let (fixture, discovery) = watching_node(6);
     discovery.with(|state| state.answers = Answers::Unavailable(Duration::from_millis(50)));
     let ended = Instant::now();
-    discovery.reset_watches(without_the_first(&world));
+    discovery.reset_watches(without_the_first(&fixture));
     while ended.elapsed() < Duration::from_secs(8) {
-        assert_eq!(world.command("read").status(), 200, "after {:?}", ended.elapsed());
+        assert_eq!(fixture.send_command("read").status(), 200, "after {:?}", ended.elapsed());
         sleep(Duration::from_millis(20));
     }
 }
--- a/crates/node/tests/sites.rs
+++ b/crates/node/tests/sites.rs
@@ -21,7 +21,7 @@
     [[ways]]\nfrom = \"here\"\nto = \"there\"\nms = 10.0\n";
 
 fn with_plan(config: &mut Value) {
-    config["admin"] = second_address(config).to_string().into();
+    config["admin"] = free_admin_address(config).to_string().into();
     let number = FILES.fetch_add(1, SeqCst);
     let file = std::env::temp_dir().join(format!("yarrowfront-sites-{}-{number}", std::process::id()));
     std::fs::write(&file, PLAN).expect("a file");
@@ -29,21 +29,21 @@
 }
 
 struct Planned {
-    world: World,
+    fixture: NodeFixture,
     admin: SocketAddr,
 }
 
 impl Drop for Planned {
     fn drop(&mut self) {
-        let _ = std::fs::remove_file(self.world.config["sites"].as_str().unwrap_or_default());
+        let _ = std::fs::remove_file(self.fixture.config["sites"].as_str().unwrap_or_default());
     }
 }
 
 impl Planned {
     fn new() -> Planned {
-        let world = World::new(3, |_| BackendAction::Succeed, with_plan);
-        let admin = world.config["admin"].as_str().and_then(|at| at.parse().ok()).expect("an address");
-        Planned { world, admin }
+        let fixture = NodeFixture::new(3, |_| BackendAction::Succeed, with_plan);
+        let admin = fixture.config["admin"].as_str().and_then(|at| at.parse().ok()).expect("an address");
+        Planned { fixture, admin }
     }
 
     fn told(&self) -> Value {
@@ -56,7 +56,7 @@
         let (mut good, mut all, mut times) = ([0.0; 2], [0.0; 2], Vec::new());
         while start.elapsed() < Duration::from_millis(millis) {
             for (place, profile) in ["pay", "read"].into_iter().enumerate() {
-                let reply = self.world.command(profile);
+                let reply = self.fixture.send_command(profile);
                 all[place] += 1.0;
                 good[place] += f64::from(u8::from(reply.status() == 200));
                 if reply.status() == 503 {
@@ -101,8 +101,8 @@
 #[test]
 fn plans_that_change() {
     let mut planned = Planned::new();
-    let file = planned.world.config["sites"].as_str().expect("a path").to_owned();
-    let config = planned.world.config.to_string();
+    let file = planned.fixture.config["sites"].as_str().expect("a path").to_owned();
+    let config = planned.fixture.config.to_string();
     let cases = [
         (PLAN.replace("capacity = 40.0", "capacity = 80.0"), "as they were"),
         (PLAN.replace("capacity = 40.0", "capacity = many"), "the old configuration stays: sites"),
@@ -110,12 +110,12 @@
     ];
     for (text, said) in cases {
         std::fs::write(&file, text).expect("a file");
-        let line = planned.world.reload(&config);
+        let line = planned.fixture.reload(&config);
         assert!(line.contains(said), "{said}: {line}");
     }
     wait_until("it goes by the other plan", || planned.told()["room"] == json!(80.0));
-    let (world, admin) = World::with_admin(1, |_| BackendAction::Succeed);
+    let (fixture, admin) = NodeFixture::with_admin(1, |_| BackendAction::Succeed);
     assert_eq!(call_admin(admin, "GET /sites").status(), 404);
     assert_eq!(call_admin(admin, "PUT /sites/there/lost").status(), 404);
-    drop(world);
+    drop(fixture);
 }
--- a/crates/node/tests/sockets.rs
+++ b/crates/node/tests/sockets.rs
@@ -18,7 +18,7 @@
 /// What is no command gets its own answer, or its connection's end, at once, and never reaches a backend.
 #[test]
 fn bad_input_is_refused() {
-    let world = World::new(1, |_| BackendAction::Succeed, |_| {});
+    let fixture = NodeFixture::new(1, |_| BackendAction::Succeed, |_| {});
     let good = command_request("mark", "a body", "");
     let without =
         |name: &str| good.split("\r\n").filter(|l| !l.starts_with(name)).collect::<Vec<_>>().join("\r\n");
@@ -53,9 +53,9 @@
         ("a body too large", big, 413),
     ];
     for (what, text, status) in cases {
-        let before = world.launched();
-        assert_eq!(world.ask(text).status(), *status, "{what}");
-        assert_eq!(world.launched() > before, *status == 200, "{what}");
+        let before = fixture.launch_count();
+        assert_eq!(fixture.send_request(text).status(), *status, "{what}");
+        assert_eq!(fixture.launch_count() > before, *status == 200, "{what}");
     }
 }
 
@@ -63,27 +63,27 @@
 /// its own client is answered all the same.
 #[test]
 fn an_open_id_goes_on_once() {
-    let world = World::new(2, |_| BackendAction::Late, |_| {});
+    let fixture = NodeFixture::new(2, |_| BackendAction::SucceedLate, |_| {});
     let text = command_request("pay", "a body", "");
-    let mut first = world.connect();
+    let mut first = fixture.connect();
     first.write_all(text.as_bytes()).expect("written");
-    wait_until("the launch is out", || world.launched() == 1);
-    let reply = world.ask(&text);
+    wait_until("the launch is out", || fixture.launch_count() == 1);
+    let reply = fixture.send_request(&text);
     assert_eq!((reply.status(), reply.header("connection")), (409, Some("close")));
     assert_eq!(read_message(&mut first).unwrap_or_default().status(), 200);
-    assert_eq!(world.launched(), 1);
+    assert_eq!(fixture.launch_count(), 1);
     // Answered, its name is free.
-    assert_eq!(world.ask(&text).status(), 200);
+    assert_eq!(fixture.send_request(&text).status(), 200);
 }
 
 /// A connection that says nothing, or stops in the middle, is not kept for whoever opened it; one that has had
 /// a command is.
 #[test]
 fn strangers_are_not_kept() {
-    let world = World::new(1, |_| BackendAction::Succeed, |_| {});
+    let fixture = NodeFixture::new(1, |_| BackendAction::Succeed, |_| {});
     let text = command_request("read", "a body", "");
     let parts = [0, 40, text.len() - 3, text.len()].map(|part| {
-        let mut stream = world.connect();
+        let mut stream = fixture.connect();
         stream.write_all(&text.as_bytes()[..part]).expect("written");
         (part, stream)
     });
@@ -138,18 +138,26 @@
             |n| if n == 0 { BackendAction::Status(503, "") } else { BackendAction::Succeed },
             true,
         ),
-        ("broken off", |n| if n == 0 { BackendAction::Break } else { BackendAction::Succeed }, true),
-        ("half an answer", |n| if n == 0 { BackendAction::HalfAnswer } else { BackendAction::Succeed }, true),
+        (
+            "broken off",
+            |n| if n == 0 { BackendAction::CloseConnection } else { BackendAction::Succeed },
+            true,
+        ),
+        (
+            "half an answer",
+            |n| if n == 0 { BackendAction::TruncatedAnswer } else { BackendAction::Succeed },
+            true,
+        ),
     ];
     for (what, acts, may_have_run) in first {
         for (profile, repeats) in [("read", true), ("mark", true), ("pay", false)] {
-            let world = World::new(2, *acts, |_| {});
+            let fixture = NodeFixture::new(2, *acts, |_| {});
             let again = repeats || !may_have_run;
-            let reply = world.command(profile);
+            let reply = fixture.send_command(profile);
             assert_eq!(reply.status(), if again { 200 } else { 502 }, "{what}, {profile}");
-            assert_eq!(world.launched(), if again { 2 } else { 1 }, "{what}, {profile}");
+            assert_eq!(fixture.launch_count(), if again { 2 } else { 1 }, "{what}, {profile}");
             // And whatever it was, the node goes on.
-            assert_eq!(world.command("pay").status(), 200, "{what}, {profile}");
+            assert_eq!(fixture.send_command("pay").status(), 200, "{what}, {profile}");
         }
     }
 }
@@ -158,21 +166,29 @@
 /// known as spoilt by its head: waiting for the rest would cost its command the time for another launch.
 #[test]
 fn large_answers() {
-    let world = World::new(1, |_| BackendAction::Large, |config| config["limits"]["memory_mb"] = 32.into());
+    let fixture = NodeFixture::new(
+        1,
+        |_| BackendAction::OversizedAnswer,
+        |config| config["limits"]["memory_mb"] = 32.into(),
+    );
     for n in 1..=20 {
-        let reply = world.command("pay");
+        let reply = fixture.send_command("pay");
         assert_eq!((reply.status(), reply.body.len()), (200, 400_009), "command {n}");
         assert!(reply.body.starts_with(b"from \x01\x02") && reply.body.ends_with(b"x"));
-        assert_eq!(world.launched(), n);
+        assert_eq!(fixture.launch_count(), n);
     }
-    let world = World::new(2, |n| if n == 0 { BackendAction::Huge } else { BackendAction::Succeed }, |_| {});
-    assert_eq!((world.command("read").status(), world.launched()), (200, 2));
+    let fixture = NodeFixture::new(
+        2,
+        |n| if n == 0 { BackendAction::HugeContentLength } else { BackendAction::Succeed },
+        |_| {},
+    );
+    assert_eq!((fixture.send_command("read").status(), fixture.launch_count()), (200, 2));
 }
 
 /// A backend that nobody listens for was surely not reached: even a once-only command goes elsewhere.
 #[test]
 fn a_refused_connection_is_no_launch() {
-    let world = World::new(
+    let fixture = NodeFixture::new(
         1,
         |_| BackendAction::Succeed,
         |config| {
@@ -183,18 +199,18 @@
         },
     );
     for n in 1..=12 {
-        assert_eq!(world.command("pay").status(), 200);
-        assert_eq!(world.launched(), n);
+        assert_eq!(fixture.send_command("pay").status(), 200);
+        assert_eq!(fixture.launch_count(), n);
     }
 }
 
 /// A backend closes idle connections as it likes: what is surely unsent goes out on another, and only once.
 #[test]
 fn connections_closed_by_backends() {
-    let world = World::new(1, |_| BackendAction::FinishAndClose, |_| {});
+    let fixture = NodeFixture::new(1, |_| BackendAction::SucceedAndClose, |_| {});
     for n in 1..=20 {
-        assert_eq!(world.command("pay").status(), 200, "command {n}");
-        assert_eq!(world.launched(), n);
+        assert_eq!(fixture.send_command("pay").status(), 200, "command {n}");
+        assert_eq!(fixture.launch_count(), n);
         sleep(Duration::from_millis(5));
     }
 }
@@ -202,13 +218,13 @@
 /// Bytes go through as they came, both ways; what belongs to one connection does not.
 #[test]
 fn bytes_and_headers_go_on() {
-    let world = World::new(1, |_| BackendAction::Succeed, |_| {});
+    let fixture = NodeFixture::new(1, |_| BackendAction::Succeed, |_| {});
     let more = "X-Facts: a=1,b=2\r\nConnection: X-Mine, keep-alive\r\nX-Mine: 1\r\nTE: trailers\r\n";
     let text = command_request("mark", "\u{1}\r\n\r\nbody", more).replace("/api", "/api/a%20b?obj=7&x=%2F");
-    let reply = world.ask(&text);
+    let reply = fixture.send_request(&text);
     assert_eq!(reply.body, b"from \x01\x02\r\n");
     assert_eq!((reply.header("x-kept"), reply.header("keep-alive")), (Some("yes"), None));
-    let launches = world.launches.lock().expect("launches");
+    let launches = fixture.launches.lock().expect("launches");
     let launch = &launches[0].1;
     assert_eq!(launch.start_line, "POST /api/a%20b?obj=7&x=%2F HTTP/1.1");
     assert_eq!(launch.body, "\u{1}\r\n\r\nbody".as_bytes());
@@ -228,26 +244,26 @@
 /// A client that goes leaves nothing behind: its launch runs on, and the node serves the next.
 #[test]
 fn clients_that_leave() {
-    let world = World::new(2, |_| BackendAction::Late, |_| {});
+    let fixture = NodeFixture::new(2, |_| BackendAction::SucceedLate, |_| {});
     for n in 1..=6 {
-        let mut stream = world.connect();
+        let mut stream = fixture.connect();
         let text = command_request("pay", "a body", "");
         // Every other one goes in the middle of its head.
         let part = if n % 2 == 0 { 40 } else { text.len() };
         stream.write_all(&text.as_bytes()[..part]).expect("written");
         if n % 2 == 1 {
-            wait_until("the launch is out", || world.launched() > n / 2);
+            wait_until("the launch is out", || fixture.launch_count() > n / 2);
         }
         drop(stream);
         sleep(Duration::from_millis(200));
     }
-    wait_until("served again", || world.command("read").status() == 200);
+    wait_until("served again", || fixture.send_command("read").status() == 200);
 }
 
 /// Where the settings allow it the module's probes go out and come back, and none looks like a command.
 #[test]
 fn probes_go_out() {
-    let world = World::new(
+    let fixture = NodeFixture::new(
         3,
         |_| BackendAction::Succeed,
         |config| {
@@ -259,9 +275,9 @@
         },
     );
     for n in 0..6 {
-        assert_eq!(world.command("read").status(), 200, "command {n}");
+        assert_eq!(fixture.send_command("read").status(), 200, "command {n}");
     }
-    let probes = world.probes.lock().expect("probes");
+    let probes = fixture.probes.lock().expect("probes");
     assert!(!probes.is_empty());
     assert!(probes.iter().all(|p| p.header("x-correlation-id").is_none()), "{probes:?}");
 }
@@ -270,15 +286,15 @@
 #[test]
 fn turned_back_with_a_time() {
     for (allowed, said) in [(true, true), (false, false)] {
-        let world = match allowed {
-            true => World::new(0, |_| BackendAction::Succeed, |_| {}),
-            false => World::new(
+        let fixture = match allowed {
+            true => NodeFixture::new(0, |_| BackendAction::Succeed, |_| {}),
+            false => NodeFixture::new(
                 0,
                 |_| BackendAction::Succeed,
                 |c| c["settings"]["limits"]["retryAfter"] = false.into(),
             ),
         };
-        let reply = world.command("pay");
+        let reply = fixture.send_command("pay");
         assert_eq!(reply.status(), 503);
         let after = reply.header("retry-after").map(|a| a.parse::<f64>().expect("seconds"));
         assert_eq!(after.is_some_and(|a| a > 0.0 && a <= 2.0), said, "{after:?}");
@@ -288,10 +304,10 @@
 /// Rule 3, and lines that no one can read: they are left out and the others count.
 #[test]
 fn lines_of_the_list() {
-    let world = World::new(2, |_| BackendAction::Succeed, |_| {});
-    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
+    let fixture = NodeFixture::new(2, |_| BackendAction::Succeed, |_| {});
+    wait_until("a watch", || fixture.watch_count.load(SeqCst) >= 1);
     let entry = |n: usize, key: &str, value: Value| {
-        let mut entry = world.entries[n].clone();
+        let mut entry = fixture.backend_entries[n].clone();
         entry[key] = value;
         json!({"index": 9, "snapshot": false, "endpoints": [entry]}).to_string()
     };
@@ -306,83 +322,83 @@
             .to_string(),
     ];
     for line in lines {
-        world.list.send(line).expect("a watch");
+        fixture.watch_lines.send(line).expect("a watch");
     }
     // Its entry had a name and a state, no more: enough to send nothing there.
     wait_until("b1 drains", || {
-        let before = world.launched();
-        (0..8).all(|_| world.command("read").status() == 200)
-            && world.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n == 0)
+        let before = fixture.launch_count();
+        (0..8).all(|_| fixture.send_command("read").status() == 200)
+            && fixture.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n == 0)
     });
-    world.list.send(entry(1, "status", "ready".into())).expect("a watch");
-    world.list.send(entry(0, "status", "gone".into())).expect("a watch");
+    fixture.watch_lines.send(entry(1, "status", "ready".into())).expect("a watch");
+    fixture.watch_lines.send(entry(0, "status", "gone".into())).expect("a watch");
     wait_until("b1 serves", || {
-        world.command("read").status() == 200
-            && world.launches.lock().expect("launches").last().map(|l| l.0) == Some(1)
+        fixture.send_command("read").status() == 200
+            && fixture.launches.lock().expect("launches").last().map(|l| l.0) == Some(1)
     });
 }
 
 /// A watch ends with its connection, or in silence when the network is cut; either way there is a new one.
 #[test]
 fn a_lost_watch_is_made_again() {
-    let world = World::new(1, |_| BackendAction::Succeed, |_| {});
-    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
-    world.list.send(String::new()).expect("a watch");
-    wait_until("a second one", || world.watches.load(SeqCst) >= 2);
-    world.list.send(SILENCE.to_owned()).expect("a watch");
-    wait_until("a third one, after silence", || world.watches.load(SeqCst) >= 3);
-    assert_eq!(world.command("read").status(), 200);
+    let fixture = NodeFixture::new(1, |_| BackendAction::Succeed, |_| {});
+    wait_until("a watch", || fixture.watch_count.load(SeqCst) >= 1);
+    fixture.watch_lines.send(String::new()).expect("a watch");
+    wait_until("a second one", || fixture.watch_count.load(SeqCst) >= 2);
+    fixture.watch_lines.send(SILENCE_WATCH.to_owned()).expect("a watch");
+    wait_until("a third one, after silence", || fixture.watch_count.load(SeqCst) >= 3);
+    assert_eq!(fixture.send_command("read").status(), 200);
 }
 
 /// A new configuration must not end the node, nor stop it from serving what it knows; from then on the list
 /// comes from where the file says. A bad file changes nothing, and its fault stands in one line.
 #[test]
 fn a_new_configuration_moves_the_watch() {
-    let mut world = World::new(2, |_| BackendAction::Succeed, |_| {});
-    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
+    let mut fixture = NodeFixture::new(2, |_| BackendAction::Succeed, |_| {});
+    wait_until("a watch", || fixture.watch_count.load(SeqCst) >= 1);
     let (list, told, watches) = start_discovery(&unique_loopback_address());
-    let mut config = world.config.clone();
+    let mut config = fixture.config.clone();
     config["discovery"] = told.to_string().into();
     let (good, mut bad) = (config.to_string(), config);
     bad["settings"]["limits"]["connIdle"] = Value::Null;
     for (text, key) in [("{", "not JSON"), (&*bad.to_string(), "settings.limits.connIdle")] {
-        let line = world.reload(text);
+        let line = fixture.reload(text);
         assert!(line.contains("the old configuration stays") && line.contains(key), "{line}");
-        assert_eq!((world.command("read").status(), watches.load(SeqCst)), (200, 0));
+        assert_eq!((fixture.send_command("read").status(), watches.load(SeqCst)), (200, 0));
     }
     for _ in 0..2 {
-        assert!(world.reload(&good).contains(&told.to_string()));
-        assert_eq!(world.command("read").status(), 200);
+        assert!(fixture.reload(&good).contains(&told.to_string()));
+        assert_eq!(fixture.send_command("read").status(), 200);
         // Told the same again it stays with the watch that it has.
         wait_until("the watch has moved", || watches.load(SeqCst) == 1);
     }
-    let mut gone = world.entries[0].clone();
+    let mut gone = fixture.backend_entries[0].clone();
     gone["status"] = "gone".into();
     let line = json!({"index": 9, "snapshot": false, "endpoints": [gone]}).to_string();
     list.send(line).expect("a watch");
     wait_until("b0 is gone", || {
-        let before = world.launched();
-        (0..8).all(|_| world.command("read").status() == 200)
-            && world.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n == 1)
+        let before = fixture.launch_count();
+        (0..8).all(|_| fixture.send_command("read").status() == 200)
+            && fixture.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n == 1)
     });
 }
 
 /// A planned stop answers all that was taken, also on connections that come after the signal, and ends well.
 #[test]
 fn a_planned_stop_loses_nothing() {
-    let mut world = World::new(2, |_| BackendAction::Late, |_| {});
-    let (mut early, mut kept) = (world.connect(), world.connect());
+    let mut fixture = NodeFixture::new(2, |_| BackendAction::SucceedLate, |_| {});
+    let (mut early, mut kept) = (fixture.connect(), fixture.connect());
     let text = command_request("pay", "a body", "");
     early.write_all(text.as_bytes()).expect("written");
     kept.write_all("GET /up HTTP/1.1\r\nHost: n\r\n\r\n".as_bytes()).expect("written");
     assert_eq!(read_message(&mut kept).expect("an answer").status(), 200);
-    world.signal("-TERM");
-    let mut late = world.connect();
+    fixture.send_signal("-TERM");
+    let mut late = fixture.connect();
     // Half of a command that never comes whole must not hold the node up.
-    let mut half = world.connect();
+    let mut half = fixture.connect();
     half.write_all(&text.as_bytes()[..50]).expect("written");
     sleep(Duration::from_millis(200));
-    assert_eq!(world.ask("GET /up HTTP/1.1\r\nHost: n\r\n\r\n").status(), 503);
+    assert_eq!(fixture.send_request("GET /up HTTP/1.1\r\nHost: n\r\n\r\n").status(), 503);
     for stream in [&mut late, &mut kept] {
         stream.write_all(command_request("pay", "a body", "").as_bytes()).expect("written");
     }
@@ -392,17 +408,18 @@
         assert!(reply.status() == 200 || reply.status() == 503 && what != "early", "{what}: {reply:?}");
         assert_eq!(reply.header("connection"), Some("close"), "{what}");
     }
-    assert!(world.node.wait().expect("an end").success());
+    assert!(fixture.process.wait().expect("an end").success());
 }
 
 /// With more connections than it may hold the node still reads each one that it has accepted: those that say
 /// nothing, or stop in the middle, make room, and no command is turned back for their sake.
 #[test]
 fn a_full_budget_leaves_nobody_unread() {
-    let world = World::new(1, |_| BackendAction::Succeed, |config| config["limits"]["sockets"] = 110.into());
+    let fixture =
+        NodeFixture::new(1, |_| BackendAction::Succeed, |config| config["limits"]["sockets"] = 110.into());
     let whole = command_request("read", "a body", "");
     for part in [0, 40, whole.len() - 3, whole.len()] {
-        let mut idle: Vec<TcpStream> = (0..40).map(|_| world.connect()).collect();
+        let mut idle: Vec<TcpStream> = (0..40).map(|_| fixture.connect()).collect();
         for stream in &mut idle {
             let _ = stream.write_all(&whole.as_bytes()[..part]);
             if part == whole.len() {
@@ -410,7 +427,7 @@
             }
         }
         for n in 0..10 {
-            assert_eq!(world.command("read").status(), 200, "command {n} beside {part} bytes");
+            assert_eq!(fixture.send_command("read").status(), 200, "command {n} beside {part} bytes");
         }
     }
 }
@@ -419,11 +436,12 @@
 /// answer ends the connection, and new ones are served as before.
 #[test]
 fn one_time_askers_make_room() {
-    let world = World::new(1, |_| BackendAction::Succeed, |config| config["limits"]["sockets"] = 240.into());
+    let fixture =
+        NodeFixture::new(1, |_| BackendAction::Succeed, |config| config["limits"]["sockets"] = 240.into());
     let mut kept = Vec::new();
     let mut ended = 0;
     for n in 0..80 {
-        let mut stream = world.connect();
+        let mut stream = fixture.connect();
         stream.write_all(command_request("read", "", "").as_bytes()).expect("written");
         let reply = read_message(&mut stream).expect("an answer");
         assert_eq!(reply.status(), 200, "connection {n}");
@@ -466,7 +484,7 @@
     for (key, change) in cases {
         let mut config = good.clone();
         change(&mut config);
-        let (child, folder) = start(&config, &[]);
+        let (child, folder) = start_node(&config, &[]);
         let output = child.wait_with_output().expect("an end");
         let _ = std::fs::remove_dir_all(folder);
         let text = String::from_utf8_lossy(&output.stderr);
@@ -508,28 +526,28 @@
             profile["timeLimit"] = 2_000_000_000.into();
         }
     };
-    let mut world = World::new(3, |_| BackendAction::Late, patient);
-    let (first, second) = (world.config.clone(), other_shape(&world.config));
-    wait_until("a watch", || world.watches.load(SeqCst) >= 1);
+    let mut fixture = NodeFixture::new(3, |_| BackendAction::SucceedLate, patient);
+    let (first, second) = (fixture.config.clone(), other_shape(&fixture.config));
+    wait_until("a watch", || fixture.watch_count.load(SeqCst) >= 1);
     for (shape, gone, new) in
         [(&second, "mark", "lookup"), (&first, "lookup", "mark"), (&second, "mark", "lookup")]
     {
-        let before = world.launched();
+        let before = fixture.launch_count();
         let mut streams = Vec::new();
         // More than have room at once: some are out and some are held when the signal comes.
         for n in 0..24 {
             let profile = ["read", "pay", gone][n % 3];
-            let mut stream = world.connect();
+            let mut stream = fixture.connect();
             // Far longer than any launch takes, also on a busy machine.
             let text = command_request(profile, profile, "").replace("Left-Ms: 450", "Left-Ms: 5000");
             stream.write_all(text.as_bytes()).expect("written");
             streams.push(stream);
         }
-        wait_until("launches are out", || world.launched() >= before + 2);
-        let line = world.reload(&shape.to_string());
+        wait_until("launches are out", || fixture.launch_count() >= before + 2);
+        let line = fixture.reload(&shape.to_string());
         assert!(line.contains("changed: ") && line.contains("settings.profiles"), "{line}");
-        assert_eq!(world.command(gone).status(), 400, "{gone} is no profile now");
-        assert_ne!(world.command(new).status(), 400, "{new} is one now");
+        assert_eq!(fixture.send_command(gone).status(), 400, "{gone} is no profile now");
+        assert_ne!(fixture.send_command(new).status(), 400, "{new} is one now");
         let mut finished = 0;
         for mut stream in streams {
             let status = read_message(&mut stream).expect("an answer").status();
@@ -539,7 +557,7 @@
             assert!(read_message(&mut stream).is_none(), "a second answer");
         }
         assert!(finished >= 2, "{finished}");
-        let launches = world.launches.lock().expect("launches");
+        let launches = fixture.launches.lock().expect("launches");
         let mut once: Vec<_> =
             launches[before..].iter().map(|(_, m)| m).filter(|m| m.body == b"pay").collect();
         let all = once.len();
@@ -548,31 +566,31 @@
         assert_eq!(once.len(), all, "a once-only command was launched twice");
     }
     // One watch throughout; told the same again nothing changes, and the list goes on being heeded.
-    assert!(world.reload(&second.to_string()).contains("as they were"));
-    assert_eq!(world.watches.load(SeqCst), 1);
-    let mut gone = world.entries[0].clone();
+    assert!(fixture.reload(&second.to_string()).contains("as they were"));
+    assert_eq!(fixture.watch_count.load(SeqCst), 1);
+    let mut gone = fixture.backend_entries[0].clone();
     gone["status"] = "draining".into();
-    world
-        .list
+    fixture
+        .watch_lines
         .send(json!({"index": 9, "snapshot": false, "endpoints": [gone]}).to_string())
         .expect("a watch");
     wait_until("b0 drains", || {
-        let before = world.launched();
-        (0..6).for_each(|_| drop(world.command("read")));
-        world.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n != 0)
+        let before = fixture.launch_count();
+        (0..6).for_each(|_| drop(fixture.send_command("read")));
+        fixture.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n != 0)
     });
     // A drain outlives the switch: nothing has said since that it is over.
-    world.reload(&first.to_string());
-    let before = world.launched();
-    (0..6).for_each(|_| drop(world.command("read")));
-    assert!(world.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n != 0));
+    fixture.reload(&first.to_string());
+    let before = fixture.launch_count();
+    (0..6).for_each(|_| drop(fixture.send_command("read")));
+    assert!(fixture.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n != 0));
 }
 
 /// Whatever is wrong with a new file, nothing changes, and one line names the key.
 #[test]
 fn bad_new_files() {
-    let mut world = World::new(1, |_| BackendAction::Succeed, |_| {});
-    let good = other_shape(&world.config);
+    let mut fixture = NodeFixture::new(1, |_| BackendAction::Succeed, |_| {});
+    let good = other_shape(&fixture.config);
     type Change = fn(&mut Value);
     let cases: &[(&str, Change)] = &[
         ("name takes a restart", |c| c["name"] = "n2".into()),
@@ -599,10 +617,10 @@
     for (key, change) in cases {
         let mut config = good.clone();
         change(&mut config);
-        let line = world.reload(&config.to_string());
+        let line = fixture.reload(&config.to_string());
         assert!(line.contains("the old configuration stays") && line.contains(key), "{key}: {line}");
         // By the old settings `mark` is a profile and `lookup` is none.
-        let statuses = [world.command("mark").status(), world.command("lookup").status()];
+        let statuses = [fixture.send_command("mark").status(), fixture.send_command("lookup").status()];
         assert_eq!(statuses, [200, 400], "{key}");
     }
 }
--- a/crates/node/tests/system_calls.rs
+++ b/crates/node/tests/system_calls.rs
@@ -17,11 +17,11 @@
 /// An answer takes some milliseconds; one that comes later has lain somewhere.
 const PROMPT: Duration = Duration::from_millis(1000);
 
-fn shimmed(variables: &[(&str, &str)], backends: usize) -> World {
+fn shimmed(variables: &[(&str, &str)], backends: usize) -> NodeFixture {
     let library = shim::library().to_str().expect("a path in UTF-8");
     let mut all = vec![("LD_PRELOAD", library)];
     all.extend_from_slice(variables);
-    World::with_variables(backends, |_| BackendAction::Succeed, patient, &all)
+    NodeFixture::with_environment(backends, |_| BackendAction::Succeed, patient, &all)
 }
 
 fn patient(config: &mut Value) {
@@ -36,9 +36,9 @@
 }
 
 /// Several clients ask on kept connections; what was not answered by 200 in time.
-fn failures(world: &World, profile: &str) -> Vec<String> {
+fn failures(fixture: &NodeFixture, profile: &str) -> Vec<String> {
     let client = || {
-        let mut stream = world.connect();
+        let mut stream = fixture.connect();
         let mut failed = Vec::new();
         for n in 0..COMMANDS {
             let since = Instant::now();
@@ -49,7 +49,7 @@
                 failed.push(format!("command {n}: {status} after {:?}", since.elapsed()));
             }
             if answer.is_none_or(|answer| answer.header("connection") == Some("close")) {
-                stream = world.connect();
+                stream = fixture.connect();
             }
         }
         failed
@@ -64,9 +64,9 @@
 #[test]
 fn reads_and_writes_that_end_short() {
     for variables in [[("SHIM_SHORT", "4")], [("SHIM_INTERRUPT", "4")]] {
-        let world = shimmed(&variables, 4);
+        let fixture = shimmed(&variables, 4);
         for profile in ["read", "pay"] {
-            assert_eq!(failures(&world, profile), [""; 0], "{variables:?}, {profile}");
+            assert_eq!(failures(&fixture, profile), [""; 0], "{variables:?}, {profile}");
         }
     }
 }
@@ -74,10 +74,10 @@
 /// An accept that fails for a moment loses nobody.
 #[test]
 fn accepts_that_fail_for_a_moment() {
-    let world = shimmed(&[("SHIM_ACCEPT", "2")], 2);
+    let fixture = shimmed(&[("SHIM_ACCEPT", "2")], 2);
     for _ in 0..40 {
         let since = Instant::now();
-        assert_eq!(world.ask(&asks("pay")).status(), 200);
+        assert_eq!(fixture.send_request(&asks("pay")).status(), 200);
         assert!(since.elapsed() < PROMPT);
     }
 }
@@ -90,19 +90,19 @@
     let library = shim::library().to_str().expect("a path in UTF-8");
     let variables = [("LD_PRELOAD", library), ("SHIM_ACCEPT", "3")];
     let sockets = |config: &mut Value| config["limits"]["sockets"] = 4096.into();
-    let world = World::with_variables(2, |_| BackendAction::Succeed, sockets, &variables);
-    assert_eq!(world.command("pay").status(), 200);
+    let fixture = NodeFixture::with_environment(2, |_| BackendAction::Succeed, sockets, &variables);
+    assert_eq!(fixture.send_command("pay").status(), 200);
     let since = Instant::now();
-    let _crowd: Vec<_> = (0..CROWD).map(|_| world.connect()).collect();
-    assert_eq!(world.command("pay").status(), 200);
+    let _crowd: Vec<_> = (0..CROWD).map(|_| fixture.connect()).collect();
+    assert_eq!(fixture.send_command("pay").status(), 200);
     assert!(since.elapsed() < PROMPT, "{:?}", since.elapsed());
 }
 
 /// A dial that fails for want of a local port says nothing of the backend, and nothing of the command has run.
 #[test]
 fn dials_that_fail_for_want_of_a_port() {
-    let world = shimmed(&[("SHIM_CONNECT", "2")], 4);
-    assert_eq!(failures(&world, "pay"), [""; 0]);
+    let fixture = shimmed(&[("SHIM_CONNECT", "2")], 4);
+    assert_eq!(failures(&fixture, "pay"), [""; 0]);
 }
 
 /// Kills a node that a test waits for in vain, unless the test has ended by then.
@@ -132,18 +132,18 @@
 #[test]
 fn signals_under_interrupted_calls() {
     for _ in 0..4 {
-        let mut world = shimmed(&[("SHIM_INTERRUPT", "3")], 2);
-        let _bounded = Bounded::new(world.node.id());
-        let text = world.config.to_string();
+        let mut fixture = shimmed(&[("SHIM_INTERRUPT", "3")], 2);
+        let _bounded = Bounded::new(fixture.process.id());
+        let text = fixture.config.to_string();
         for _ in 0..12 {
-            assert!(world.reload(&text).contains("reload: discovery is at"));
+            assert!(fixture.reload(&text).contains("reload: discovery is at"));
         }
-        assert_eq!(world.ask(&asks("pay")).status(), 200);
+        assert_eq!(fixture.send_request(&asks("pay")).status(), 200);
         let told = Instant::now();
         for signal in ["-HUP", "-TERM", "-TERM", "-HUP"] {
-            world.signal(signal);
+            fixture.send_signal(signal);
         }
-        assert!(world.node.wait().expect("an end").success());
+        assert!(fixture.process.wait().expect("an end").success());
         assert!(told.elapsed() < Duration::from_secs(3), "{:?}", told.elapsed());
     }
 }
--- a/crates/node/tests/trial.rs
+++ b/crates/node/tests/trial.rs
@@ -15,7 +15,7 @@
 
 /// A second address, and an operators' file whose term is remembered beside it.
 fn with_trials(config: &mut Value) {
-    config["admin"] = second_address(config).to_string().into();
+    config["admin"] = free_admin_address(config).to_string().into();
     let number = FILES.fetch_add(1, SeqCst);
     let file = std::env::temp_dir().join(format!("yarrowfront-rollout-{}-{number}", std::process::id()));
     let term = file.with_extension("term");
@@ -25,22 +25,22 @@
 }
 
 struct Tried {
-    world: World,
+    fixture: NodeFixture,
     admin: SocketAddr,
 }
 
 impl Drop for Tried {
     fn drop(&mut self) {
-        let file = self.world.config["rollout"].as_str().unwrap_or_default().to_owned();
+        let file = self.fixture.config["rollout"].as_str().unwrap_or_default().to_owned();
         let _ = (std::fs::remove_file(&file), std::fs::remove_file(file + ".term"));
     }
 }
 
 impl Tried {
     fn new() -> Tried {
-        let world = World::new(2, |_| BackendAction::Succeed, with_trials);
-        let admin = world.config["admin"].as_str().and_then(|at| at.parse().ok()).expect("an address");
-        Tried { world, admin }
+        let fixture = NodeFixture::new(2, |_| BackendAction::Succeed, with_trials);
+        let admin = fixture.config["admin"].as_str().and_then(|at| at.parse().ok()).expect("an address");
+        Tried { fixture, admin }
     }
 
     fn counts(&self, after: u64) -> Value {
@@ -52,7 +52,7 @@
         let mut body = word;
         (body["term"], body["by"]) = (term.into(), "a test".into());
         let body = body.to_string();
-        let mut stream = dial(self.admin);
+        let mut stream = connect_to(self.admin);
         let head = format!("PUT /rollout HTTP/1.1\r\nHost: n\r\nContent-Length: {}\r\n\r\n", body.len());
         stream.write_all((head + &body).as_bytes()).expect("written");
         let reply = read_message(&mut stream).expect("an answer");
@@ -65,7 +65,7 @@
 
     /// The settings with another payoff.
     fn other(&self, payoff: f64) -> Value {
-        let mut settings = self.world.config["settings"].clone();
+        let mut settings = self.fixture.config["settings"].clone();
         settings["profiles"][0]["payoff"] = payoff.into();
         settings
     }
@@ -76,7 +76,7 @@
 fn counts_of_commands() {
     let tried = Tried::new();
     for profile in ["read", "pay", "pay"] {
-        assert_eq!(tried.world.command(profile).status(), 200);
+        assert_eq!(tried.fixture.send_command(profile).status(), 200);
     }
     sleep(Duration::from_millis(1100));
     let counts = tried.counts(0);
@@ -101,10 +101,10 @@
         later["seconds"].as_array().is_some_and(|s| s.iter().all(|second| taken(second) == 0)),
         "{later}"
     );
-    let (world, admin) = World::with_admin(1, |_| BackendAction::Succeed);
+    let (fixture, admin) = NodeFixture::with_admin(1, |_| BackendAction::Succeed);
     assert_eq!(call_admin(admin, "GET /counts").status(), 404);
     assert_eq!(call_admin(admin, "PUT /rollout").status(), 404);
-    drop(world);
+    drop(fixture);
 }
 
 /// Settings on trial hold until their leader is silent for too long, and then the former ones do again; what is
@@ -131,9 +131,9 @@
     let told: Value = serde_json::from_slice(&call_admin(tried.admin, "GET /settings").body).expect("JSON");
     assert_eq!(told["profiles"][0]["payoff"], 3.0);
     assert_eq!(tried.say(1, attempt(&former, &other, 900)).0, 200, "told again it is the same");
-    assert_eq!(tried.world.command("read").status(), 200);
-    let file = tried.world.config.to_string();
-    assert!(tried.world.reload(&file).contains("on trial"));
+    assert_eq!(tried.fixture.send_command("read").status(), 200);
+    let file = tried.fixture.config.to_string();
+    assert!(tried.fixture.reload(&file).contains("on trial"));
     for _ in 0..4 {
         sleep(Duration::from_millis(400));
         assert_eq!(tried.say(1, json!({"what": "keep", "for_ms": 900})).0, 200);
@@ -160,10 +160,10 @@
     let attempt =
         |from: &str, other: &Value| json!({"what": "try", "from": from, "settings": other, "for_ms": 60_000});
     let restart = |tried: &mut Tried| {
-        let _ = tried.world.node.kill();
-        let _ = tried.world.node.wait();
-        let file = tried.world.folder.join("config.json");
-        tried.world.node = start_node_in(&tried.world.folder, &file, &[]);
+        let _ = tried.fixture.process.kill();
+        let _ = tried.fixture.process.wait();
+        let file = tried.fixture.dir.join("config.json");
+        tried.fixture.process = start_node_in(&tried.fixture.dir, &file, &[]);
         wait_until_ready(tried.admin);
     };
     assert_eq!(tried.say(6, json!({"what": "lead"})).0, 200);
@@ -176,9 +176,9 @@
     let changed = tried.digest();
     restart(&mut tried);
     assert_eq!(tried.digest(), changed);
-    let file = std::fs::read(tried.world.folder.join("config.json")).expect("a file");
+    let file = std::fs::read(tried.fixture.dir.join("config.json")).expect("a file");
     let file: Value = serde_json::from_slice(&file).expect("JSON");
     assert_eq!(file["settings"]["profiles"][0]["payoff"], 5.0);
-    assert_eq!(file["settings"]["me"], tried.world.config["settings"]["me"], "its place is its own");
-    assert_eq!(file["listen"], tried.world.config["listen"]);
+    assert_eq!(file["settings"]["me"], tried.fixture.config["settings"]["me"], "its place is its own");
+    assert_eq!(file["listen"], tried.fixture.config["listen"]);
 }
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -16,17 +16,17 @@
 use world::*;
 
 /// A process beside those that run, and its second address.
-fn beside(world: &World) -> (Child, SocketAddr) {
-    let admin = second_address(&world.config);
-    let file = world.folder.join("config.json");
-    (start_node_in(&world.folder, &file, &[("ROUTER_ADMIN", &admin.to_string())]), admin)
+fn beside(fixture: &NodeFixture) -> (Child, SocketAddr) {
+    let admin = free_admin_address(&fixture.config);
+    let file = fixture.dir.join("config.json");
+    (start_node_in(&fixture.dir, &file, &[("ROUTER_ADMIN", &admin.to_string())]), admin)
 }
 
 /// Puts the second process in the place of the first, which is to end well.
-fn upgrade(world: &mut World) -> SocketAddr {
-    let (new, admin) = beside(world);
+fn upgrade(fixture: &mut NodeFixture) -> SocketAddr {
+    let (new, admin) = beside(fixture);
     wait_until_ready(admin);
-    let mut old = std::mem::replace(&mut world.node, new);
+    let mut old = std::mem::replace(&mut fixture.process, new);
     send_signal(&old, "-TERM");
     assert!(old.wait().expect("an end").success());
     admin
@@ -36,15 +36,15 @@
 /// keep their connection are told to go before it ends.
 #[test]
 fn nothing_is_lost() {
-    let (mut world, _) = World::with_admin(4, |_| BackendAction::Succeed);
+    let (mut fixture, _) = NodeFixture::with_admin(4, |_| BackendAction::Succeed);
     let over = Arc::new(AtomicBool::new(false));
     let load = |kept: bool| {
-        let (over, listen) = (over.clone(), world.listen);
+        let (over, listen) = (over.clone(), fixture.listen);
         spawn(move || {
             let mut answers = Vec::new();
             let mut stream = None;
             while !over.load(SeqCst) {
-                let mut open = stream.take().unwrap_or_else(|| dial(listen));
+                let mut open = stream.take().unwrap_or_else(|| connect_to(listen));
                 open.write_all(command_request("pay", "a body", "").as_bytes()).expect("written");
                 let reply = read_message(&mut open).unwrap_or_default();
                 let close = reply.header("connection") == Some("close");
@@ -58,14 +58,14 @@
     let loads: Vec<_> = [true, false, true, false].map(load).into();
     for _ in 0..3 {
         sleep(Duration::from_millis(100));
-        upgrade(&mut world);
+        upgrade(&mut fixture);
     }
     over.store(true, SeqCst);
     let answers: Vec<u16> = loads.into_iter().flat_map(|l| l.join().expect("no client is cut off")).collect();
     assert!(answers.iter().all(|status| [200, 503].contains(status)), "{answers:?}");
     assert!(answers.iter().filter(|status| **status == 200).count() > answers.len() / 2, "{answers:?}");
     let mut launched: HashMap<String, usize> = HashMap::new();
-    for (_, launch) in world.launches.lock().expect("launches").iter() {
+    for (_, launch) in fixture.launches.lock().expect("launches").iter() {
         *launched.entry(launch.header("x-correlation-id").unwrap_or_default().to_owned()).or_default() += 1;
     }
     assert!(launched.values().all(|times| *times == 1), "{launched:?}");
@@ -75,34 +75,34 @@
 /// so, clients stay sent away, and so does the list as discovery told it last.
 #[test]
 fn what_was_said_holds() {
-    let (mut world, first) = World::with_admin(3, |_| BackendAction::Succeed);
-    wait_until("a watch", || world.watches.load(SeqCst) > 0);
-    let mut gone = world.entries[2].clone();
+    let (mut fixture, first) = NodeFixture::with_admin(3, |_| BackendAction::Succeed);
+    wait_until("a watch", || fixture.watch_count.load(SeqCst) > 0);
+    let mut gone = fixture.backend_entries[2].clone();
     gone["status"] = "gone".into();
     let line = json!({"index": 10, "snapshot": false, "endpoints": [gone]}).to_string();
-    world.list.send(line).expect("a watch");
+    fixture.watch_lines.send(line).expect("a watch");
     assert_eq!(call_admin(first, "PUT /backends/b0/maint").status(), 200);
     assert_eq!(call_admin(first, "PUT /healthcheck/fail").status(), 200);
-    let second = upgrade(&mut world);
-    assert_eq!(world.ask(UP).status(), 503, "clients are sent away still");
+    let second = upgrade(&mut fixture);
+    assert_eq!(fixture.send_request(UP_REQUEST).status(), 503, "clients are sent away still");
     assert_eq!(call_admin(second, "PUT /healthcheck/ok").status(), 200);
-    assert_eq!(world.ask(UP).status(), 200);
+    assert_eq!(fixture.send_request(UP_REQUEST).status(), 200);
     for _ in 0..12 {
-        assert_eq!(world.command("read").status(), 200);
+        assert_eq!(fixture.send_command("read").status(), 200);
     }
-    let seen: Vec<usize> = world.launches.lock().expect("launches").iter().map(|(n, _)| *n).collect();
+    let seen: Vec<usize> = fixture.launches.lock().expect("launches").iter().map(|(n, _)| *n).collect();
     assert!(seen.iter().all(|n| *n == 1), "b0 is left out and b2 is gone: {seen:?}");
     // While two run: said to the old one, it holds in the new one, and the other way round.
-    let mut kept = world.connect();
-    kept.write_all(UP.as_bytes()).expect("written");
+    let mut kept = fixture.connect();
+    kept.write_all(UP_REQUEST.as_bytes()).expect("written");
     assert_eq!(read_message(&mut kept).expect("an answer").status(), 200);
-    let (new, third) = beside(&world);
+    let (new, third) = beside(&fixture);
     wait_until_ready(third);
     assert_eq!(call_admin(second, "PUT /backends/b0/ready").status(), 200);
     assert_eq!(call_admin(second, "PUT /backends/b1/maint").status(), 200);
-    let before = world.launched();
-    assert_eq!(world.command("read").status(), 200);
-    assert_eq!(world.launches.lock().expect("launches")[before].0, 0, "the new process heard it");
+    let before = fixture.launch_count();
+    assert_eq!(fixture.send_command("read").status(), 200);
+    assert_eq!(fixture.launches.lock().expect("launches")[before].0, 0, "the new process heard it");
     assert_eq!(call_admin(third, "PUT /backends/b0/maint").status(), 200);
     kept.write_all(command_request("read", "a body", "").as_bytes()).expect("written");
     let reply = read_message(&mut kept).expect("an answer");
@@ -111,46 +111,46 @@
         (503, Some("close")),
         "the old process heard it"
     );
-    let old = std::mem::replace(&mut world.node, new);
+    let old = std::mem::replace(&mut fixture.process, new);
     send_signal(&old, "-KILL");
     old.wait_with_output().expect("an end");
     assert_eq!(call_admin(third, "PUT /backends/b0/ready").status(), 200, "no wait for one that is gone");
-    assert_eq!(world.command("read").status(), 200);
+    assert_eq!(fixture.send_command("read").status(), 200);
 }
 
 /// A new process that does not come up, or dies when it has the connections, leaves the old one as it was; a third one
 /// is refused while two run.
 #[test]
 fn the_old_process_goes_on() {
-    let (mut world, first) = World::with_admin(2, |_| BackendAction::Succeed);
-    let bad = world.folder.join("bad.json");
+    let (mut fixture, first) = NodeFixture::with_admin(2, |_| BackendAction::Succeed);
+    let bad = fixture.dir.join("bad.json");
     std::fs::write(&bad, "{").expect("a file");
     let taken = first.to_string();
     for (what, file, admin) in
-        [("a bad file", &bad, ""), ("a taken address", &world.folder.join("config.json"), &*taken)]
+        [("a bad file", &bad, ""), ("a taken address", &fixture.dir.join("config.json"), &*taken)]
     {
         let variables = [("ROUTER_ADMIN", admin)];
-        let new = start_node_in(&world.folder, file, &variables[usize::from(admin.is_empty())..]);
+        let new = start_node_in(&fixture.dir, file, &variables[usize::from(admin.is_empty())..]);
         let output = new.wait_with_output().expect("an end");
         let text = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success() && text.lines().count() == 1, "{what}: {text}");
-        assert_eq!(world.command("read").status(), 200, "{what}");
+        assert_eq!(fixture.send_command("read").status(), 200, "{what}");
     }
     for round in 0..3 {
-        let (mut new, admin) = beside(&world);
+        let (mut new, admin) = beside(&fixture);
         wait_until_ready(admin);
-        let (third, _) = beside(&world);
+        let (third, _) = beside(&fixture);
         let output = third.wait_with_output().expect("an end");
         let text = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success() && text.contains("two processes"), "{round}: {text}");
-        assert_eq!(world.command("read").status(), 200, "{round}: by the new one");
+        assert_eq!(fixture.send_command("read").status(), 200, "{round}: by the new one");
         new.kill().expect("killed");
         new.wait().expect("an end");
-        assert_eq!(world.command("read").status(), 200, "{round}: by the old one again");
+        assert_eq!(fixture.send_command("read").status(), 200, "{round}: by the old one again");
         assert_eq!(call_admin(first, "GET /healthcheck").status(), 200);
     }
-    upgrade(&mut world);
-    assert_eq!(world.command("read").status(), 200, "and then one that holds");
+    upgrade(&mut fixture);
+    assert_eq!(fixture.send_command("read").status(), 200, "and then one that holds");
 }
 
 /// Whatever stands where the old process should be costs a bounded wait: the start is as from nothing, and says so.
@@ -174,17 +174,17 @@
     for (what, peer, says) in
         [("stale", stale, false), ("hangs", hangs, true), ("another version", other, true)]
     {
-        let (mut first, _) = World::with_admin(1, |_| BackendAction::Succeed);
-        first.node.kill().expect("killed");
-        first.node.wait().expect("an end");
-        let path = first.folder.join(format!("{}.sock", first.listen));
+        let (mut fixture, _) = NodeFixture::with_admin(1, |_| BackendAction::Succeed);
+        fixture.process.kill().expect("killed");
+        fixture.process.wait().expect("an end");
+        let path = fixture.dir.join(format!("{}.sock", fixture.listen));
         std::fs::remove_file(&path).expect("the old one's file");
         peer(&path);
-        let (mut new, admin) = beside(&first);
+        let (mut new, admin) = beside(&fixture);
         let mut log = BufReader::new(new.stderr.take().expect("a log"));
-        first.node = new;
+        fixture.process = new;
         wait_until_ready(admin);
-        assert_eq!(first.command("read").status(), 200, "{what}");
+        assert_eq!(fixture.send_command("read").status(), 200, "{what}");
         let mut text = String::new();
         while !text.contains("listening on") {
             assert!(log.read_line(&mut text).expect("a line") > 0, "{what}: {text}");
@@ -196,18 +196,18 @@
 /// An id that is in hand in either of two processes is open in both: passed on again its command would run twice.
 #[test]
 fn ids_in_hand_of_both() {
-    let acts = |n| if n < 2 { BackendAction::Sized(24 << 20) } else { BackendAction::Succeed };
-    let (mut world, first) = World::with_admin(4, acts);
+    let acts = |n| if n < 2 { BackendAction::BodyWithLength(24 << 20) } else { BackendAction::Succeed };
+    let (mut fixture, first) = NodeFixture::with_admin(4, acts);
     let (old, new) = (command_request("pay", "a body", ""), command_request("pay", "a body", ""));
-    let [mut by_old, mut kept] = [(); 2].map(|()| world.connect());
+    let [mut by_old, mut kept] = [(); 2].map(|()| fixture.connect());
     by_old.write_all(old.as_bytes()).expect("written");
     wait_until("it is in hand", || by_old.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
-    kept.write_all(UP.as_bytes()).expect("written");
+    kept.write_all(UP_REQUEST.as_bytes()).expect("written");
     assert_eq!(read_message(&mut kept).expect("an answer").status(), 200);
-    let (process, admin) = beside(&world);
+    let (process, admin) = beside(&fixture);
     wait_until_ready(admin);
-    assert_eq!(world.ask(&old).status(), 409, "asked again of the new one");
-    let mut by_new = world.connect();
+    assert_eq!(fixture.send_request(&old).status(), 409, "asked again of the new one");
+    let mut by_new = fixture.connect();
     by_new.write_all(new.as_bytes()).expect("written");
     wait_until("it is in hand", || by_new.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
     // The old one hears of it with the next beat, a call's answer behind that.
@@ -215,8 +215,8 @@
     assert_eq!(call_admin(first, "PUT /healthcheck/ok").status(), 200);
     kept.write_all(new.as_bytes()).expect("written");
     assert_eq!(read_message(&mut kept).unwrap_or_default().status(), 409, "asked again of the old one");
-    assert_eq!(world.launched(), 2);
-    let mut old = std::mem::replace(&mut world.node, process);
+    assert_eq!(fixture.launch_count(), 2);
+    let mut old = std::mem::replace(&mut fixture.process, process);
     old.kill().expect("killed");
     old.wait().expect("an end");
 }
@@ -226,8 +226,8 @@
 /// process it would be warm.
 #[test]
 fn what_a_new_process_is_told() {
-    let (world, admin) = World::with_admin(2, |_| BackendAction::Succeed);
-    let path = world.folder.join(format!("{}.sock", world.listen));
+    let (fixture, admin) = NodeFixture::with_admin(2, |_| BackendAction::Succeed);
+    let path = fixture.dir.join(format!("{}.sock", fixture.listen));
     let ask = |text: &str| {
         let mut stream = UnixStream::connect(&path).expect("a door");
         stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a limit");
@@ -242,9 +242,9 @@
     for text in ["PUT /backends/b0/maint", "PUT /backends/b0/ready", "PUT /backends/b1/maint"] {
         assert_eq!(call_admin(admin, text).status(), 200);
     }
-    wait_until("a watch", || world.watches.load(SeqCst) > 0);
-    let line = json!({"index": 77, "snapshot": true, "endpoints": world.entries}).to_string();
-    world.list.send(line).expect("a watch");
+    wait_until("a watch", || fixture.watch_count.load(SeqCst) > 0);
+    let line = json!({"index": 77, "snapshot": true, "endpoints": fixture.backend_entries}).to_string();
+    fixture.watch_lines.send(line).expect("a watch");
     let mut state = Value::Null;
     wait_until("the list of that index", || {
         state = ask("{\"hello\":{\"version\":1}}\n").unwrap_or_default()["state"].clone();
@@ -253,24 +253,24 @@
     assert_eq!(state["left_out"], json!(["b1"]));
     let entries = &state["list"]["endpoints"];
     assert!(entries[0]["since_ms"].as_u64() > Some(0) && entries[1]["since_ms"] == 0, "{entries}");
-    assert_eq!(world.command("read").status(), 200);
+    assert_eq!(fixture.send_command("read").status(), 200);
 }
 
 /// A second new process that comes while the first is still being told what there is, more than its socket holds, finds no
 /// room, and the first one's end makes room again. Before, both were let in.
 #[test]
 fn two_new_processes_at_once() {
-    let (world, _) = World::with_admin(1, |_| BackendAction::Succeed);
-    let path = world.folder.join(format!("{}.sock", world.listen));
-    wait_until("a watch", || world.watches.load(SeqCst) > 0);
+    let (fixture, _) = NodeFixture::with_admin(1, |_| BackendAction::Succeed);
+    let path = fixture.dir.join(format!("{}.sock", fixture.listen));
+    wait_until("a watch", || fixture.watch_count.load(SeqCst) > 0);
     let many = (0..6000).map(|n| {
-        let mut entry = world.entries[0].clone();
+        let mut entry = fixture.backend_entries[0].clone();
         (entry["name"], entry["status"]) =
             (format!("b{n}").into(), if n == 0 { "ready" } else { "draining" }.into());
         entry
     });
     let line = json!({"index": 77, "snapshot": true, "endpoints": many.collect::<Vec<_>>()}).to_string();
-    world.list.send(line).expect("a watch");
+    fixture.watch_lines.send(line).expect("a watch");
     let hello = || {
         let mut stream = UnixStream::connect(&path).expect("a door");
         stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a limit");
@@ -298,50 +298,58 @@
         in_time
     });
     wait_until("there is room again", || word(hello()).0 == "state");
-    assert_eq!(world.command("read").status(), 200);
+    assert_eq!(fixture.send_command("read").status(), 200);
 }
 
 /// A new process that is told to stop before it has read its start takes the connections all the same and lets them go
 /// again as it ends: who comes meanwhile is served, and then the old one serves on, until another comes that stays.
 #[test]
 fn a_new_process_that_is_told_to_stop() {
-    let (mut world, _) = World::with_admin(2, |_| BackendAction::Succeed);
-    let admin = second_address(&world.config).to_string();
-    let (mut new, _, mut told) = start_held(&world.folder, &[("ROUTER_ADMIN", &admin)]);
+    let (mut fixture, _) = NodeFixture::with_admin(2, |_| BackendAction::Succeed);
+    let admin = free_admin_address(&fixture.config).to_string();
+    let (mut new, _, mut told) = start_node_reading_fifo(&fixture.dir, &[("ROUTER_ADMIN", &admin)]);
     send_signal(&new, "-TERM");
-    told.write_all(world.config.to_string().as_bytes()).expect("written");
+    told.write_all(fixture.config.to_string().as_bytes()).expect("written");
     drop(told);
     let mut after = 0;
     wait_until("it has ended, and the old one serves", || {
-        assert_eq!(world.command("read").status(), 200, "{after} after its end");
+        assert_eq!(fixture.send_command("read").status(), 200, "{after} after its end");
         after += u32::from(new.try_wait().expect("a process").is_some_and(|end| end.success()));
         after == 10
     });
-    upgrade(&mut world);
-    assert_eq!(world.command("read").status(), 200, "by one that stays");
+    upgrade(&mut fixture);
+    assert_eq!(fixture.send_command("read").status(), 200, "by one that stays");
 }
 
 /// Two processes are one node, also for its budget of launches: the new one launches nothing beyond commands' first
 /// while the old one runs and a window after, as the old one may have spent what is spare; then it may.
 #[test]
 fn what_is_spare_is_had_once() {
-    let mut world = World::new(
+    let mut fixture = NodeFixture::new(
         4,
         |n| if n < 2 { BackendAction::Status(503, "X-Unprocessed: 1\r\n") } else { BackendAction::Succeed },
         |config| {
-            config["admin"] = second_address(config).to_string().into();
+            config["admin"] = free_admin_address(config).to_string().into();
             let rules = &mut config["settings"]["guarantees"];
             rules["spareAttempts"] = 1.into();
             rules["repeatRatio"] = 0.into();
             rules["extraWindow"] = 50_000_000.into();
         },
     );
-    let (new, admin) = beside(&world);
+    let (new, admin) = beside(&fixture);
     wait_until_ready(admin);
-    assert_eq!((world.command("read").status(), world.launched()), (503, 1), "while the old one runs");
-    let mut old = std::mem::replace(&mut world.node, new);
+    assert_eq!(
+        (fixture.send_command("read").status(), fixture.launch_count()),
+        (503, 1),
+        "while the old one runs"
+    );
+    let mut old = std::mem::replace(&mut fixture.process, new);
     send_signal(&old, "-TERM");
     assert!(old.wait().expect("an end").success());
     sleep(Duration::from_millis(200));
-    assert_eq!((world.command("read").status(), world.launched()), (200, 3), "a window after it has ended");
+    assert_eq!(
+        (fixture.send_command("read").status(), fixture.launch_count()),
+        (200, 3),
+        "a window after it has ended"
+    );
 }
--- a/crates/node/tests/world/mod.rs
+++ b/crates/node/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A node as a process on loopback sockets, with toy backends and a toy discovery around it.
+//! Test support: a node as a process on loopback sockets, with test backends and a test discovery service around it.
 
 #[path = "../../../../tests/help/mod.rs"]
 mod help;
@@ -14,7 +14,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// A message as it was read: the first line, the headers in lower case, the body.
+/// An HTTP message as it was read: the request or status line, the headers with lower-case names, the body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub start_line: String,
@@ -32,21 +32,21 @@
     }
 }
 
-/// The next message on a connection; none when it has ended.
+/// Reads the next message of a connection; `None` if the connection has ended.
 pub fn read_message(stream: &mut TcpStream) -> Option<Message> {
-    let (mut bytes, mut one) = (Vec::new(), [0]);
+    let (mut bytes, mut byte) = (Vec::new(), [0]);
     while !bytes.ends_with(b"\r\n\r\n") {
-        stream.read_exact(&mut one).ok()?;
-        bytes.push(one[0]);
+        stream.read_exact(&mut byte).ok()?;
+        bytes.push(byte[0]);
     }
     let text = String::from_utf8_lossy(&bytes).into_owned();
     let mut lines = text.lines();
-    let first = lines.next()?.to_owned();
-    let head = lines.filter_map(|l| l.split_once(": ").map(|(n, v)| (n.to_lowercase(), v.to_owned())));
-    let mut message = Message { start_line: first, headers: head.collect(), body: Vec::new() };
+    let start_line = lines.next()?.to_owned();
+    let headers = lines.filter_map(|l| l.split_once(": ").map(|(n, v)| (n.to_lowercase(), v.to_owned())));
+    let mut message = Message { start_line, headers: headers.collect(), body: Vec::new() };
     let length = message.header("content-length").and_then(|l| l.parse().ok());
     if message.header("transfer-encoding") == Some("chunked") {
-        message.body = chunks(stream)?;
+        message.body = read_chunked_body(stream)?;
     } else if let Some(length) = length {
         message.body.resize(length, 0);
         stream.read_exact(&mut message.body).ok()?;
@@ -56,14 +56,14 @@
     Some(message)
 }
 
-/// A body by its chunks; none if the last one does not come.
-fn chunks(stream: &mut TcpStream) -> Option<Vec<u8>> {
+/// Reads a chunked body; `None` if the connection ends before the last chunk.
+fn read_chunked_body(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
-        let (mut size, mut one) = (Vec::new(), [0]);
+        let (mut size, mut byte) = (Vec::new(), [0]);
         while !size.ends_with(b"\r\n") {
-            stream.read_exact(&mut one).ok()?;
-            size.push(one[0]);
+            stream.read_exact(&mut byte).ok()?;
+            size.push(byte[0]);
         }
         let text = String::from_utf8_lossy(&size);
         let size = usize::from_str_radix(text.trim().split(';').next()?, 16).ok()?;
@@ -77,37 +77,38 @@
     }
 }
 
-/// So many bytes, each of which tells where it stands.
-pub fn bytes(count: usize) -> Vec<u8> {
+/// A body of this length in which each byte depends on its position, so that lost or reordered parts show.
+pub fn patterned_bytes(count: usize) -> Vec<u8> {
     let mut bytes = (0..251u8).collect::<Vec<_>>().repeat(count / 251 + 1);
     bytes.truncate(count);
     bytes
 }
 
-/// What has a watch fall silent, as a cut network does.
-pub const SILENCE: &str = "silence";
+/// Sent instead of a list, it makes discovery leave the watch open and silent, as a network partition does.
+pub const SILENCE_WATCH: &str = "silence";
 
-/// A discovery that tells its watches what it is sent: its channel, its address, and how many watches came.
-pub fn start_discovery(own: &str) -> (mpsc::Sender<String>, SocketAddr, Arc<AtomicUsize>) {
-    let (list, lines) = mpsc::channel::<String>();
-    let watches = Arc::new(AtomicUsize::new(0));
-    let (discovery, told) = bind_listener(own);
-    let watched = watches.clone();
+/// Starts a discovery service that forwards the lines of a channel to its current watch. Returns the channel, the service's
+/// address and the number of watches so far.
+pub fn start_discovery(host: &str) -> (mpsc::Sender<String>, SocketAddr, Arc<AtomicUsize>) {
+    let (watch_lines, lines) = mpsc::channel::<String>();
+    let watch_count = Arc::new(AtomicUsize::new(0));
+    let (listener, address) = bind_listener(host);
+    let counted = watch_count.clone();
     spawn(move || {
-        let mut silent = Vec::new();
-        for mut stream in discovery.incoming().flatten() {
+        let mut silent_streams = Vec::new();
+        for mut stream in listener.incoming().flatten() {
             if read_message(&mut stream).is_none() {
                 continue;
             }
-            let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
-            let _ = stream.write_all(head.as_bytes());
-            watched.fetch_add(1, SeqCst);
-            // With a beat every two seconds, as the protocol has it; an empty text ends the watch.
+            let response_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
+            let _ = stream.write_all(response_head.as_bytes());
+            counted.fetch_add(1, SeqCst);
+            // The protocol has a heartbeat every two seconds; an empty line on the channel ends the watch.
             loop {
                 let line = match lines.recv_timeout(Duration::from_secs(2)) {
                     Ok(line) if line.is_empty() => break,
-                    Ok(line) if line == SILENCE => {
-                        silent.push(stream);
+                    Ok(line) if line == SILENCE_WATCH => {
+                        silent_streams.push(stream);
                         break;
                     }
                     Ok(line) => line,
@@ -121,89 +122,105 @@
             }
         }
     });
-    (list, told, watches)
+    (watch_lines, address, watch_count)
 }
 
-/// What a backend does with a launch.
+/// What a test backend does with a launch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendAction {
     Succeed,
-    Late,
+    /// Succeeds after 150 ms.
+    SucceedLate,
+    /// An answer with this status and these additional header lines.
     Status(u16, &'static str),
-    Break,
-    HalfAnswer,
-    /// A good answer that is larger than the protocol has it.
-    Large,
-    /// An answer that tells of gigabytes, and goes on.
-    Huge,
-    /// Answers, and closes the connection without having said so.
-    FinishAndClose,
-    /// So many bytes, by their length; in chunks cut anywhere, with all that chunks may have; by their end.
-    Sized(usize),
-    Chunked(usize),
-    ByEnd(usize),
-    /// So many of them, and then nothing for longer than any command's time, and then the rest.
-    Pause(usize),
-    /// So many are told, and half of them come.
-    Half(usize),
-    /// A small answer, byte by byte.
-    Trickle,
-    /// Just this.
-    Text(&'static str),
+    /// Closes the connection without an answer.
+    CloseConnection,
+    /// Closes the connection in the middle of the answer.
+    TruncatedAnswer,
+    /// A successful answer that is larger than the protocol allows.
+    OversizedAnswer,
+    /// An answer that announces gigabytes and keeps the connection open.
+    HugeContentLength,
+    /// Answers, then closes the connection without having announced it.
+    SucceedAndClose,
+    /// A body of this many bytes, announced by its length.
+    BodyWithLength(usize),
+    /// The same in chunks of odd sizes, with chunk extensions and trailers.
+    ChunkedBody(usize),
+    /// The same, ended by closing the connection.
+    BodyUntilClose(usize),
+    /// Half of a body of this many bytes, then a pause longer than any command's time limit, then the other half.
+    PauseInBody(usize),
+    /// Announces this many bytes, sends half of them and closes the connection.
+    HalfOfBody(usize),
+    /// A small answer, sent byte by byte.
+    ByteByByte,
+    /// Exactly this text.
+    RawText(&'static str),
 }
 
-pub const DONE: &str =
+pub const SUCCESS_RESPONSE: &str =
     "HTTP/1.1 200 OK\r\nX-Kept: yes\r\nKeep-Alive: timeout=9\r\nContent-Length: 9\r\n\r\nfrom \x01\x02\r\n";
 
-/// What every backend says to a probe.
+/// The answer of every test backend to a probe.
 pub const LOAD_REPORT: &str = r#"{"inflight":0,"queue":0,"util":0.1}"#;
 
-pub fn respond(act: BackendAction, stream: &mut TcpStream) -> bool {
-    if act == BackendAction::Late {
+/// Answers one launch. Returns whether the connection stays open.
+pub fn respond(action: BackendAction, stream: &mut TcpStream) -> bool {
+    if action == BackendAction::SucceedLate {
         sleep(Duration::from_millis(150));
     }
-    if let Some(ok) = long(act, stream) {
-        return ok;
+    if let Some(sent) = respond_in_parts(action, stream) {
+        return sent;
     }
-    let text = match act {
-        BackendAction::Succeed | BackendAction::Late | BackendAction::FinishAndClose => DONE.to_owned(),
-        BackendAction::Text(text) => text.to_owned(),
-        BackendAction::Status(code, more) => {
-            format!("HTTP/1.1 {code} Odd\r\n{more}Content-Length: 0\r\n\r\n")
+    let text = match action {
+        BackendAction::Succeed | BackendAction::SucceedLate | BackendAction::SucceedAndClose => {
+            SUCCESS_RESPONSE.to_owned()
+        }
+        BackendAction::RawText(text) => text.to_owned(),
+        BackendAction::Status(code, headers) => {
+            format!("HTTP/1.1 {code} Odd\r\n{headers}Content-Length: 0\r\n\r\n")
+        }
+        BackendAction::CloseConnection => String::new(),
+        BackendAction::OversizedAnswer => {
+            SUCCESS_RESPONSE.replace("Length: 9", "Length: 400009") + &"x".repeat(400_000)
         }
-        BackendAction::Break => String::new(),
-        BackendAction::Large => DONE.replace("Length: 9", "Length: 400009") + &"x".repeat(400_000),
-        BackendAction::Huge => DONE.replace("Length: 9", "Length: 3221225472"),
-        BackendAction::HalfAnswer => DONE[..DONE.len() - 4].to_owned(),
+        BackendAction::HugeContentLength => SUCCESS_RESPONSE.replace("Length: 9", "Length: 3221225472"),
+        BackendAction::TruncatedAnswer => SUCCESS_RESPONSE[..SUCCESS_RESPONSE.len() - 4].to_owned(),
         _ => String::new(),
     };
     stream.write_all(text.as_bytes()).is_ok()
-        && !matches!(act, BackendAction::Break | BackendAction::HalfAnswer | BackendAction::FinishAndClose)
+        && !matches!(
+            action,
+            BackendAction::CloseConnection | BackendAction::TruncatedAnswer | BackendAction::SucceedAndClose
+        )
 }
 
-/// The acts that need more than one text to write.
-fn long(act: BackendAction, stream: &mut TcpStream) -> Option<bool> {
+/// The actions that take several writes; `None` for all others.
+fn respond_in_parts(action: BackendAction, stream: &mut TcpStream) -> Option<bool> {
     let mut write = |bytes: &[u8]| stream.write_all(bytes).is_ok();
-    let head = |more: String| format!("HTTP/1.1 200 OK\r\n{more}\r\n");
+    let head = |headers: String| format!("HTTP/1.1 200 OK\r\n{headers}\r\n");
     let sized = |count: usize| head(format!("Content-Length: {count}\r\n"));
-    let ok = match act {
-        BackendAction::Sized(count) => write(sized(count).as_bytes()) && write(&bytes(count)),
-        BackendAction::Pause(count) => {
-            let (all, first) = (bytes(count), count / 2);
-            let started = write(sized(count).as_bytes()) && write(&all[..first]);
+    let sent = match action {
+        BackendAction::BodyWithLength(count) => {
+            write(sized(count).as_bytes()) && write(&patterned_bytes(count))
+        }
+        BackendAction::PauseInBody(count) => {
+            let (all, half) = (patterned_bytes(count), count / 2);
+            let started = write(sized(count).as_bytes()) && write(&all[..half]);
             sleep(Duration::from_millis(2500));
-            started && write(&all[first..])
+            started && write(&all[half..])
         }
-        BackendAction::Half(count) => {
-            let _ = write(sized(count).as_bytes()) && write(&bytes(count / 2));
+        BackendAction::HalfOfBody(count) => {
+            let _ = write(sized(count).as_bytes()) && write(&patterned_bytes(count / 2));
             false
         }
-        BackendAction::ByEnd(count) => {
-            let _ = write(b"HTTP/1.0 200 OK\r\n\r\n") && write(&bytes(count));
+        BackendAction::BodyUntilClose(count) => {
+            let _ = write(b"HTTP/1.0 200 OK\r\n\r\n") && write(&patterned_bytes(count));
             false
         }
-        BackendAction::Chunked(count) => {
-            let all = bytes(count);
+        BackendAction::ChunkedBody(count) => {
+            let all = patterned_bytes(count);
             let mut sent = write(head("Transfer-Encoding: chunked\r\n".to_owned()).as_bytes());
             let mut rest = &all[..];
             for size in [1, 7, 4096, 70_000, 333].into_iter().cycle() {
@@ -216,63 +233,67 @@
             }
             sent && write(b"0\r\nX-Trailer: yes\r\n\r\n")
         }
-        BackendAction::Trickle => DONE.bytes().all(|byte| {
+        BackendAction::ByteByByte => SUCCESS_RESPONSE.bytes().all(|byte| {
             sleep(Duration::from_millis(1));
             write(&[byte])
         }),
         _ => return None,
     };
-    Some(ok)
+    Some(sent)
 }
 
-/// All launches that any backend of a test has read, with the backend's number.
+/// All launches that the backends of a test have received, each with the number of its backend.
 pub type Launches = Arc<Mutex<Vec<(usize, Message)>>>;
 
-pub struct World {
-    pub node: Child,
+/// A running node with test backends and a test discovery service around it.
+pub struct NodeFixture {
+    pub process: Child,
     pub listen: SocketAddr,
     pub launches: Launches,
     pub probes: Arc<Mutex<Vec<Message>>>,
-    /// Lines for whoever watches the list.
-    pub list: mpsc::Sender<String>,
-    pub watches: Arc<AtomicUsize>,
-    pub entries: Vec<Value>,
+    /// Lines that discovery sends to the current watch.
+    pub watch_lines: mpsc::Sender<String>,
+    /// The number of watches that the node has opened so far.
+    pub watch_count: Arc<AtomicUsize>,
+    /// The backends as discovery lists them.
+    pub backend_entries: Vec<Value>,
     pub config: Value,
-    pub folder: PathBuf,
+    pub dir: PathBuf,
     pub log: BufReader<ChildStderr>,
 }
 
-impl Drop for World {
+impl Drop for NodeFixture {
     fn drop(&mut self) {
-        let _ = self.node.kill();
-        let _ = self.node.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+        let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
-/// Held while a process is started and while a port is let go: between fork and exec a child has all sockets of
-/// this one, and a port that is closed meanwhile is still taken when its node comes up.
-pub static STARTING: Mutex<()> = Mutex::new(());
+/// Held while a process is started and while a port is released: between fork and exec a child process holds all sockets of
+/// its parent, so a port that is closed in this time would still be in use when its node starts.
+pub static PROCESS_START_LOCK: Mutex<()> = Mutex::new(());
 
 pub fn lock_process_start() -> std::sync::MutexGuard<'static, ()> {
-    STARTING.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    PROCESS_START_LOCK.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-pub static WORLDS: AtomicUsize = AtomicUsize::new(0);
+pub static FIXTURE_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// A loopback address of its own for each node and its surroundings: ports that are free for a moment only
-/// must not be taken by another test.
+/// A loopback address of its own for each node and its surroundings, so that no other test takes a port that is free only for
+/// a moment.
 pub fn unique_loopback_address() -> String {
-    let (number, process) = (WORLDS.fetch_add(1, SeqCst), std::process::id());
+    let (number, process) = (FIXTURE_COUNT.fetch_add(1, SeqCst), std::process::id());
     format!("127.{}.{}.{}", 16 + process / 250 % 200, 1 + process % 250, 1 + number % 250)
 }
 
-pub fn bind_listener(address: &str) -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind((address, 0)).expect("a free port");
-    let at = listener.local_addr().expect("its address");
-    (listener, at)
+pub fn bind_listener(host: &str) -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind((host, 0)).expect("a free port");
+    let address = listener.local_addr().expect("its address");
+    (listener, address)
 }
 
+/// Settings with one profile of each idempotency: `read`, `mark` and `pay`.
 pub fn default_settings() -> Value {
     let mut settings = help::terms();
     settings["balancers"] = 1.into();
@@ -292,64 +313,65 @@
     settings
 }
 
-pub fn start(config: &Value, variables: &[(&str, &str)]) -> (Child, PathBuf) {
-    let folder = std::env::temp_dir().join(format!("yarrowfront-test-{}", unique_loopback_address()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let file = folder.join("config.json");
+/// Starts a node with this configuration in a new directory.
+pub fn start_node(config: &Value, environment: &[(&str, &str)]) -> (Child, PathBuf) {
+    let dir = std::env::temp_dir().join(format!("yarrowfront-test-{}", unique_loopback_address()));
+    std::fs::create_dir_all(&dir).expect("a directory");
+    let file = dir.join("config.json");
     std::fs::write(&file, config.to_string()).expect("a file");
-    (start_node_in(&folder, &file, variables), folder)
+    (start_node_in(&dir, &file, environment), dir)
 }
 
-/// Starts a process that has begun to read its start, and reads until that is let go.
-pub fn start_held(folder: &Path, variables: &[(&str, &str)]) -> (Child, PathBuf, std::fs::File) {
-    let file = folder.join("start");
+/// Starts a process whose configuration is a FIFO: it keeps reading until the returned file is dropped.
+pub fn start_node_reading_fifo(dir: &Path, environment: &[(&str, &str)]) -> (Child, PathBuf, std::fs::File) {
+    let file = dir.join("start");
     assert!(Command::new("mkfifo").arg(&file).status().expect("mkfifo").success());
-    let child = start_node_in(folder, &file, variables);
-    let told = std::fs::File::options().write(true).open(&file).expect("somebody reads");
-    (child, file, told)
+    let child = start_node_in(dir, &file, environment);
+    let config_writer = std::fs::File::options().write(true).open(&file).expect("the node reads it");
+    (child, file, config_writer)
 }
 
-/// The node, or where another package's tests stand around it that one's.
+/// The node program of the package under test.
 pub fn node_program() -> &'static str {
-    let own = option_env!("CARGO_BIN_EXE_yarrowfront");
-    own.or(option_env!("CARGO_BIN_EXE_yarrowfront-tested")).expect("a program")
+    let node = option_env!("CARGO_BIN_EXE_yarrowfront");
+    node.or(option_env!("CARGO_BIN_EXE_yarrowfront-tested")).expect("a program")
 }
 
-/// Starts a process of the node by that file, in a folder that its processes share.
-pub fn start_node_in(folder: &Path, file: &Path, variables: &[(&str, &str)]) -> Child {
+/// Starts a node process with this configuration file, in a directory that all processes of the node share.
+pub fn start_node_in(dir: &Path, file: &Path, environment: &[(&str, &str)]) -> Child {
     let mut command = Command::new(node_program());
-    command.env_clear().env("ROUTER_CONFIG", file).env("TMPDIR", folder).envs(variables.iter().copied());
+    command.env_clear().env("ROUTER_CONFIG", file).env("TMPDIR", dir).envs(environment.iter().copied());
     command.stderr(Stdio::piped()).stdout(Stdio::null());
-    let _alone = lock_process_start();
+    let _lock = lock_process_start();
     command.spawn().expect("the node starts")
 }
 
-/// A backend on an address of its own, and its entry on the list.
-pub fn backend(
-    own: &str,
+/// Starts a test backend and returns its entry in the backend list.
+pub fn start_backend(
+    host: &str,
     number: usize,
-    acts: fn(usize) -> BackendAction,
+    action_of: fn(usize) -> BackendAction,
     launches: &Launches,
     probes: &Arc<Mutex<Vec<Message>>>,
 ) -> Value {
-    let (listener, address) = bind_listener(own);
-    stand(listener, number, acts, launches, probes);
-    entry(&format!("b{number}"), address)
+    let (listener, address) = bind_listener(host);
+    serve_backend(listener, number, action_of, launches, probes);
+    backend_entry(&format!("b{number}"), address)
 }
 
-/// A backend's entry on the list.
-pub fn entry(name: &str, at: SocketAddr) -> Value {
+/// A backend's entry in the backend list.
+pub fn backend_entry(name: &str, address: SocketAddr) -> Value {
     json!({
-        "name": name, "address": at.to_string(), "zone": "here", "type": "small",
+        "name": name, "address": address.to_string(), "zone": "here", "type": "small",
         "group": 1, "status": "ready", "weight": 1.0, "since_ms": 0,
     })
 }
 
-/// Takes connections there as the backend of that number from now on.
-pub fn stand(
+/// Serves the listener's connections as the backend of this number from now on.
+pub fn serve_backend(
     listener: TcpListener,
     number: usize,
-    acts: fn(usize) -> BackendAction,
+    action_of: fn(usize) -> BackendAction,
     launches: &Launches,
     probes: &Arc<Mutex<Vec<Message>>>,
 ) {
@@ -371,7 +393,7 @@
                         all.push((number, message));
                         all.len() - 1
                     };
-                    if !respond(acts(count), &mut stream) {
+                    if !respond(action_of(count), &mut stream) {
                         break;
                     }
                 }
@@ -380,83 +402,100 @@
     });
 }
 
-impl World {
-    /// So many backends, which act by the number of the launch over all of them.
-    pub fn new(backends: usize, acts: fn(usize) -> BackendAction, change: fn(&mut Value)) -> World {
-        World::with_variables(backends, acts, change, &[])
+impl NodeFixture {
+    /// Starts a node with this number of backends. `action_of` takes the number of a launch, counted over all backends;
+    /// `change_config` edits the node's configuration before its start.
+    pub fn new(
+        backends: usize,
+        action_of: fn(usize) -> BackendAction,
+        change_config: fn(&mut Value),
+    ) -> NodeFixture {
+        NodeFixture::with_environment(backends, action_of, change_config, &[])
     }
 
-    /// The same with variables in the node's environment.
-    pub fn with_variables(
+    /// The same with additional environment variables for the node.
+    pub fn with_environment(
         backends: usize,
-        acts: fn(usize) -> BackendAction,
-        change: fn(&mut Value),
-        variables: &[(&str, &str)],
-    ) -> World {
-        let (launches, own): (Launches, String) = (Arc::default(), unique_loopback_address());
+        action_of: fn(usize) -> BackendAction,
+        change_config: fn(&mut Value),
+        environment: &[(&str, &str)],
+    ) -> NodeFixture {
+        let (launches, host): (Launches, String) = (Arc::default(), unique_loopback_address());
         let probes: Arc<Mutex<Vec<Message>>> = Arc::default();
-        let mut entries = Vec::new();
+        let mut backend_entries = Vec::new();
         for number in 0..backends {
-            entries.push(backend(&own, number, acts, &launches, &probes));
+            backend_entries.push(start_backend(&host, number, action_of, &launches, &probes));
         }
-        let (list, told, watches) = start_discovery(&own);
+        let (watch_lines, discovery_address, watch_count) = start_discovery(&host);
         let listen = {
-            let _alone = lock_process_start();
-            bind_listener(&own).1
+            let _lock = lock_process_start();
+            bind_listener(&host).1
         };
         let mut config = json!({
-            "name": "n1", "listen": listen.to_string(), "discovery": told.to_string(),
+            "name": "n1", "listen": listen.to_string(), "discovery": discovery_address.to_string(),
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"index": 4, "snapshot": true, "endpoints": entries}, "settings": default_settings(),
+            "known": {"index": 4, "snapshot": true, "endpoints": backend_entries}, "settings": default_settings(),
         });
-        change(&mut config);
-        let (mut node, folder) = start(&config, variables);
-        let mut log = BufReader::new(node.stderr.take().expect("a log"));
+        change_config(&mut config);
+        let (mut process, dir) = start_node(&config, environment);
+        let mut log = BufReader::new(process.stderr.take().expect("a log"));
         let mut line = String::new();
         log.read_line(&mut line).expect("a line");
-        assert!(line.contains("listening on"), "the node does not come up: {line}");
-        let world = World { node, listen, launches, probes, list, watches, entries, config, folder, log };
-        assert_eq!(world.ask(UP).status(), 200);
-        world
+        assert!(line.contains("listening on"), "the node did not start: {line}");
+        let fixture = NodeFixture {
+            process,
+            listen,
+            launches,
+            probes,
+            watch_lines,
+            watch_count,
+            backend_entries,
+            config,
+            dir,
+            log,
+        };
+        assert_eq!(fixture.send_request(UP_REQUEST).status(), 200);
+        fixture
     }
 
-    /// The same with a second address, and that address.
-    pub fn with_admin(backends: usize, acts: fn(usize) -> BackendAction) -> (World, SocketAddr) {
-        let world = World::new(backends, acts, |config| {
-            config["admin"] = second_address(config).to_string().into();
+    /// The same with an admin address, which is returned too.
+    pub fn with_admin(backends: usize, action_of: fn(usize) -> BackendAction) -> (NodeFixture, SocketAddr) {
+        let fixture = NodeFixture::new(backends, action_of, |config| {
+            config["admin"] = free_admin_address(config).to_string().into();
         });
-        let admin = world.admin();
-        (world, admin)
+        let admin = fixture.admin_address();
+        (fixture, admin)
     }
 
-    /// Its second address, where it has one.
-    pub fn admin(&self) -> SocketAddr {
+    /// The node's admin address; panics if it has none.
+    pub fn admin_address(&self) -> SocketAddr {
         self.config["admin"].as_str().and_then(|a| a.parse().ok()).expect("an address")
     }
 
     pub fn connect(&self) -> TcpStream {
-        dial(self.listen)
+        connect_to(self.listen)
     }
 
-    pub fn ask(&self, text: &str) -> Message {
+    pub fn send_request(&self, text: &str) -> Message {
         let mut stream = self.connect();
         stream.write_all(text.as_bytes()).expect("written");
         read_message(&mut stream).unwrap_or_default()
     }
 
-    pub fn command(&self, profile: &str) -> Message {
-        self.ask(&command_request(profile, "a body", ""))
+    /// Sends a command of this profile on a new connection.
+    pub fn send_command(&self, profile: &str) -> Message {
+        self.send_request(&command_request(profile, "a body", ""))
     }
 
-    pub fn signal(&self, name: &str) {
-        send_signal(&self.node, name);
+    pub fn send_signal(&self, name: &str) {
+        send_signal(&self.process, name);
     }
 
-    /// Puts another text in the place of the configuration and says so; the line that the node writes then.
+    /// Replaces the configuration file, sends SIGHUP and returns the log line in which the node reports the result.
     pub fn reload(&mut self, text: &str) -> String {
-        std::fs::write(self.folder.join("config.json"), text).expect("a file");
-        self.signal("-HUP");
+        std::fs::write(self.dir.join("config.json"), text).expect("a file");
+        self.send_signal("-HUP");
         let mut line = String::new();
         while !line.starts_with("reload:") {
             line.clear();
@@ -465,74 +504,78 @@
         line
     }
 
-    pub fn launched(&self) -> usize {
+    pub fn launch_count(&self) -> usize {
         self.launches.lock().expect("launches").len()
     }
 }
 
-pub const UP: &str = "GET /up HTTP/1.1\r\nHost: n\r\n\r\n";
+pub const UP_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: n\r\n\r\n";
 
-pub fn send_signal(node: &Child, name: &str) {
-    let pid = node.id().to_string();
-    let _alone = lock_process_start();
+pub fn send_signal(process: &Child, name: &str) {
+    let pid = process.id().to_string();
+    let _lock = lock_process_start();
     assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
 }
 
-pub fn dial(at: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(at).expect("it listens");
-    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a limit");
-    stream.set_nodelay(true).expect("pieces go out as they are");
+pub fn connect_to(address: SocketAddr) -> TcpStream {
+    let stream = TcpStream::connect(address).expect("it listens");
+    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a timeout");
+    stream.set_nodelay(true).expect("no delay");
     stream
 }
 
-/// An operator's call: one to a connection.
-pub fn call_admin(at: SocketAddr, text: &str) -> Message {
-    let mut stream = dial(at);
+/// Sends one admin request; the node closes the connection after each.
+pub fn call_admin(address: SocketAddr, text: &str) -> Message {
+    let mut stream = connect_to(address);
     stream.write_all(format!("{text} HTTP/1.1\r\nHost: n\r\n\r\n").as_bytes()).expect("written");
     let message = read_message(&mut stream).unwrap_or_default();
-    assert_eq!(stream.read(&mut [0]).ok(), Some(0), "one call to a connection: {text}");
+    assert_eq!(stream.read(&mut [0]).ok(), Some(0), "one request per connection: {text}");
     message
 }
 
-/// A free place for a second address of this node.
-pub fn second_address(config: &Value) -> SocketAddr {
-    let _alone = lock_process_start();
+/// A free port for this node's admin address.
+pub fn free_admin_address(config: &Value) -> SocketAddr {
+    let _lock = lock_process_start();
     let listen = config["listen"].as_str().expect("an address");
-    let own = listen.rsplit_once(':').expect("a port").0;
-    // The place that its clients' is to be is free as well until the node has it.
-    std::iter::repeat_with(|| bind_listener(own).1).find(|at| at.to_string() != listen).expect("another port")
+    let host = listen.rsplit_once(':').expect("a port").0;
+    // The port of its client address is also free until the node has bound it.
+    std::iter::repeat_with(|| bind_listener(host).1)
+        .find(|address| address.to_string() != listen)
+        .expect("another port")
 }
 
+/// Waits up to 20 s for a condition.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < Duration::from_secs(20), "waited in vain: {what}");
+        assert!(start.elapsed() < Duration::from_secs(20), "timed out waiting until: {what}");
         sleep(Duration::from_millis(10));
     }
 }
 
-pub static COMMANDS: AtomicUsize = AtomicUsize::new(0);
+/// The number of commands so far; it makes their ids unique.
+pub static COMMAND_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// A command with an id of its own, as each has.
-pub fn command_request(profile: &str, body: &str, more: &str) -> String {
-    let id = COMMANDS.fetch_add(1, SeqCst);
+/// The request text of a command with a unique id.
+pub fn command_request(profile: &str, body: &str, headers: &str) -> String {
+    let id = COMMAND_COUNT.fetch_add(1, SeqCst);
     format!(
         "POST /api HTTP/1.1\r\nHost: o\r\nX-Correlation-Id: 9b1f{id}\r\nX-Service-Class: {profile}\r\n\
-         X-Time-Left-Ms: 450\r\nIdempotency-Key: 5c0f\r\n{more}Content-Length: {}\r\n\r\n{body}",
+         X-Time-Left-Ms: 450\r\nIdempotency-Key: 5c0f\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// A command whose client waits for so many milliseconds.
-pub fn asked(profile: &str, body: &str, millis: u64) -> String {
-    command_request(profile, body, "").replace("Ms: 450", &format!("Ms: {millis}"))
+/// The same for a client that waits for this many milliseconds.
+pub fn command_request_within(profile: &str, body: &str, time_left_ms: u64) -> String {
+    command_request(profile, body, "").replace("Ms: 450", &format!("Ms: {time_left_ms}"))
 }
 
-/// Waits until a process beside the first says that it has taken over.
+/// Waits until a process that was started beside another one reports that it has taken over.
 pub fn wait_until_ready(admin: SocketAddr) {
     wait_until("the new process is ready", || {
         let Ok(mut stream) = TcpStream::connect(admin) else { return false };
-        let asked = stream.write_all(b"GET /healthcheck HTTP/1.1\r\nHost: n\r\n\r\n");
-        asked.is_ok() && read_message(&mut stream).is_some_and(|m| m.status() == 200)
+        let sent = stream.write_all(b"GET /healthcheck HTTP/1.1\r\nHost: n\r\n\r\n");
+        sent.is_ok() && read_message(&mut stream).is_some_and(|m| m.status() == 200)
     });
 }
--- a/crates/node/tests/world/shim.rs
+++ b/crates/node/tests/world/shim.rs
@@ -1,10 +1,10 @@
-//! A library that is loaded into a node and has its system calls fail or end short.
+//! Builds a library that is preloaded into a node and makes its system calls fail or transfer less than requested.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// The library, built once for each test program.
+/// The path of the library, which is built once per test program.
 pub fn library() -> &'static Path {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| {
@@ -13,7 +13,7 @@
         let mut compiler = Command::new("cc");
         compiler.args(["-shared", "-fPIC", "-O1", "-Wall", "-o"]).arg(&library).arg(source).arg("-ldl");
         let built = compiler.status().expect("a C compiler");
-        assert!(built.success(), "the shim does not build");
+        assert!(built.success(), "the shim failed to build");
         library
     })
 }
