--- a/crates/node/tests/list_calls.rs
+++ b/crates/node/tests/list_calls.rs
@@ -1,9 +1,9 @@
-//! How soon a node that has lost its watch on the list of backends has the list again.
+//! How soon a node that has lost its watch of the backend list has the list again.
 //!
-//! Incident: a request went to a draining backend after the grace. Discovery had ended every watch instead of telling of
-//! the drain. The node paused before it called again, for up to a time that grew with the number of nodes and with each
-//! failed call, and its call then waited for its turn; meanwhile it sent by the old list. The log of calls proved it: the
-//! request was sent between the call and its answer, 2.4 s after the watch's end, and the pause had cost the difference.
+//! The failure: a command was sent to a draining backend after the drain grace. Discovery had closed every watch instead of
+//! announcing the drain. The node backed off before its next call, by up to a time that grew with the number of nodes and
+//! with each failed call; its call then waited in discovery's queue, and meanwhile the node used the old list. The command
+//! was sent between the call and its answer, 2.4 s after the watch had closed; the backoff had cost the difference.
 
 #[allow(dead_code)]
 mod world;
@@ -17,25 +17,25 @@
 use std::time::{Duration, Instant};
 use world::*;
 
-/// What a call for the list meets.
+/// How discovery answers a call for the list.
 #[derive(Clone, Copy, PartialEq)]
-enum Answers {
-    /// A watch, after this long in the queue.
+enum CallAnswer {
+    /// Opens a watch after this time in the queue.
     Watch(Duration),
-    /// 503, after this long.
+    /// Answers 503 after this time.
     Unavailable(Duration),
-    /// A watch whose first message has no line end behind it.
+    /// Opens a watch whose first message lacks its final line break.
     WithoutLineEnd,
 }
 
-/// A discovery that is asked, whose answers a test chooses as it goes.
+/// A discovery service whose answers a test sets at run time.
 struct Discovery {
-    at: SocketAddr,
+    address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 struct State {
-    answers: Answers,
+    answer: CallAnswer,
     list: Value,
     calls: Vec<Instant>,
     watches: Vec<TcpStream>,
@@ -43,12 +43,12 @@
 
 impl Discovery {
     fn start(list: Value) -> Discovery {
-        let (listener, at) = bind_listener(&unique_loopback_address());
-        let answers = Answers::Watch(Duration::ZERO);
-        let state = State { answers, list, calls: Vec::new(), watches: Vec::new() };
-        let discovery = Discovery { at, state: Arc::new(Mutex::new(state)) };
+        let (listener, address) = bind_listener(&unique_loopback_address());
+        let answer = CallAnswer::Watch(Duration::ZERO);
+        let state = State { answer, list, calls: Vec::new(), watches: Vec::new() };
+        let discovery = Discovery { address, state: Arc::new(Mutex::new(state)) };
         let shared = discovery.state.clone();
-        spawn(move || accept(listener, shared));
+        spawn(move || accept_calls(listener, shared));
         discovery
     }
 
@@ -56,58 +56,58 @@
         update(&mut self.state.lock().expect("the discovery's state"))
     }
 
-    fn calls(&self) -> usize {
+    fn call_count(&self) -> usize {
         self.with(|state| state.calls.len())
     }
 
-    /// Ends every watch by a reset, and from now on has this list.
+    /// Resets the connection of every watch and serves this list from now on.
     fn reset_watches(&self, list: Value) {
         self.with(|state| {
             state.list = list;
             for watch in state.watches.drain(..) {
-                set_socket_linger(&watch, Some(Duration::ZERO)).expect("a reset at the close");
+                set_socket_linger(&watch, Some(Duration::ZERO)).expect("a reset on close");
             }
         });
     }
 
-    /// The spans between calls from this one on.
-    fn spans_from(&self, first: usize) -> Vec<Duration> {
+    /// The intervals between the calls, starting with this one.
+    fn intervals_from(&self, first: usize) -> Vec<Duration> {
         self.with(|state| state.calls[first..].windows(2).map(|pair| pair[1] - pair[0]).collect())
     }
 }
 
-fn accept(listener: TcpListener, state: Arc<Mutex<State>>) {
+fn accept_calls(listener: TcpListener, state: Arc<Mutex<State>>) {
     for stream in listener.incoming().flatten() {
         let state = state.clone();
-        spawn(move || answer(stream, &state));
+        spawn(move || answer_call(stream, &state));
     }
 }
 
-fn answer(mut stream: TcpStream, state: &Mutex<State>) {
+fn answer_call(mut stream: TcpStream, state: &Mutex<State>) {
     if read_message(&mut stream).is_none() {
         return;
     }
-    let answers = {
+    let answer = {
         let mut state = state.lock().expect("the discovery's state");
         state.calls.push(Instant::now());
-        state.answers
+        state.answer
     };
-    match answers {
-        Answers::Unavailable(wait) => {
-            sleep(wait);
+    match answer {
+        CallAnswer::Unavailable(delay) => {
+            sleep(delay);
             let _ = stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         }
-        Answers::Watch(wait) => {
-            sleep(wait);
-            watch(stream, state, "\n");
+        CallAnswer::Watch(delay) => {
+            sleep(delay);
+            open_watch(stream, state, "\n");
         }
-        Answers::WithoutLineEnd => watch(stream, state, ""),
+        CallAnswer::WithoutLineEnd => open_watch(stream, state, ""),
     }
 }
 
-fn watch(mut stream: TcpStream, state: &Mutex<State>, end: &str) {
+fn open_watch(mut stream: TcpStream, state: &Mutex<State>, message_end: &str) {
     let mut state = state.lock().expect("the discovery's state");
-    let message = format!("{}{end}", state.list);
+    let message = format!("{}{message_end}", state.list);
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let _ = stream.write_all(format!("{head}{:x}\r\n{message}\r\n", message.len()).as_bytes());
     state.watches.push(stream);
@@ -117,23 +117,23 @@
     json!({"index": index, "snapshot": true, "endpoints": entries})
 }
 
-/// A list that leaves the first backend out and names one that was never there.
-fn without_the_first(fixture: &NodeFixture) -> Value {
-    whole_list(6, &[fixture.backend_entries[1].clone(), json!({"name": NEW, "status": "gone"})])
+/// A list without the first backend that names one which never existed, so that the test can see when the node knows it.
+fn list_without_first_backend(fixture: &NodeFixture) -> Value {
+    whole_list(6, &[fixture.backend_entries[1].clone(), json!({"name": NEW_NAME, "status": "gone"})])
 }
 
-const NEW: &str = "new";
+const NEW_NAME: &str = "new";
 
-/// Waits until the node has that list, and sees that it goes by it.
-fn until_known(fixture: &NodeFixture) {
-    let known = format!("PUT /backends/{NEW}/ready");
+/// Waits until the node has that list, and asserts that it no longer uses the first backend.
+fn wait_until_list_is_known(fixture: &NodeFixture) {
+    let known = format!("PUT /backends/{NEW_NAME}/ready");
     wait_until("the list is known", || call_admin(fixture.admin_address(), &known).status() == 200);
     let before = launches_at(fixture, 0);
     (0..8).for_each(|_| assert_eq!(fixture.send_command("read").status(), 200));
     assert_eq!(launches_at(fixture, 0), before);
 }
 
-/// A node among so many, on a list of two backends, with a watch on a discovery that is asked.
+/// A node of a fleet of this size with two backends, which has a watch at the returned discovery service.
 fn watching_node(nodes: u32) -> (NodeFixture, Discovery) {
     let (mut fixture, _) = NodeFixture::with_admin(2, |_| BackendAction::Succeed);
     let discovery = Discovery::start(whole_list(5, &fixture.backend_entries));
@@ -142,12 +142,12 @@
     (fixture, discovery)
 }
 
-/// Gives the node its first configuration again with this discovery, and with this change.
+/// Reloads the node's first configuration with this discovery address and this change.
 fn configure(fixture: &mut NodeFixture, discovery: &Discovery, change: impl FnOnce(&mut Value)) {
     let mut config = fixture.config.clone();
-    config["discovery"] = discovery.at.to_string().into();
+    config["discovery"] = discovery.address.to_string().into();
     change(&mut config);
-    assert!(fixture.reload(&config.to_string()).contains(&discovery.at.to_string()));
+    assert!(fixture.reload(&config.to_string()).contains(&discovery.address.to_string()));
 }
 
 fn move_discovery(fixture: &mut NodeFixture, discovery: &Discovery) {
@@ -158,172 +158,192 @@
     fixture.launches.lock().expect("launches").iter().filter(|(number, _)| *number == backend).count()
 }
 
-/// A watch that ends may hide a drain, which counts as known two seconds later; then the grace runs.
+/// A watch that ends may hide a drain, which counts as known two seconds later; from then on the drain grace runs.
 #[test]
-fn a_drain_hidden_by_the_end_of_a_watch() {
-    const COUNTS_AS_KNOWN: Duration = Duration::from_secs(2);
-    scope(|all| {
+fn the_list_is_back_before_a_hidden_drain_counts_as_known() {
+    const COUNTS_AS_KNOWN_AFTER: Duration = Duration::from_secs(2);
+    scope(|scope| {
         for nodes in [2, 6, 44, 300] {
-            all.spawn(move || {
+            scope.spawn(move || {
                 let (fixture, discovery) = watching_node(nodes);
-                discovery.with(|state| state.answers = Answers::Watch(Duration::from_millis(400)));
-                let before = discovery.calls();
-                let ended = Instant::now();
-                discovery.reset_watches(without_the_first(&fixture));
-                wait_until("another call", || discovery.calls() > before);
-                let paused = ended.elapsed();
-                assert!(paused < Duration::from_millis(1000), "{nodes} nodes: {paused:?} before the call");
-                until_known(&fixture);
-                assert!(ended.elapsed() < COUNTS_AS_KNOWN, "{nodes} nodes: {:?}", ended.elapsed());
+                discovery.with(|state| state.answer = CallAnswer::Watch(Duration::from_millis(400)));
+                let before = discovery.call_count();
+                let watch_ended = Instant::now();
+                discovery.reset_watches(list_without_first_backend(&fixture));
+                wait_until("another call", || discovery.call_count() > before);
+                let backoff = watch_ended.elapsed();
+                assert!(backoff < Duration::from_millis(1000), "{nodes} nodes: {backoff:?} before the call");
+                wait_until_list_is_known(&fixture);
+                assert!(
+                    watch_ended.elapsed() < COUNTS_AS_KNOWN_AFTER,
+                    "{nodes} nodes: {:?}",
+                    watch_ended.elapsed()
+                );
             });
         }
     });
 }
 
-/// A call that hung before it failed has been its own pause: an outage may have ended in its first moment, and what changed
-/// then counts as known six seconds later. Only dozens of nodes spread what follows, over less than what is left.
+/// A call that hung before it failed needs no further backoff: an outage may have ended just after the call began, and what
+/// changed then counts as known six seconds later. Only a fleet of dozens of nodes spreads its next calls, over less than
+/// the time that is left.
 #[test]
-fn a_call_that_hung_is_made_again_at_once() {
-    scope(|all| {
-        for (nodes, most) in [(2, 600), (44, 1400), (300, 2800)] {
-            all.spawn(move || {
+fn a_call_that_hung_is_repeated_without_backoff() {
+    scope(|scope| {
+        for (nodes, max_extra_ms) in [(2, 600), (44, 1400), (300, 2800)] {
+            scope.spawn(move || {
                 let (fixture, discovery) = watching_node(nodes);
-                let hangs = Duration::from_millis(2200);
-                discovery.with(|state| state.answers = Answers::Unavailable(hangs));
-                let first = discovery.calls();
-                discovery.reset_watches(without_the_first(&fixture));
-                wait_until("three calls", || discovery.calls() >= first + 3);
-                for span in discovery.spans_from(first) {
-                    assert!(span < hangs + Duration::from_millis(most), "{nodes} nodes: {span:?}");
+                let hang_time = Duration::from_millis(2200);
+                discovery.with(|state| state.answer = CallAnswer::Unavailable(hang_time));
+                let first = discovery.call_count();
+                discovery.reset_watches(list_without_first_backend(&fixture));
+                wait_until("three calls", || discovery.call_count() >= first + 3);
+                for interval in discovery.intervals_from(first) {
+                    assert!(
+                        interval < hang_time + Duration::from_millis(max_extra_ms),
+                        "{nodes} nodes: {interval:?}"
+                    );
                 }
             });
         }
     });
 }
 
-/// Calls that are refused at once are made again soon, however many have been; and not so often that they are a burden.
+/// Calls that are refused at once are repeated soon, however many have failed, and not so often that they overload discovery.
 #[test]
-fn refused_calls_are_made_again_within_two_seconds() {
-    scope(|all| {
+fn refused_calls_are_repeated_within_two_seconds() {
+    scope(|scope| {
         for nodes in [2, 44, 300] {
-            all.spawn(move || {
+            scope.spawn(move || {
                 let (fixture, discovery) = watching_node(nodes);
-                discovery.with(|state| state.answers = Answers::Unavailable(Duration::ZERO));
-                let first = discovery.calls();
-                discovery.reset_watches(without_the_first(&fixture));
+                discovery.with(|state| state.answer = CallAnswer::Unavailable(Duration::ZERO));
+                let first = discovery.call_count();
+                discovery.reset_watches(list_without_first_backend(&fixture));
                 sleep(Duration::from_secs(9));
-                let spans = discovery.spans_from(first);
-                assert!((5..=25).contains(&spans.len()), "{nodes} nodes: {spans:?}");
-                let longest = spans.iter().max().expect("spans");
-                assert!(*longest < Duration::from_millis(2300), "{nodes} nodes: {spans:?}");
+                let intervals = discovery.intervals_from(first);
+                assert!((5..=25).contains(&intervals.len()), "{nodes} nodes: {intervals:?}");
+                let longest = intervals.iter().max().expect("intervals");
+                assert!(*longest < Duration::from_millis(2300), "{nodes} nodes: {intervals:?}");
             });
         }
     });
 }
 
-/// A message is whole with its last brace: its line end may come with the next sign of life, two seconds later.
+/// A message is complete with its last brace: its line break may come only with the next heartbeat, two seconds later.
 #[test]
-fn a_message_whose_line_end_is_late() {
+fn a_message_counts_before_its_line_break() {
     let (fixture, discovery) = watching_node(2);
-    discovery.with(|state| state.answers = Answers::WithoutLineEnd);
-    let ended = Instant::now();
-    discovery.reset_watches(without_the_first(&fixture));
-    until_known(&fixture);
-    assert!(ended.elapsed() < Duration::from_secs(2), "{:?}", ended.elapsed());
+    discovery.with(|state| state.answer = CallAnswer::WithoutLineEnd);
+    let watch_ended = Instant::now();
+    discovery.reset_watches(list_without_first_backend(&fixture));
+    wait_until_list_is_known(&fixture);
+    assert!(watch_ended.elapsed() < Duration::from_secs(2), "{:?}", watch_ended.elapsed());
 }
 
-/// A new configuration moved discovery while a call waited there: the call was given up, kept its place in the queue all
-/// the same, and the node had no news until the new address had worked through that queue.
+/// The failure: a new configuration moved discovery while a call waited at the old address. The node abandoned the call,
+/// which kept its place in the queue nevertheless, and had no list until the new address had worked through that queue.
 #[test]
-fn a_call_that_waits_outlives_a_move_of_discovery() {
-    scope(|all| {
+fn a_waiting_call_survives_a_move_of_discovery() {
+    scope(|scope| {
         for moves in [1, 3] {
-            all.spawn(move || {
+            scope.spawn(move || {
                 let (mut fixture, discovery) = watching_node(6);
-                let waits = Duration::from_millis(1200);
-                discovery.with(|state| state.answers = Answers::Watch(waits));
-                let ended = Instant::now();
-                let before = discovery.calls();
-                discovery.reset_watches(without_the_first(&fixture));
-                wait_until("a call that waits", || discovery.calls() > before);
+                let queue_time = Duration::from_millis(1200);
+                discovery.with(|state| state.answer = CallAnswer::Watch(queue_time));
+                let watch_ended = Instant::now();
+                let before = discovery.call_count();
+                discovery.reset_watches(list_without_first_backend(&fixture));
+                wait_until("a call that waits", || discovery.call_count() > before);
                 let list = whole_list(5, &fixture.backend_entries);
                 let next: Vec<_> = (0..moves).map(|_| Discovery::start(list.clone())).collect();
                 for discovery in &next {
-                    discovery.with(|state| state.answers = Answers::Watch(Duration::from_secs(2)));
+                    discovery.with(|state| state.answer = CallAnswer::Watch(Duration::from_secs(2)));
                     move_discovery(&mut fixture, discovery);
                 }
-                until_known(&fixture);
+                wait_until_list_is_known(&fixture);
                 assert!(
-                    ended.elapsed() < waits + Duration::from_millis(800),
+                    watch_ended.elapsed() < queue_time + Duration::from_millis(800),
                     "{moves}: {:?}",
-                    ended.elapsed()
+                    watch_ended.elapsed()
                 );
-                let (last, passed) = next.split_last().expect("a move");
-                last.with(|state| state.list = without_the_first(&fixture));
+                let (last, skipped) = next.split_last().expect("a move");
+                last.with(|state| state.list = list_without_first_backend(&fixture));
                 wait_until("a watch at the new address", || last.with(|state| !state.watches.is_empty()));
-                let calls: Vec<_> = next.iter().map(Discovery::calls).collect();
-                assert_eq!(calls, [vec![0; passed.len()], vec![1]].concat(), "one call, at the last address");
+                let calls: Vec<_> = next.iter().map(Discovery::call_count).collect();
+                assert_eq!(
+                    calls,
+                    [vec![0; skipped.len()], vec![1]].concat(),
+                    "one call, at the last address"
+                );
             });
         }
     });
 }
 
-/// A former address that neither answers nor ends the call holds up the call at the present one for no longer than the
-/// protocol has it serve.
+/// A former address that neither answers nor ends the call delays the call at the present one no longer than the protocol
+/// requires a former address to serve.
 #[test]
-fn a_former_address_that_hangs_is_not_waited_for() {
+fn a_former_address_that_hangs_does_not_delay_the_next_call() {
     let (mut fixture, discovery) = watching_node(6);
-    discovery.with(|state| state.answers = Answers::Watch(Duration::from_secs(10)));
-    let before = discovery.calls();
+    discovery.with(|state| state.answer = CallAnswer::Watch(Duration::from_secs(10)));
+    let before = discovery.call_count();
     discovery.reset_watches(whole_list(5, &fixture.backend_entries));
-    wait_until("a call that hangs", || discovery.calls() > before);
-    let next = Discovery::start(without_the_first(&fixture));
+    wait_until("a call that hangs", || discovery.call_count() > before);
+    let next = Discovery::start(list_without_first_backend(&fixture));
     move_discovery(&mut fixture, &next);
     let moved = Instant::now();
-    until_known(&fixture);
+    wait_until_list_is_known(&fixture);
     assert!(moved.elapsed() < Duration::from_millis(2300), "{:?}", moved.elapsed());
 }
 
-/// A crowded discovery answered after what the end of a watch hides had begun to bind: the node went on sending by its old
-/// list, also to a backend that drained.
+/// The failure: an overloaded discovery answered only after the changes hidden by the end of a watch had taken effect. The
+/// node kept using its old list, also for a backend that was draining.
 #[test]
-fn nothing_is_sent_by_a_list_that_no_longer_holds() {
-    const COUNTS_AS_KNOWN: Duration = Duration::from_millis(2000);
-    const BINDS_FROM: Duration = Duration::from_millis(2300);
+fn nothing_is_launched_by_an_expired_list() {
+    const COUNTS_AS_KNOWN_AFTER: Duration = Duration::from_millis(2000);
+    const TAKES_EFFECT_AFTER: Duration = Duration::from_millis(2300);
     let (mut fixture, discovery) = watching_node(6);
     configure(&mut fixture, &discovery, |config| {
         config["settings"]["guarantees"]["drainGrace"] = 300_000_000.into();
     });
-    discovery.with(|state| state.answers = Answers::Watch(Duration::from_millis(3000)));
-    let ended = Instant::now();
-    discovery.reset_watches(without_the_first(&fixture));
+    discovery.with(|state| state.answer = CallAnswer::Watch(Duration::from_millis(3000)));
+    let watch_ended = Instant::now();
+    discovery.reset_watches(list_without_first_backend(&fixture));
     let mut answered = (0, 0);
-    while ended.elapsed() < Duration::from_millis(3600) {
-        let binds = ended.elapsed() >= BINDS_FROM;
+    while watch_ended.elapsed() < Duration::from_millis(3600) {
+        let has_taken_effect = watch_ended.elapsed() >= TAKES_EFFECT_AFTER;
         let sent = launches_at(&fixture, 0);
         let status = fixture.send_command("read").status();
-        let holds = ended.elapsed() < COUNTS_AS_KNOWN;
-        assert!(status == 200 || !holds && status == 503, "{status} after {:?}", ended.elapsed());
-        assert!(!binds || launches_at(&fixture, 0) == sent, "sent after {:?}", ended.elapsed());
-        answered = match (binds, status) {
+        let is_list_valid = watch_ended.elapsed() < COUNTS_AS_KNOWN_AFTER;
+        assert!(
+            status == 200 || !is_list_valid && status == 503,
+            "{status} after {:?}",
+            watch_ended.elapsed()
+        );
+        assert!(
+            !has_taken_effect || launches_at(&fixture, 0) == sent,
+            "sent after {:?}",
+            watch_ended.elapsed()
+        );
+        answered = match (has_taken_effect, status) {
             (false, _) => (answered.0 + 1, answered.1),
             (true, 200) => (answered.0, answered.1 + 1),
             _ => answered,
         };
     }
     assert!(answered.0 > 0 && answered.1 > 0, "served before and after: {answered:?}");
-    until_known(&fixture);
+    wait_until_list_is_known(&fixture);
 }
 
-/// Where discovery cannot be reached, or fails each call, the list serves on as it is known.
+/// While discovery cannot be reached or fails each call, the node keeps using the list that it has.
 #[test]
-fn a_list_serves_on_while_discovery_is_down() {
+fn the_known_list_is_used_while_discovery_is_down() {
     let (fixture, discovery) = watching_node(6);
-    discovery.with(|state| state.answers = Answers::Unavailable(Duration::from_millis(50)));
-    let ended = Instant::now();
-    discovery.reset_watches(without_the_first(&fixture));
-    while ended.elapsed() < Duration::from_secs(8) {
-        assert_eq!(fixture.send_command("read").status(), 200, "after {:?}", ended.elapsed());
+    discovery.with(|state| state.answer = CallAnswer::Unavailable(Duration::from_millis(50)));
+    let watch_ended = Instant::now();
+    discovery.reset_watches(list_without_first_backend(&fixture));
+    while watch_ended.elapsed() < Duration::from_secs(8) {
+        assert_eq!(fixture.send_command("read").status(), 200, "after {:?}", watch_ended.elapsed());
         sleep(Duration::from_millis(20));
     }
 }
--- a/crates/node/tests/system_calls.rs
+++ b/crates/node/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail or end short, as Linux documents them: what a node is owed by its sockets is less than what
-//! loopback usually gives.
+//! System calls that fail or transfer less than requested, as Linux documents them: sockets guarantee less than what loopback
+//! usually delivers.
 
 #[allow(dead_code)]
 mod world;
@@ -12,40 +12,40 @@
 use std::time::{Duration, Instant};
 use world::*;
 
-const CLIENTS: usize = 3;
-const COMMANDS: usize = 60;
-/// An answer takes some milliseconds; one that comes later has lain somewhere.
-const PROMPT: Duration = Duration::from_millis(1000);
+const CLIENT_COUNT: usize = 3;
+const COMMANDS_PER_CLIENT: usize = 60;
+/// An answer takes a few milliseconds; one that takes longer than this was stuck somewhere.
+const MAX_ANSWER_TIME: Duration = Duration::from_millis(1000);
 
-fn shimmed(variables: &[(&str, &str)], backends: usize) -> NodeFixture {
+fn node_with_shim(shim_variables: &[(&str, &str)], backends: usize) -> NodeFixture {
     let library = shim::library().to_str().expect("a path in UTF-8");
-    let mut all = vec![("LD_PRELOAD", library)];
-    all.extend_from_slice(variables);
-    NodeFixture::with_environment(backends, |_| BackendAction::Succeed, patient, &all)
+    let mut environment = vec![("LD_PRELOAD", library)];
+    environment.extend_from_slice(shim_variables);
+    NodeFixture::with_environment(backends, |_| BackendAction::Succeed, with_long_limits, &environment)
 }
 
-fn patient(config: &mut Value) {
+fn with_long_limits(config: &mut Value) {
     for profile in config["settings"]["profiles"].as_array_mut().expect("profiles") {
         profile["goalTime"] = 4_000_000_000u64.into();
         profile["timeLimit"] = 5_000_000_000u64.into();
     }
 }
 
-fn asks(profile: &str) -> String {
+fn request(profile: &str) -> String {
     command_request(profile, &"body ".repeat(40), "").replace("X-Time-Left-Ms: 480", "X-Time-Left-Ms: 5000")
 }
 
-/// Several clients ask on kept connections; what was not answered by 200 in time.
-fn failures(fixture: &NodeFixture, profile: &str) -> Vec<String> {
+/// Runs several clients on kept-alive connections. Returns the commands that were not answered with 200 in time.
+fn failed_commands(fixture: &NodeFixture, profile: &str) -> Vec<String> {
     let client = || {
         let mut stream = fixture.connect();
         let mut failed = Vec::new();
-        for n in 0..COMMANDS {
+        for n in 0..COMMANDS_PER_CLIENT {
             let since = Instant::now();
-            stream.write_all(asks(profile).as_bytes()).expect("written");
+            stream.write_all(request(profile).as_bytes()).expect("written");
             let answer = read_message(&mut stream);
             let status = answer.as_ref().map_or(0, Message::status);
-            if status != 200 || since.elapsed() > PROMPT {
+            if status != 200 || since.elapsed() > MAX_ANSWER_TIME {
                 failed.push(format!("command {n}: {status} after {:?}", since.elapsed()));
             }
             if answer.is_none_or(|answer| answer.header("connection") == Some("close")) {
@@ -54,96 +54,97 @@
         }
         failed
     };
-    scope(|all| {
-        let clients: Vec<_> = (0..CLIENTS).map(|_| all.spawn(client)).collect();
+    scope(|scope| {
+        let clients: Vec<_> = (0..CLIENT_COUNT).map(|_| scope.spawn(client)).collect();
         clients.into_iter().flat_map(|client| client.join().expect("a client")).collect()
     })
 }
 
-/// A read or write that moves less than it could leaves the rest in the kernel, and no further event tells of it.
+/// A read or write that transfers less than it could leaves the rest in the kernel, and no further event announces it.
 #[test]
-fn reads_and_writes_that_end_short() {
-    for variables in [[("SHIM_SHORT", "4")], [("SHIM_INTERRUPT", "4")]] {
-        let fixture = shimmed(&variables, 4);
+fn short_reads_and_writes_lose_nothing() {
+    for shim_variables in [[("SHIM_SHORT", "4")], [("SHIM_INTERRUPT", "4")]] {
+        let fixture = node_with_shim(&shim_variables, 4);
         for profile in ["read", "pay"] {
-            assert_eq!(failures(&fixture, profile), [""; 0], "{variables:?}, {profile}");
+            assert_eq!(failed_commands(&fixture, profile), [""; 0], "{shim_variables:?}, {profile}");
         }
     }
 }
 
-/// An accept that fails for a moment loses nobody.
+/// An accept that fails temporarily loses no client.
 #[test]
-fn accepts_that_fail_for_a_moment() {
-    let fixture = shimmed(&[("SHIM_ACCEPT", "2")], 2);
+fn temporary_accept_errors_lose_no_client() {
+    let fixture = node_with_shim(&[("SHIM_ACCEPT", "2")], 2);
     for _ in 0..40 {
         let since = Instant::now();
-        assert_eq!(fixture.send_request(&asks("pay")).status(), 200);
-        assert!(since.elapsed() < PROMPT);
+        assert_eq!(fixture.send_request(&request("pay")).status(), 200);
+        assert!(since.elapsed() < MAX_ANSWER_TIME);
     }
 }
 
-/// Accepts that fail by chance hold up nobody behind them: in a crowd a request lay in the kernel for 0.3 s, and its backend
-/// was told the time that its client had had before.
+/// Accepts that fail at random must not delay the connections behind them. The failure: among many connections a request
+/// waited in the kernel for 0.3 s, and its backend received the time limit that the client had before that wait.
 #[test]
-fn accepts_that_fail_in_a_crowd() {
-    const CROWD: usize = 500;
+fn accept_errors_among_many_connections_delay_nobody() {
+    const CROWD_SIZE: usize = 500;
     let library = shim::library().to_str().expect("a path in UTF-8");
-    let variables = [("LD_PRELOAD", library), ("SHIM_ACCEPT", "3")];
-    let sockets = |config: &mut Value| config["limits"]["sockets"] = 4096.into();
-    let fixture = NodeFixture::with_environment(2, |_| BackendAction::Succeed, sockets, &variables);
+    let environment = [("LD_PRELOAD", library), ("SHIM_ACCEPT", "3")];
+    let with_many_sockets = |config: &mut Value| config["limits"]["sockets"] = 4096.into();
+    let fixture =
+        NodeFixture::with_environment(2, |_| BackendAction::Succeed, with_many_sockets, &environment);
     assert_eq!(fixture.send_command("pay").status(), 200);
     let since = Instant::now();
-    let _crowd: Vec<_> = (0..CROWD).map(|_| fixture.connect()).collect();
+    let _crowd: Vec<_> = (0..CROWD_SIZE).map(|_| fixture.connect()).collect();
     assert_eq!(fixture.send_command("pay").status(), 200);
-    assert!(since.elapsed() < PROMPT, "{:?}", since.elapsed());
+    assert!(since.elapsed() < MAX_ANSWER_TIME, "{:?}", since.elapsed());
 }
 
-/// A dial that fails for want of a local port says nothing of the backend, and nothing of the command has run.
+/// A connect that fails for lack of a local port says nothing about the backend, and no part of the command has run.
 #[test]
-fn dials_that_fail_for_want_of_a_port() {
-    let fixture = shimmed(&[("SHIM_CONNECT", "2")], 4);
-    assert_eq!(failures(&fixture, "pay"), [""; 0]);
+fn connects_without_a_free_local_port_are_retried() {
+    let fixture = node_with_shim(&[("SHIM_CONNECT", "2")], 4);
+    assert_eq!(failed_commands(&fixture, "pay"), [""; 0]);
 }
 
-/// Kills a node that a test waits for in vain, unless the test has ended by then.
-struct Bounded(Arc<AtomicBool>);
+/// Kills a node after 20 s unless the test has ended by then, so that a hanging node fails the test.
+struct KillAfterTimeout(Arc<AtomicBool>);
 
-impl Bounded {
-    fn new(node: u32) -> Bounded {
-        let over = Arc::new(AtomicBool::new(false));
-        let ended = over.clone();
+impl KillAfterTimeout {
+    fn new(pid: u32) -> KillAfterTimeout {
+        let is_over = Arc::new(AtomicBool::new(false));
+        let watched = is_over.clone();
         spawn(move || {
             sleep(Duration::from_secs(20));
-            if !ended.load(SeqCst) {
-                let _ = std::process::Command::new("kill").args(["-KILL", &node.to_string()]).status();
+            if !watched.load(SeqCst) {
+                let _ = std::process::Command::new("kill").args(["-KILL", &pid.to_string()]).status();
             }
         });
-        Bounded(over)
+        KillAfterTimeout(is_over)
     }
 }
 
-impl Drop for Bounded {
+impl Drop for KillAfterTimeout {
     fn drop(&mut self) {
         self.0.store(true, SeqCst);
     }
 }
 
-/// Signals in series under calls that are interrupted: none is lost, and none ends the process but the one that is to.
+/// Series of signals while calls are interrupted: none is lost, and only SIGTERM ends the process.
 #[test]
-fn signals_under_interrupted_calls() {
+fn no_signal_is_lost_while_calls_are_interrupted() {
     for _ in 0..4 {
-        let mut fixture = shimmed(&[("SHIM_INTERRUPT", "3")], 2);
-        let _bounded = Bounded::new(fixture.process.id());
+        let mut fixture = node_with_shim(&[("SHIM_INTERRUPT", "3")], 2);
+        let _timeout = KillAfterTimeout::new(fixture.process.id());
         let text = fixture.config.to_string();
         for _ in 0..12 {
             assert!(fixture.reload(&text).contains("reload: discovery is at"));
         }
-        assert_eq!(fixture.send_request(&asks("pay")).status(), 200);
-        let told = Instant::now();
+        assert_eq!(fixture.send_request(&request("pay")).status(), 200);
+        let signalled = Instant::now();
         for signal in ["-HUP", "-TERM", "-TERM", "-HUP"] {
             fixture.send_signal(signal);
         }
         assert!(fixture.process.wait().expect("an end").success());
-        assert!(told.elapsed() < Duration::from_secs(3), "{:?}", told.elapsed());
+        assert!(signalled.elapsed() < Duration::from_secs(3), "{:?}", signalled.elapsed());
     }
 }
--- a/crates/node/tests/trial.rs
+++ b/crates/node/tests/trial.rs
@@ -1,4 +1,4 @@
-//! Counts, and settings on trial, at one process of the node; `crates/rollout-run` has the tests of several.
+//! Command counts and settings on trial at one node process; `crates/rollout-run` has the tests with several.
 
 #[allow(dead_code)]
 mod world;
@@ -11,12 +11,12 @@
 use std::time::Duration;
 use world::*;
 
-static FILES: AtomicUsize = AtomicUsize::new(0);
+static FILE_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// A second address, and an operators' file whose term is remembered beside it.
-fn with_trials(config: &mut Value) {
+/// Adds an admin address and a rollout file; the term of the leader is stored in a file beside it.
+fn with_rollout_file(config: &mut Value) {
     config["admin"] = free_admin_address(config).to_string().into();
-    let number = FILES.fetch_add(1, SeqCst);
+    let number = FILE_COUNT.fetch_add(1, SeqCst);
     let file = std::env::temp_dir().join(format!("yarrowfront-rollout-{}-{number}", std::process::id()));
     let term = file.with_extension("term");
     let _ = std::fs::remove_file(&term);
@@ -24,32 +24,32 @@
     config["rollout"] = file.display().to_string().into();
 }
 
-struct Tried {
+struct TrialNode {
     fixture: NodeFixture,
     admin: SocketAddr,
 }
 
-impl Drop for Tried {
+impl Drop for TrialNode {
     fn drop(&mut self) {
         let file = self.fixture.config["rollout"].as_str().unwrap_or_default().to_owned();
         let _ = (std::fs::remove_file(&file), std::fs::remove_file(file + ".term"));
     }
 }
 
-impl Tried {
-    fn new() -> Tried {
-        let fixture = NodeFixture::new(2, |_| BackendAction::Succeed, with_trials);
+impl TrialNode {
+    fn new() -> TrialNode {
+        let fixture = NodeFixture::new(2, |_| BackendAction::Succeed, with_rollout_file);
         let admin = fixture.config["admin"].as_str().and_then(|at| at.parse().ok()).expect("an address");
-        Tried { fixture, admin }
+        TrialNode { fixture, admin }
     }
 
     fn counts(&self, after: u64) -> Value {
         serde_json::from_slice(&call_admin(self.admin, &format!("GET /counts/{after}")).body).expect("JSON")
     }
 
-    /// A leader's word: the status, and what is said.
-    fn say(&self, term: u64, word: Value) -> (u16, String) {
-        let mut body = word;
+    /// Sends an instruction of a rollout leader. Returns the status and the body of the answer.
+    fn send_instruction(&self, term: u64, instruction: Value) -> (u16, String) {
+        let mut body = instruction;
         (body["term"], body["by"]) = (term.into(), "a test".into());
         let body = body.to_string();
         let mut stream = connect_to(self.admin);
@@ -59,27 +59,28 @@
         (reply.status(), String::from_utf8_lossy(&reply.body).into_owned())
     }
 
-    fn digest(&self) -> String {
+    fn settings_digest(&self) -> String {
         self.counts(0)["settings"].as_str().expect("a digest").to_owned()
     }
 
-    /// The settings with another payoff.
-    fn other(&self, payoff: f64) -> Value {
+    /// The node's settings with another payoff of the first profile.
+    fn settings_with_payoff(&self, payoff: f64) -> Value {
         let mut settings = self.fixture.config["settings"].clone();
         settings["profiles"][0]["payoff"] = payoff.into();
         settings
     }
 }
 
-/// Counts tell what clients saw; a second is told once; without the file nothing is counted and no trial is taken.
+/// The counts match what clients saw, and each second is reported once. Without a rollout file nothing is counted and no trial
+/// is accepted.
 #[test]
-fn counts_of_commands() {
-    let tried = Tried::new();
+fn counts_match_the_commands() {
+    let node = TrialNode::new();
     for profile in ["read", "pay", "pay"] {
-        assert_eq!(tried.fixture.send_command(profile).status(), 200);
+        assert_eq!(node.fixture.send_command(profile).status(), 200);
     }
     sleep(Duration::from_millis(1100));
-    let counts = tried.counts(0);
+    let counts = node.counts(0);
     let profiles = &counts["total"]["profiles"];
     assert_eq!([&profiles["pay"]["in_goal"], &profiles["read"]["taken"]], [&json!(2), &json!(1)], "{counts}");
     assert_eq!(counts["total"]["outcomes"]["finished"], 3, "{counts}");
@@ -90,15 +91,15 @@
     assert!(counts["memory_kb"].as_u64().is_some_and(|kb| kb > 500), "{counts}");
     assert!(counts["descriptors"].as_u64().is_some_and(|open| open > 5), "{counts}");
     let seconds = counts["seconds"].as_array().expect("seconds");
-    let taken = |second: &Value| {
+    let commands_in = |second: &Value| {
         let by = second["profiles"].as_object().expect("profiles").values();
         by.filter_map(|tally| tally["taken"].as_u64()).sum::<u64>()
     };
-    assert_eq!(seconds.iter().map(taken).sum::<u64>(), 3, "{counts}");
+    assert_eq!(seconds.iter().map(commands_in).sum::<u64>(), 3, "{counts}");
     let last = seconds.last().and_then(|second| second["at"].as_u64()).expect("a second");
-    let later = tried.counts(last);
+    let later = node.counts(last);
     assert!(
-        later["seconds"].as_array().is_some_and(|s| s.iter().all(|second| taken(second) == 0)),
+        later["seconds"].as_array().is_some_and(|s| s.iter().all(|second| commands_in(second) == 0)),
         "{later}"
     );
     let (fixture, admin) = NodeFixture::with_admin(1, |_| BackendAction::Succeed);
@@ -107,78 +108,97 @@
     drop(fixture);
 }
 
-/// Settings on trial hold until their leader is silent for too long, and then the former ones do again; what is
-/// bad, comes from another leader or after other settings than the node has changes nothing.
+/// Settings on trial stay until their leader has not renewed them in time; then the former ones return. Instructions that are
+/// invalid, come from another leader or start from settings that the node does not have change nothing.
 #[test]
-fn on_trial_and_back() {
-    let mut tried = Tried::new();
-    let (former, other) = (tried.digest(), tried.other(3.0));
-    let attempt = |from: &str, settings: &Value, for_ms: u64| json!({"what": "try", "from": from, "settings": settings, "for_ms": for_ms});
-    assert_eq!(tried.say(1, attempt(&former, &other, 900)).0, 409, "it does not lead");
-    assert_eq!(tried.say(1, json!({"what": "lead"})).0, 200);
-    assert_eq!(tried.say(1, attempt("0123", &other, 900)).0, 409, "the node has other settings");
-    assert_eq!(tried.say(1, attempt(&former, &json!({"balancers": 1}), 900)).0, 422);
-    assert_eq!(tried.say(9, json!({"what": "weigh", "settings": {"balancers": 1}})).0, 422);
-    let (status, weighed) = tried.say(9, json!({"what": "weigh", "settings": other}));
+fn settings_on_trial_lapse_without_their_leader() {
+    let mut node = TrialNode::new();
+    let (former, other) = (node.settings_digest(), node.settings_with_payoff(3.0));
+    let try_instruction = |from: &str, settings: &Value, lease_ms: u64| json!({"what": "try", "from": from, "settings": settings, "for_ms": lease_ms});
+    assert_eq!(
+        node.send_instruction(1, try_instruction(&former, &other, 900)).0,
+        409,
+        "it is not the leader"
+    );
+    assert_eq!(node.send_instruction(1, json!({"what": "lead"})).0, 200);
+    assert_eq!(
+        node.send_instruction(1, try_instruction("0123", &other, 900)).0,
+        409,
+        "the node has other settings"
+    );
+    assert_eq!(node.send_instruction(1, try_instruction(&former, &json!({"balancers": 1}), 900)).0, 422);
+    assert_eq!(node.send_instruction(9, json!({"what": "weigh", "settings": {"balancers": 1}})).0, 422);
+    let (status, weighed) = node.send_instruction(9, json!({"what": "weigh", "settings": other}));
     assert_eq!(status, 200, "{weighed}");
-    assert_eq!(tried.say(1, attempt(&former, &other, 900_000_000)).0, 400);
-    assert_eq!(tried.say(1, json!({"what": "dance"})).0, 400);
-    assert_eq!(tried.digest(), former);
-    let (status, said) = tried.say(1, attempt(&former, &other, 900));
-    assert_eq!(status, 200, "{said}");
-    let changed = tried.digest();
+    assert_eq!(node.send_instruction(1, try_instruction(&former, &other, 900_000_000)).0, 400);
+    assert_eq!(node.send_instruction(1, json!({"what": "dance"})).0, 400);
+    assert_eq!(node.settings_digest(), former);
+    let (status, answer) = node.send_instruction(1, try_instruction(&former, &other, 900));
+    assert_eq!(status, 200, "{answer}");
+    let changed = node.settings_digest();
     assert!(changed != former && weighed.trim() == changed, "{weighed} {changed}");
-    let told: Value = serde_json::from_slice(&call_admin(tried.admin, "GET /settings").body).expect("JSON");
-    assert_eq!(told["profiles"][0]["payoff"], 3.0);
-    assert_eq!(tried.say(1, attempt(&former, &other, 900)).0, 200, "told again it is the same");
-    assert_eq!(tried.fixture.send_command("read").status(), 200);
-    let file = tried.fixture.config.to_string();
-    assert!(tried.fixture.reload(&file).contains("on trial"));
+    let shown: Value = serde_json::from_slice(&call_admin(node.admin, "GET /settings").body).expect("JSON");
+    assert_eq!(shown["profiles"][0]["payoff"], 3.0);
+    assert_eq!(
+        node.send_instruction(1, try_instruction(&former, &other, 900)).0,
+        200,
+        "the same instruction again changes nothing"
+    );
+    assert_eq!(node.fixture.send_command("read").status(), 200);
+    let file = node.fixture.config.to_string();
+    assert!(node.fixture.reload(&file).contains("on trial"));
     for _ in 0..4 {
         sleep(Duration::from_millis(400));
-        assert_eq!(tried.say(1, json!({"what": "keep", "for_ms": 900})).0, 200);
+        assert_eq!(node.send_instruction(1, json!({"what": "keep", "for_ms": 900})).0, 200);
     }
-    assert_eq!(tried.digest(), changed, "its leader has said so");
-    assert_eq!(tried.say(2, json!({"what": "lead"})).0, 200);
-    assert_eq!(tried.say(1, json!({"what": "keep", "for_ms": 900})).0, 409, "another leads");
-    wait_until("it goes back by itself", || tried.digest() == former);
-    assert_eq!(tried.counts(0)["lapsed"], 1);
-    assert_eq!(tried.say(2, json!({"what": "keep", "for_ms": 900})).0, 409, "nothing is on trial");
-    assert_eq!(tried.say(2, attempt(&former, &other, 9000)).0, 200);
-    assert_eq!(tried.say(2, json!({"what": "back"})).0, 200);
-    assert_eq!((tried.digest(), &tried.counts(0)["trial"]), (former, &Value::Null));
+    assert_eq!(node.settings_digest(), changed, "its leader renews it");
+    assert_eq!(node.send_instruction(2, json!({"what": "lead"})).0, 200);
+    assert_eq!(
+        node.send_instruction(1, json!({"what": "keep", "for_ms": 900})).0,
+        409,
+        "another one is the leader"
+    );
+    wait_until("the former settings", || node.settings_digest() == former);
+    assert_eq!(node.counts(0)["lapsed"], 1);
+    assert_eq!(
+        node.send_instruction(2, json!({"what": "keep", "for_ms": 900})).0,
+        409,
+        "nothing is on trial"
+    );
+    assert_eq!(node.send_instruction(2, try_instruction(&former, &other, 9000)).0, 200);
+    assert_eq!(node.send_instruction(2, json!({"what": "back"})).0, 200);
+    assert_eq!((node.settings_digest(), &node.counts(0)["trial"]), (former, &Value::Null));
 }
 
-/// Settings that are confirmed hold after a restart, the node's own place in them too; those on trial do not, and its
-/// leader's term does.
+/// Confirmed settings survive a restart and keep the node's own index; settings on trial do not survive it, but the term of
+/// their leader does.
 #[test]
-fn confirmed_for_good() {
-    let mut tried = Tried::new();
-    let former = tried.digest();
-    let mut other = tried.other(5.0);
+fn confirmed_settings_survive_a_restart() {
+    let mut node = TrialNode::new();
+    let former = node.settings_digest();
+    let mut other = node.settings_with_payoff(5.0);
     other["me"] = 7.into();
-    let attempt =
-        |from: &str, other: &Value| json!({"what": "try", "from": from, "settings": other, "for_ms": 60_000});
-    let restart = |tried: &mut Tried| {
-        let _ = tried.fixture.process.kill();
-        let _ = tried.fixture.process.wait();
-        let file = tried.fixture.dir.join("config.json");
-        tried.fixture.process = start_node_in(&tried.fixture.dir, &file, &[]);
-        wait_until_ready(tried.admin);
+    let try_instruction = |from: &str, settings: &Value| json!({"what": "try", "from": from, "settings": settings, "for_ms": 60_000});
+    let restart = |node: &mut TrialNode| {
+        let _ = node.fixture.process.kill();
+        let _ = node.fixture.process.wait();
+        let file = node.fixture.dir.join("config.json");
+        node.fixture.process = start_node_in(&node.fixture.dir, &file, &[]);
+        wait_until_ready(node.admin);
     };
-    assert_eq!(tried.say(6, json!({"what": "lead"})).0, 200);
-    assert_eq!(tried.say(6, attempt(&former, &other)).0, 200);
-    restart(&mut tried);
-    assert_eq!((tried.digest(), tried.counts(0)["term"].clone()), (former.clone(), json!(6)));
-    assert_eq!(tried.say(5, json!({"what": "lead"})).0, 409);
-    assert_eq!(tried.say(6, attempt(&former, &other)).0, 200);
-    assert_eq!(tried.say(6, json!({"what": "confirm"})).0, 200);
-    let changed = tried.digest();
-    restart(&mut tried);
-    assert_eq!(tried.digest(), changed);
-    let file = std::fs::read(tried.fixture.dir.join("config.json")).expect("a file");
+    assert_eq!(node.send_instruction(6, json!({"what": "lead"})).0, 200);
+    assert_eq!(node.send_instruction(6, try_instruction(&former, &other)).0, 200);
+    restart(&mut node);
+    assert_eq!((node.settings_digest(), node.counts(0)["term"].clone()), (former.clone(), json!(6)));
+    assert_eq!(node.send_instruction(5, json!({"what": "lead"})).0, 409);
+    assert_eq!(node.send_instruction(6, try_instruction(&former, &other)).0, 200);
+    assert_eq!(node.send_instruction(6, json!({"what": "confirm"})).0, 200);
+    let changed = node.settings_digest();
+    restart(&mut node);
+    assert_eq!(node.settings_digest(), changed);
+    let file = std::fs::read(node.fixture.dir.join("config.json")).expect("a file");
     let file: Value = serde_json::from_slice(&file).expect("JSON");
     assert_eq!(file["settings"]["profiles"][0]["payoff"], 5.0);
-    assert_eq!(file["settings"]["me"], tried.fixture.config["settings"]["me"], "its place is its own");
-    assert_eq!(file["listen"], tried.fixture.config["listen"]);
+    assert_eq!(file["settings"]["me"], node.fixture.config["settings"]["me"], "its index is its own");
+    assert_eq!(file["listen"], node.fixture.config["listen"]);
 }
--- a/crates/node/tests/world/mod.rs
+++ b/crates/node/tests/world/mod.rs
@@ -548,7 +548,7 @@
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < Duration::from_secs(20), "timed out waiting until: {what}");
+        assert!(start.elapsed() < Duration::from_secs(20), "timed out waiting for: {what}");
         sleep(Duration::from_millis(10));
     }
 }
