--- a/crates/node/tests/sockets.rs
+++ b/crates/node/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The node as a process on loopback sockets, as tables of cases.
+//! A node process on loopback sockets, tested with tables of cases.
 
 #[allow(dead_code)]
 mod world;
@@ -11,46 +11,50 @@
 use std::time::Duration;
 use world::*;
 
-/// A whole body by its chunks; by a length that reaches further, a command may hide behind it.
-const CHUNKS: &str = "2\r\nab\r\n0\r\n\r\nPOST /api HTTP/1.1\r\nHost: o\r\nX-Correlation-Id: 66\r\n\
+/// A complete chunked body. Read by a longer `Content-Length` it would contain another command: request smuggling.
+const CHUNKED_BODY: &str = "2\r\nab\r\n0\r\n\r\nPOST /api HTTP/1.1\r\nHost: o\r\nX-Correlation-Id: 66\r\n\
     X-Service-Class: read\r\nX-Time-Left-Ms: 450\r\nContent-Length: 0\r\n\r\n";
 
-/// What is no command gets its own answer, or its connection's end, at once, and never reaches a backend.
+/// An invalid command is answered with its own status or a closed connection at once, and never reaches a backend.
 #[test]
-fn bad_input_is_refused() {
+fn invalid_requests_are_rejected() {
     let fixture = NodeFixture::new(1, |_| BackendAction::Succeed, |_| {});
-    let good = command_request("mark", "a body", "");
-    let without =
-        |name: &str| good.split("\r\n").filter(|l| !l.starts_with(name)).collect::<Vec<_>>().join("\r\n");
+    let valid = command_request("mark", "a body", "");
+    let without_header =
+        |name: &str| valid.split("\r\n").filter(|l| !l.starts_with(name)).collect::<Vec<_>>().join("\r\n");
     let big = command_request("mark", "", "").replace("Length: 0", "Length: 33554433");
     let chunks_last = command_request("mark", "", "")
         .replace("Length: 0\r\n", "Length: 9\r\nTransfer-Encoding: chunked\r\n")
         + "body";
     let cases: &[(&str, String, u16)] = &[
-        ("as it should be", good.clone(), 200),
+        ("a valid command", valid.clone(), 200),
         ("the largest body", command_request("mark", &"x".repeat(64 << 10), ""), 200),
-        ("unknown path", good.replace("/api", "/apis"), 404),
-        ("no id", without("X-Correlation-Id"), 400),
+        ("unknown path", valid.replace("/api", "/apis"), 404),
+        ("no id", without_header("X-Correlation-Id"), 400),
         ("two ids", command_request("mark", "a body", "X-Correlation-Id: 7\r\n"), 400),
-        ("a length below nothing", good.replace("Length: 6", "Length: -6"), 400),
-        ("two unlike lengths", command_request("mark", "a body", "Content-Length: 5\r\n"), 400),
-        ("a length that nobody has", good.replace("Length: 6", "Length: 62914560"), 413),
-        ("two lengths, chunks first", command_request("mark", CHUNKS, "Transfer-Encoding: chunked\r\n"), 400),
-        ("two lengths, chunks last", chunks_last.replace("body", CHUNKS), 400),
-        ("no profile", without("X-Service-Class"), 400),
+        ("a negative length", valid.replace("Length: 6", "Length: -6"), 400),
+        ("two different lengths", command_request("mark", "a body", "Content-Length: 5\r\n"), 400),
+        ("a length beyond any limit", valid.replace("Length: 6", "Length: 62914560"), 413),
+        (
+            "two lengths, chunked first",
+            command_request("mark", CHUNKED_BODY, "Transfer-Encoding: chunked\r\n"),
+            400,
+        ),
+        ("two lengths, chunked last", chunks_last.replace("body", CHUNKED_BODY), 400),
+        ("no profile", without_header("X-Service-Class"), 400),
         ("unknown profile", command_request("steal", "", ""), 400),
-        ("no time left", without("X-Time-Left-Ms"), 400),
-        ("time left that is none", good.replace("450", "4.5e2"), 400),
-        ("less than no time", good.replace("450", "-450"), 400),
-        ("tagged without its tag", without("Idempotency-Key"), 400),
-        ("another method", good.replace("POST", "DELETE"), 400),
-        ("no HTTP", "open sesame\r\n\r\n".into(), 400),
+        ("no time left", without_header("X-Time-Left-Ms"), 400),
+        ("an invalid time left", valid.replace("450", "4.5e2"), 400),
+        ("a negative time left", valid.replace("450", "-450"), 400),
+        ("no idempotency key", without_header("Idempotency-Key"), 400),
+        ("another method", valid.replace("POST", "DELETE"), 400),
+        ("not HTTP", "open sesame\r\n\r\n".into(), 400),
         (
             "a head without end",
             format!("GET /api HTTP/1.1\r\nX-Long: {}\r\n\r\n", "x".repeat(200 << 10)),
             431,
         ),
-        ("a body too large", big, 413),
+        ("too large a body", big, 413),
     ];
     for (what, text, status) in cases {
         let before = fixture.launch_count();
@@ -59,27 +63,27 @@
     }
 }
 
-/// Whoever asks for one client's command under its id again must not make it run twice, while it is in hand;
-/// its own client is answered all the same.
+/// A second request with the id of a command in progress must not make the command run twice, and the first client still
+/// receives its answer.
 #[test]
-fn an_open_id_goes_on_once() {
+fn an_id_in_progress_is_launched_once() {
     let fixture = NodeFixture::new(2, |_| BackendAction::SucceedLate, |_| {});
     let text = command_request("pay", "a body", "");
     let mut first = fixture.connect();
     first.write_all(text.as_bytes()).expect("written");
-    wait_until("the launch is out", || fixture.launch_count() == 1);
+    wait_until("the launch", || fixture.launch_count() == 1);
     let reply = fixture.send_request(&text);
     assert_eq!((reply.status(), reply.header("connection")), (409, Some("close")));
     assert_eq!(read_message(&mut first).unwrap_or_default().status(), 200);
     assert_eq!(fixture.launch_count(), 1);
-    // Answered, its name is free.
+    // Once the command is answered, its id may be used again.
     assert_eq!(fixture.send_request(&text).status(), 200);
 }
 
-/// A connection that says nothing, or stops in the middle, is not kept for whoever opened it; one that has had
-/// a command is.
+/// A connection that sends nothing, or stops in the middle of its first command, is closed; one that has carried a command is
+/// kept open.
 #[test]
-fn strangers_are_not_kept() {
+fn connections_without_a_command_are_closed() {
     let fixture = NodeFixture::new(1, |_| BackendAction::Succeed, |_| {});
     let text = command_request("read", "a body", "");
     let parts = [0, 40, text.len() - 3, text.len()].map(|part| {
@@ -91,7 +95,7 @@
         match part == text.len() {
             true => assert_eq!(read_message(&mut stream).expect("an answer").status(), 200),
             false => {
-                // An error or just the end, but before the read gives up.
+                // Either an error or just the end, but before the read times out.
                 let mut rest = Vec::new();
                 let end = stream.read_to_end(&mut rest);
                 assert!(end.is_ok(), "{part} bytes: {end:?}");
@@ -105,11 +109,11 @@
     }
 }
 
-/// Rule 2 on sockets: what an end of the first launch proves, and so what may follow, by profile.
+/// What the end of a first launch proves about whether the command ran, and so whether a second launch may follow, by profile.
 #[test]
-fn outcomes_of_a_launch() {
-    type Acts = fn(usize) -> BackendAction;
-    let first: &[(&str, Acts, bool)] = &[
+fn relaunches_follow_only_where_they_are_safe() {
+    type ActionOf = fn(usize) -> BackendAction;
+    let cases: &[(&str, ActionOf, bool)] = &[
         ("an error", |n| if n == 0 { BackendAction::Status(500, "") } else { BackendAction::Succeed }, true),
         (
             "full",
@@ -123,7 +127,7 @@
             false,
         ),
         (
-            "over",
+            "timed out unprocessed",
             |n| {
                 if n == 0 {
                     BackendAction::Status(504, "X-Unprocessed: 1\r\n")
@@ -134,12 +138,12 @@
             false,
         ),
         (
-            "503 that proves nothing",
+            "503 without proof",
             |n| if n == 0 { BackendAction::Status(503, "") } else { BackendAction::Succeed },
             true,
         ),
         (
-            "broken off",
+            "closed without an answer",
             |n| if n == 0 { BackendAction::CloseConnection } else { BackendAction::Succeed },
             true,
         ),
@@ -149,23 +153,23 @@
             true,
         ),
     ];
-    for (what, acts, may_have_run) in first {
-        for (profile, repeats) in [("read", true), ("mark", true), ("pay", false)] {
-            let fixture = NodeFixture::new(2, *acts, |_| {});
-            let again = repeats || !may_have_run;
+    for (what, action_of, may_have_run) in cases {
+        for (profile, may_repeat) in [("read", true), ("mark", true), ("pay", false)] {
+            let fixture = NodeFixture::new(2, *action_of, |_| {});
+            let relaunches = may_repeat || !may_have_run;
             let reply = fixture.send_command(profile);
-            assert_eq!(reply.status(), if again { 200 } else { 502 }, "{what}, {profile}");
-            assert_eq!(fixture.launch_count(), if again { 2 } else { 1 }, "{what}, {profile}");
-            // And whatever it was, the node goes on.
+            assert_eq!(reply.status(), if relaunches { 200 } else { 502 }, "{what}, {profile}");
+            assert_eq!(fixture.launch_count(), if relaunches { 2 } else { 1 }, "{what}, {profile}");
+            // In every case the node keeps serving.
             assert_eq!(fixture.send_command("pay").status(), 200, "{what}, {profile}");
         }
     }
 }
 
-/// Good answers may be larger than the protocol has them, and go through whole. One that tells of gigabytes is
-/// known as spoilt by its head: waiting for the rest would cost its command the time for another launch.
+/// Successful answers may be larger than the protocol allows, and are forwarded whole. One that announces gigabytes fails by
+/// its head already: waiting for the rest would leave its command no time for another launch.
 #[test]
-fn large_answers() {
+fn large_answers_are_forwarded_and_huge_ones_fail_early() {
     let fixture = NodeFixture::new(
         1,
         |_| BackendAction::OversizedAnswer,
@@ -185,9 +189,9 @@
     assert_eq!((fixture.send_command("read").status(), fixture.launch_count()), (200, 2));
 }
 
-/// A backend that nobody listens for was surely not reached: even a once-only command goes elsewhere.
+/// A refused connection proves that the backend was not reached: even a once-only command goes to another backend.
 #[test]
-fn a_refused_connection_is_no_launch() {
+fn a_refused_connection_does_not_count_as_a_launch() {
     let fixture = NodeFixture::new(
         1,
         |_| BackendAction::Succeed,
@@ -204,9 +208,10 @@
     }
 }
 
-/// A backend closes idle connections as it likes: what is surely unsent goes out on another, and only once.
+/// Backends may close idle connections at any time: a command that was certainly not sent goes out on another one, and only
+/// once.
 #[test]
-fn connections_closed_by_backends() {
+fn connections_closed_by_backends_lose_no_command() {
     let fixture = NodeFixture::new(1, |_| BackendAction::SucceedAndClose, |_| {});
     for n in 1..=20 {
         assert_eq!(fixture.send_command("pay").status(), 200, "command {n}");
@@ -215,12 +220,13 @@
     }
 }
 
-/// Bytes go through as they came, both ways; what belongs to one connection does not.
+/// Bodies and end-to-end headers are forwarded unchanged in both directions; hop-by-hop headers are not forwarded.
 #[test]
-fn bytes_and_headers_go_on() {
+fn bodies_and_end_to_end_headers_are_forwarded() {
     let fixture = NodeFixture::new(1, |_| BackendAction::Succeed, |_| {});
-    let more = "X-Facts: a=1,b=2\r\nConnection: X-Mine, keep-alive\r\nX-Mine: 1\r\nTE: trailers\r\n";
-    let text = command_request("mark", "\u{1}\r\n\r\nbody", more).replace("/api", "/api/a%20b?obj=7&x=%2F");
+    let headers = "X-Facts: a=1,b=2\r\nConnection: X-Mine, keep-alive\r\nX-Mine: 1\r\nTE: trailers\r\n";
+    let text =
+        command_request("mark", "\u{1}\r\n\r\nbody", headers).replace("/api", "/api/a%20b?obj=7&x=%2F");
     let reply = fixture.send_request(&text);
     assert_eq!(reply.body, b"from \x01\x02\r\n");
     assert_eq!((reply.header("x-kept"), reply.header("keep-alive")), (Some("yes"), None));
@@ -241,28 +247,28 @@
     assert!(left <= 450);
 }
 
-/// A client that goes leaves nothing behind: its launch runs on, and the node serves the next.
+/// A client that disconnects leaves nothing behind: its launch runs to its end, and the node serves the next client.
 #[test]
-fn clients_that_leave() {
+fn clients_that_disconnect_leave_nothing_behind() {
     let fixture = NodeFixture::new(2, |_| BackendAction::SucceedLate, |_| {});
     for n in 1..=6 {
         let mut stream = fixture.connect();
         let text = command_request("pay", "a body", "");
-        // Every other one goes in the middle of its head.
+        // Every other client disconnects in the middle of its head.
         let part = if n % 2 == 0 { 40 } else { text.len() };
         stream.write_all(&text.as_bytes()[..part]).expect("written");
         if n % 2 == 1 {
-            wait_until("the launch is out", || fixture.launch_count() > n / 2);
+            wait_until("the launch", || fixture.launch_count() > n / 2);
         }
         drop(stream);
         sleep(Duration::from_millis(200));
     }
-    wait_until("served again", || fixture.send_command("read").status() == 200);
+    wait_until("a served command", || fixture.send_command("read").status() == 200);
 }
 
-/// Where the settings allow it the module's probes go out and come back, and none looks like a command.
+/// Where the settings allow probes, they are sent and answered, and none looks like a command.
 #[test]
-fn probes_go_out() {
+fn allowed_probes_are_sent() {
     let fixture = NodeFixture::new(
         3,
         |_| BackendAction::Succeed,
@@ -282,10 +288,10 @@
     assert!(probes.iter().all(|p| p.header("x-correlation-id").is_none()), "{probes:?}");
 }
 
-/// Where nobody can serve, a turn-back comes at once, and says when to come again where that may be said.
+/// Without any backend a command is rejected at once, with a retry time where the settings allow it.
 #[test]
-fn turned_back_with_a_time() {
-    for (allowed, said) in [(true, true), (false, false)] {
+fn rejections_carry_a_retry_time_where_allowed() {
+    for (allowed, expected) in [(true, true), (false, false)] {
         let fixture = match allowed {
             true => NodeFixture::new(0, |_| BackendAction::Succeed, |_| {}),
             false => NodeFixture::new(
@@ -297,16 +303,17 @@
         let reply = fixture.send_command("pay");
         assert_eq!(reply.status(), 503);
         let after = reply.header("retry-after").map(|a| a.parse::<f64>().expect("seconds"));
-        assert_eq!(after.is_some_and(|a| a > 0.0 && a <= 2.0), said, "{after:?}");
+        assert_eq!(after.is_some_and(|a| a > 0.0 && a <= 2.0), expected, "{after:?}");
     }
 }
 
-/// Rule 3, and lines that no one can read: they are left out and the others count.
+/// A draining or gone backend gets no launches. Messages and entries of the list that cannot be parsed are skipped, and the
+/// others count.
 #[test]
-fn lines_of_the_list() {
+fn unreadable_list_entries_are_skipped() {
     let fixture = NodeFixture::new(2, |_| BackendAction::Succeed, |_| {});
     wait_until("a watch", || fixture.watch_count.load(SeqCst) >= 1);
-    let entry = |n: usize, key: &str, value: Value| {
+    let update = |n: usize, key: &str, value: Value| {
         let mut entry = fixture.backend_entries[n].clone();
         entry[key] = value;
         json!({"index": 9, "snapshot": false, "endpoints": [entry]}).to_string()
@@ -315,32 +322,32 @@
         "not JSON".to_owned(),
         "{}".to_owned(),
         "[1,2]".to_owned(),
-        entry(0, "status", "asleep".into()),
-        entry(0, "address", "nowhere".into()),
-        entry(0, "zone", 7.into()),
+        update(0, "status", "asleep".into()),
+        update(0, "address", "nowhere".into()),
+        update(0, "zone", 7.into()),
         json!({"index": 9, "snapshot": false, "endpoints": [7, {"name": "b1", "status": "draining"}]})
             .to_string(),
     ];
     for line in lines {
         fixture.watch_lines.send(line).expect("a watch");
     }
-    // Its entry had a name and a state, no more: enough to send nothing there.
-    wait_until("b1 drains", || {
+    // The entry of b1 had only a name and a status, which is enough to stop sending to it.
+    wait_until("the drain of b1", || {
         let before = fixture.launch_count();
         (0..8).all(|_| fixture.send_command("read").status() == 200)
             && fixture.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n == 0)
     });
-    fixture.watch_lines.send(entry(1, "status", "ready".into())).expect("a watch");
-    fixture.watch_lines.send(entry(0, "status", "gone".into())).expect("a watch");
-    wait_until("b1 serves", || {
+    fixture.watch_lines.send(update(1, "status", "ready".into())).expect("a watch");
+    fixture.watch_lines.send(update(0, "status", "gone".into())).expect("a watch");
+    wait_until("b1 to serve", || {
         fixture.send_command("read").status() == 200
             && fixture.launches.lock().expect("launches").last().map(|l| l.0) == Some(1)
     });
 }
 
-/// A watch ends with its connection, or in silence when the network is cut; either way there is a new one.
+/// A watch ends with its connection, or falls silent in a network partition; the node opens a new one either way.
 #[test]
-fn a_lost_watch_is_made_again() {
+fn a_lost_watch_is_replaced() {
     let fixture = NodeFixture::new(1, |_| BackendAction::Succeed, |_| {});
     wait_until("a watch", || fixture.watch_count.load(SeqCst) >= 1);
     fixture.watch_lines.send(String::new()).expect("a watch");
@@ -350,40 +357,41 @@
     assert_eq!(fixture.send_command("read").status(), 200);
 }
 
-/// A new configuration must not end the node, nor stop it from serving what it knows; from then on the list
-/// comes from where the file says. A bad file changes nothing, and its fault stands in one line.
+/// A new configuration must neither end the node nor stop it from serving with the list that it has; from then on the list
+/// comes from the new address. An invalid file changes nothing, and one log line names its fault.
 #[test]
 fn a_new_configuration_moves_the_watch() {
     let mut fixture = NodeFixture::new(2, |_| BackendAction::Succeed, |_| {});
     wait_until("a watch", || fixture.watch_count.load(SeqCst) >= 1);
-    let (list, told, watches) = start_discovery(&unique_loopback_address());
+    let (watch_lines, discovery_address, watch_count) = start_discovery(&unique_loopback_address());
     let mut config = fixture.config.clone();
-    config["discovery"] = told.to_string().into();
-    let (good, mut bad) = (config.to_string(), config);
-    bad["settings"]["limits"]["connIdle"] = Value::Null;
-    for (text, key) in [("{", "not JSON"), (&*bad.to_string(), "settings.limits.connIdle")] {
+    config["discovery"] = discovery_address.to_string().into();
+    let (valid, mut invalid) = (config.to_string(), config);
+    invalid["settings"]["limits"]["connIdle"] = Value::Null;
+    for (text, key) in [("{", "not JSON"), (&*invalid.to_string(), "settings.limits.connIdle")] {
         let line = fixture.reload(text);
         assert!(line.contains("the old configuration stays") && line.contains(key), "{line}");
-        assert_eq!((fixture.send_command("read").status(), watches.load(SeqCst)), (200, 0));
+        assert_eq!((fixture.send_command("read").status(), watch_count.load(SeqCst)), (200, 0));
     }
     for _ in 0..2 {
-        assert!(fixture.reload(&good).contains(&told.to_string()));
+        assert!(fixture.reload(&valid).contains(&discovery_address.to_string()));
         assert_eq!(fixture.send_command("read").status(), 200);
-        // Told the same again it stays with the watch that it has.
-        wait_until("the watch has moved", || watches.load(SeqCst) == 1);
+        // With the same configuration again the node keeps its watch.
+        wait_until("the watch at the new address", || watch_count.load(SeqCst) == 1);
     }
     let mut gone = fixture.backend_entries[0].clone();
     gone["status"] = "gone".into();
     let line = json!({"index": 9, "snapshot": false, "endpoints": [gone]}).to_string();
-    list.send(line).expect("a watch");
-    wait_until("b0 is gone", || {
+    watch_lines.send(line).expect("a watch");
+    wait_until("the removal of b0", || {
         let before = fixture.launch_count();
         (0..8).all(|_| fixture.send_command("read").status() == 200)
             && fixture.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n == 1)
     });
 }
 
-/// A planned stop answers all that was taken, also on connections that come after the signal, and ends well.
+/// On SIGTERM all accepted commands are answered, also on connections that are opened after the signal, and the process exits
+/// successfully.
 #[test]
 fn a_planned_stop_loses_nothing() {
     let mut fixture = NodeFixture::new(2, |_| BackendAction::SucceedLate, |_| {});
@@ -394,9 +402,9 @@
     assert_eq!(read_message(&mut kept).expect("an answer").status(), 200);
     fixture.send_signal("-TERM");
     let mut late = fixture.connect();
-    // Half of a command that never comes whole must not hold the node up.
-    let mut half = fixture.connect();
-    half.write_all(&text.as_bytes()[..50]).expect("written");
+    // Half of a command that never becomes complete must not delay the end of the node.
+    let mut half_sent = fixture.connect();
+    half_sent.write_all(&text.as_bytes()[..50]).expect("written");
     sleep(Duration::from_millis(200));
     assert_eq!(fixture.send_request("GET /up HTTP/1.1\r\nHost: n\r\n\r\n").status(), 503);
     for stream in [&mut late, &mut kept] {
@@ -404,17 +412,17 @@
     }
     for (what, mut stream) in [("early", early), ("late", late), ("kept", kept)] {
         let reply = read_message(&mut stream).unwrap_or_default();
-        // Whether there is room for it is the module's to say; that it is answered whole is the node's.
+        // The decision module may reject it; the node must answer it whole either way.
         assert!(reply.status() == 200 || reply.status() == 503 && what != "early", "{what}: {reply:?}");
         assert_eq!(reply.header("connection"), Some("close"), "{what}");
     }
     assert!(fixture.process.wait().expect("an end").success());
 }
 
-/// With more connections than it may hold the node still reads each one that it has accepted: those that say
-/// nothing, or stop in the middle, make room, and no command is turned back for their sake.
+/// With more connections than its socket budget the node still reads each one that it has accepted: those that send nothing,
+/// or stop in the middle of a command, are closed to make room, and no command is rejected because of them.
 #[test]
-fn a_full_budget_leaves_nobody_unread() {
+fn a_full_socket_budget_leaves_no_connection_unread() {
     let fixture =
         NodeFixture::new(1, |_| BackendAction::Succeed, |config| config["limits"]["sockets"] = 110.into());
     let whole = command_request("read", "a body", "");
@@ -432,10 +440,10 @@
     }
 }
 
-/// Clients that ask once and stay must not take the connections of those that have yet to ask: past some the
-/// answer ends the connection, and new ones are served as before.
+/// Clients that send one command and keep their connection must not use up the connections of others: beyond some number the
+/// answer closes the connection, and new clients are served as before.
 #[test]
-fn one_time_askers_make_room() {
+fn idle_clients_make_room_for_new_ones() {
     let fixture =
         NodeFixture::new(1, |_| BackendAction::Succeed, |config| config["limits"]["sockets"] = 240.into());
     let mut kept = Vec::new();
@@ -449,15 +457,15 @@
         kept.push(stream);
     }
     assert!((30..=70).contains(&ended), "{ended} of 80 ended");
-    // The first ones may still ask.
+    // The first clients may still send commands.
     kept[0].write_all(command_request("read", "", "").as_bytes()).expect("written");
     assert_eq!(read_message(&mut kept[0]).expect("an answer").status(), 200);
 }
 
-/// A bad start file ends the node with one line that names the key.
+/// An invalid configuration at the start ends the node with one line that names the key.
 #[test]
-fn bad_start_files() {
-    let good = json!({
+fn invalid_start_configurations_name_the_key() {
+    let valid = json!({
         "name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"index": 4, "snapshot": true, "endpoints": []}, "settings": default_settings(),
@@ -482,20 +490,20 @@
         ("known", |c| c["known"] = json!({"endpoints": 7})),
     ];
     for (key, change) in cases {
-        let mut config = good.clone();
+        let mut config = valid.clone();
         change(&mut config);
-        let (child, folder) = start_node(&config, &[]);
+        let (child, dir) = start_node(&config, &[]);
         let output = child.wait_with_output().expect("an end");
-        let _ = std::fs::remove_dir_all(folder);
+        let _ = std::fs::remove_dir_all(dir);
         let text = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success() && text.lines().count() == 1, "{key}: {text}");
         assert!(text.contains(key), "{key}: {text}");
     }
 }
 
-/// The same deployment in another shape: names in another order, some changed, new and left out; the list comes
-/// by itself, no two launches are out at once, reports come with answers and in other fields.
-fn other_shape(config: &Value) -> Value {
+/// The same deployment with other settings: names in another order, some changed, added and removed; the list is pushed, no
+/// command has two launches at once, and load reports come with answers and in other fields.
+fn other_settings(config: &Value) -> Value {
     let mut other = config.clone();
     let settings = &mut other["settings"];
     let profiles = settings["profiles"].clone();
@@ -516,44 +524,44 @@
     other
 }
 
-/// There and back under load: what is in hand at the moment of a switch ends by what it came in under, each command
-/// is answered once, and a once-only one is launched once; new ones go by the new names at once.
+/// Settings change back and forth under load: commands in progress end by the settings under which they came, each command is
+/// answered once, and a once-only one is launched once; new commands follow the new settings at once.
 #[test]
-fn a_switch_under_load_and_back() {
-    let patient = |config: &mut Value| {
+fn settings_switch_under_load_and_back() {
+    let with_long_limits = |config: &mut Value| {
         for profile in config["settings"]["profiles"].as_array_mut().expect("profiles") {
             profile["goalTime"] = 1_000_000_000.into();
             profile["timeLimit"] = 2_000_000_000.into();
         }
     };
-    let mut fixture = NodeFixture::new(3, |_| BackendAction::SucceedLate, patient);
-    let (first, second) = (fixture.config.clone(), other_shape(&fixture.config));
+    let mut fixture = NodeFixture::new(3, |_| BackendAction::SucceedLate, with_long_limits);
+    let (first, second) = (fixture.config.clone(), other_settings(&fixture.config));
     wait_until("a watch", || fixture.watch_count.load(SeqCst) >= 1);
-    for (shape, gone, new) in
+    for (settings, gone, new) in
         [(&second, "mark", "lookup"), (&first, "lookup", "mark"), (&second, "mark", "lookup")]
     {
         let before = fixture.launch_count();
         let mut streams = Vec::new();
-        // More than have room at once: some are out and some are held when the signal comes.
+        // More than can be launched at once: some are launched and some are queued when the signal comes.
         for n in 0..24 {
             let profile = ["read", "pay", gone][n % 3];
             let mut stream = fixture.connect();
-            // Far longer than any launch takes, also on a busy machine.
+            // Far longer than any launch takes, even on a busy machine.
             let text = command_request(profile, profile, "").replace("Left-Ms: 450", "Left-Ms: 5000");
             stream.write_all(text.as_bytes()).expect("written");
             streams.push(stream);
         }
-        wait_until("launches are out", || fixture.launch_count() >= before + 2);
-        let line = fixture.reload(&shape.to_string());
+        wait_until("launches", || fixture.launch_count() >= before + 2);
+        let line = fixture.reload(&settings.to_string());
         assert!(line.contains("changed: ") && line.contains("settings.profiles"), "{line}");
-        assert_eq!(fixture.send_command(gone).status(), 400, "{gone} is no profile now");
+        assert_eq!(fixture.send_command(gone).status(), 400, "{gone} is not a profile now");
         assert_ne!(fixture.send_command(new).status(), 400, "{new} is one now");
         let mut finished = 0;
         for mut stream in streams {
             let status = read_message(&mut stream).expect("an answer").status();
             assert!([200, 503].contains(&status), "{status}");
             finished += usize::from(status == 200);
-            stream.set_read_timeout(Some(Duration::from_millis(20))).expect("a limit");
+            stream.set_read_timeout(Some(Duration::from_millis(20))).expect("a timeout");
             assert!(read_message(&mut stream).is_none(), "a second answer");
         }
         assert!(finished >= 2, "{finished}");
@@ -565,7 +573,7 @@
         once.dedup_by_key(|m| m.header("x-correlation-id").map(str::to_owned));
         assert_eq!(once.len(), all, "a once-only command was launched twice");
     }
-    // One watch throughout; told the same again nothing changes, and the list goes on being heeded.
+    // There is one watch throughout. The same configuration again changes nothing, and the list is still followed.
     assert!(fixture.reload(&second.to_string()).contains("as they were"));
     assert_eq!(fixture.watch_count.load(SeqCst), 1);
     let mut gone = fixture.backend_entries[0].clone();
@@ -574,23 +582,23 @@
         .watch_lines
         .send(json!({"index": 9, "snapshot": false, "endpoints": [gone]}).to_string())
         .expect("a watch");
-    wait_until("b0 drains", || {
+    wait_until("the drain of b0", || {
         let before = fixture.launch_count();
         (0..6).for_each(|_| drop(fixture.send_command("read")));
         fixture.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n != 0)
     });
-    // A drain outlives the switch: nothing has said since that it is over.
+    // A drain outlasts the switch: discovery has not ended it since.
     fixture.reload(&first.to_string());
     let before = fixture.launch_count();
     (0..6).for_each(|_| drop(fixture.send_command("read")));
     assert!(fixture.launches.lock().expect("launches")[before..].iter().all(|(n, _)| *n != 0));
 }
 
-/// Whatever is wrong with a new file, nothing changes, and one line names the key.
+/// Whatever is wrong with a new configuration, nothing changes, and one log line names the key.
 #[test]
-fn bad_new_files() {
+fn invalid_new_configurations_change_nothing() {
     let mut fixture = NodeFixture::new(1, |_| BackendAction::Succeed, |_| {});
-    let good = other_shape(&fixture.config);
+    let valid = other_settings(&fixture.config);
     type Change = fn(&mut Value);
     let cases: &[(&str, Change)] = &[
         ("name takes a restart", |c| c["name"] = "n2".into()),
@@ -615,11 +623,11 @@
         ("settings.zone", |c| c["settings"]["zone"] = 2.into()),
     ];
     for (key, change) in cases {
-        let mut config = good.clone();
+        let mut config = valid.clone();
         change(&mut config);
         let line = fixture.reload(&config.to_string());
         assert!(line.contains("the old configuration stays") && line.contains(key), "{key}: {line}");
-        // By the old settings `mark` is a profile and `lookup` is none.
+        // In the old settings `mark` is a profile and `lookup` is not.
         let statuses = [fixture.send_command("mark").status(), fixture.send_command("lookup").status()];
         assert_eq!(statuses, [200, 400], "{key}");
     }
