--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A second process of the node beside the first, which then goes: what holds over it, and what may go wrong.
+//! Upgrades: a second process of the node starts beside the first, which then exits; what carries over and what may go wrong.
 
 #[allow(dead_code)]
 mod world;
@@ -15,16 +15,16 @@
 use std::time::{Duration, Instant};
 use world::*;
 
-/// A process beside those that run, and its second address.
-fn beside(fixture: &NodeFixture) -> (Child, SocketAddr) {
+/// Starts another process beside the running ones and returns it with its admin address.
+fn start_beside(fixture: &NodeFixture) -> (Child, SocketAddr) {
     let admin = free_admin_address(&fixture.config);
     let file = fixture.dir.join("config.json");
     (start_node_in(&fixture.dir, &file, &[("ROUTER_ADMIN", &admin.to_string())]), admin)
 }
 
-/// Puts the second process in the place of the first, which is to end well.
+/// Replaces the running process with a new one; the old one must exit successfully.
 fn upgrade(fixture: &mut NodeFixture) -> SocketAddr {
-    let (new, admin) = beside(fixture);
+    let (new, admin) = start_beside(fixture);
     wait_until_ready(admin);
     let mut old = std::mem::replace(&mut fixture.process, new);
     send_signal(&old, "-TERM");
@@ -32,36 +32,37 @@
     admin
 }
 
-/// Under load, and again and again: each command gets its answer, and none that may run once runs twice. Clients that
-/// keep their connection are told to go before it ends.
+/// Repeated upgrades under load: each command is answered, and no once-only command runs twice. Clients that keep their
+/// connection are told to close it before it ends.
 #[test]
-fn nothing_is_lost() {
+fn upgrades_under_load_lose_nothing() {
     let (mut fixture, _) = NodeFixture::with_admin(4, |_| BackendAction::Succeed);
-    let over = Arc::new(AtomicBool::new(false));
-    let load = |kept: bool| {
-        let (over, listen) = (over.clone(), fixture.listen);
+    let is_over = Arc::new(AtomicBool::new(false));
+    let start_client = |keeps_connection: bool| {
+        let (is_over, listen) = (is_over.clone(), fixture.listen);
         spawn(move || {
             let mut answers = Vec::new();
             let mut stream = None;
-            while !over.load(SeqCst) {
-                let mut open = stream.take().unwrap_or_else(|| connect_to(listen));
-                open.write_all(command_request("pay", "a body", "").as_bytes()).expect("written");
-                let reply = read_message(&mut open).unwrap_or_default();
+            while !is_over.load(SeqCst) {
+                let mut connection = stream.take().unwrap_or_else(|| connect_to(listen));
+                connection.write_all(command_request("pay", "a body", "").as_bytes()).expect("written");
+                let reply = read_message(&mut connection).unwrap_or_default();
                 let close = reply.header("connection") == Some("close");
                 answers.push(reply.status());
-                stream = (kept && !close).then_some(open);
+                stream = (keeps_connection && !close).then_some(connection);
                 sleep(Duration::from_millis(5));
             }
             answers
         })
     };
-    let loads: Vec<_> = [true, false, true, false].map(load).into();
+    let clients: Vec<_> = [true, false, true, false].map(start_client).into();
     for _ in 0..3 {
         sleep(Duration::from_millis(100));
         upgrade(&mut fixture);
     }
-    over.store(true, SeqCst);
-    let answers: Vec<u16> = loads.into_iter().flat_map(|l| l.join().expect("no client is cut off")).collect();
+    is_over.store(true, SeqCst);
+    let answers: Vec<u16> =
+        clients.into_iter().flat_map(|l| l.join().expect("no client is cut off")).collect();
     assert!(answers.iter().all(|status| [200, 503].contains(status)), "{answers:?}");
     assert!(answers.iter().filter(|status| **status == 200).count() > answers.len() / 2, "{answers:?}");
     let mut launched: HashMap<String, usize> = HashMap::new();
@@ -71,10 +72,10 @@
     assert!(launched.values().all(|times| *times == 1), "{launched:?}");
 }
 
-/// What operators have said outlives the process, and a call to either of two holds in both: a backend left out stays
-/// so, clients stay sent away, and so does the list as discovery told it last.
+/// Operators' requests outlive the process, and with two processes a request to either applies to both: a backend in
+/// maintenance stays there, a failed health check stays failed, and the backend list stays as discovery sent it last.
 #[test]
-fn what_was_said_holds() {
+fn operator_requests_survive_an_upgrade() {
     let (mut fixture, first) = NodeFixture::with_admin(3, |_| BackendAction::Succeed);
     wait_until("a watch", || fixture.watch_count.load(SeqCst) > 0);
     let mut gone = fixture.backend_entries[2].clone();
@@ -84,51 +85,57 @@
     assert_eq!(call_admin(first, "PUT /backends/b0/maint").status(), 200);
     assert_eq!(call_admin(first, "PUT /healthcheck/fail").status(), 200);
     let second = upgrade(&mut fixture);
-    assert_eq!(fixture.send_request(UP_REQUEST).status(), 503, "clients are sent away still");
+    assert_eq!(fixture.send_request(UP_REQUEST).status(), 503, "the health check still fails");
     assert_eq!(call_admin(second, "PUT /healthcheck/ok").status(), 200);
     assert_eq!(fixture.send_request(UP_REQUEST).status(), 200);
     for _ in 0..12 {
         assert_eq!(fixture.send_command("read").status(), 200);
     }
-    let seen: Vec<usize> = fixture.launches.lock().expect("launches").iter().map(|(n, _)| *n).collect();
-    assert!(seen.iter().all(|n| *n == 1), "b0 is left out and b2 is gone: {seen:?}");
-    // While two run: said to the old one, it holds in the new one, and the other way round.
+    let launched_at: Vec<usize> =
+        fixture.launches.lock().expect("launches").iter().map(|(n, _)| *n).collect();
+    assert!(launched_at.iter().all(|n| *n == 1), "b0 is in maintenance and b2 is gone: {launched_at:?}");
+    // While two processes run, a request to the old one applies to the new one too, and the other way round.
     let mut kept = fixture.connect();
     kept.write_all(UP_REQUEST.as_bytes()).expect("written");
     assert_eq!(read_message(&mut kept).expect("an answer").status(), 200);
-    let (new, third) = beside(&fixture);
+    let (new, third) = start_beside(&fixture);
     wait_until_ready(third);
     assert_eq!(call_admin(second, "PUT /backends/b0/ready").status(), 200);
     assert_eq!(call_admin(second, "PUT /backends/b1/maint").status(), 200);
     let before = fixture.launch_count();
     assert_eq!(fixture.send_command("read").status(), 200);
-    assert_eq!(fixture.launches.lock().expect("launches")[before].0, 0, "the new process heard it");
+    assert_eq!(fixture.launches.lock().expect("launches")[before].0, 0, "the new process applies it");
     assert_eq!(call_admin(third, "PUT /backends/b0/maint").status(), 200);
     kept.write_all(command_request("read", "a body", "").as_bytes()).expect("written");
     let reply = read_message(&mut kept).expect("an answer");
     assert_eq!(
         (reply.status(), reply.header("connection")),
         (503, Some("close")),
-        "the old process heard it"
+        "the old process applies it"
     );
     let old = std::mem::replace(&mut fixture.process, new);
     send_signal(&old, "-KILL");
     old.wait_with_output().expect("an end");
-    assert_eq!(call_admin(third, "PUT /backends/b0/ready").status(), 200, "no wait for one that is gone");
+    assert_eq!(
+        call_admin(third, "PUT /backends/b0/ready").status(),
+        200,
+        "no wait for a process that is gone"
+    );
     assert_eq!(fixture.send_command("read").status(), 200);
 }
 
-/// A new process that does not come up, or dies when it has the connections, leaves the old one as it was; a third one
+/// A new process that fails to start, or dies after it has taken the connections, leaves the old one as it was. A third process
 /// is refused while two run.
 #[test]
-fn the_old_process_goes_on() {
+fn a_failed_upgrade_leaves_the_old_process_serving() {
     let (mut fixture, first) = NodeFixture::with_admin(2, |_| BackendAction::Succeed);
-    let bad = fixture.dir.join("bad.json");
-    std::fs::write(&bad, "{").expect("a file");
-    let taken = first.to_string();
-    for (what, file, admin) in
-        [("a bad file", &bad, ""), ("a taken address", &fixture.dir.join("config.json"), &*taken)]
-    {
+    let invalid = fixture.dir.join("bad.json");
+    std::fs::write(&invalid, "{").expect("a file");
+    let taken_address = first.to_string();
+    for (what, file, admin) in [
+        ("an invalid file", &invalid, ""),
+        ("a taken address", &fixture.dir.join("config.json"), &*taken_address),
+    ] {
         let variables = [("ROUTER_ADMIN", admin)];
         let new = start_node_in(&fixture.dir, file, &variables[usize::from(admin.is_empty())..]);
         let output = new.wait_with_output().expect("an end");
@@ -137,50 +144,51 @@
         assert_eq!(fixture.send_command("read").status(), 200, "{what}");
     }
     for round in 0..3 {
-        let (mut new, admin) = beside(&fixture);
+        let (mut new, admin) = start_beside(&fixture);
         wait_until_ready(admin);
-        let (third, _) = beside(&fixture);
+        let (third, _) = start_beside(&fixture);
         let output = third.wait_with_output().expect("an end");
         let text = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success() && text.contains("two processes"), "{round}: {text}");
-        assert_eq!(fixture.send_command("read").status(), 200, "{round}: by the new one");
+        assert_eq!(fixture.send_command("read").status(), 200, "{round}: by the new process");
         new.kill().expect("killed");
         new.wait().expect("an end");
-        assert_eq!(fixture.send_command("read").status(), 200, "{round}: by the old one again");
+        assert_eq!(fixture.send_command("read").status(), 200, "{round}: by the old process again");
         assert_eq!(call_admin(first, "GET /healthcheck").status(), 200);
     }
     upgrade(&mut fixture);
-    assert_eq!(fixture.send_command("read").status(), 200, "and then one that holds");
+    assert_eq!(fixture.send_command("read").status(), 200, "after an upgrade that lasts");
 }
 
-/// Whatever stands where the old process should be costs a bounded wait: the start is as from nothing, and says so.
+/// If something else holds the old process's socket, the new one waits for a bounded time, starts without former state and logs
+/// that.
 #[test]
-fn nobody_to_ask() {
+fn without_a_usable_old_process_the_start_is_fresh() {
     type Peer = fn(&std::path::Path);
     let stale: Peer = |path| drop(UnixListener::bind(path).expect("a socket"));
-    let hangs: Peer = |path| {
-        let door = UnixListener::bind(path).expect("a socket");
-        spawn(move || door.incoming().flatten().map(std::mem::ManuallyDrop::new).count());
+    let hanging: Peer = |path| {
+        let listener = UnixListener::bind(path).expect("a socket");
+        spawn(move || listener.incoming().flatten().map(std::mem::ManuallyDrop::new).count());
     };
-    let other: Peer = |path| {
-        let door = UnixListener::bind(path).expect("a socket");
+    let other_version: Peer = |path| {
+        let listener = UnixListener::bind(path).expect("a socket");
         spawn(move || {
-            for mut stream in door.incoming().flatten() {
+            for mut stream in listener.incoming().flatten() {
                 let _ = stream.write_all(b"\n{\"hello\":{\"version\":99}}\n");
                 let _ = stream.read(&mut [0; 64]);
             }
         });
     };
-    for (what, peer, says) in
-        [("stale", stale, false), ("hangs", hangs, true), ("another version", other, true)]
+    for (what, peer, says_so) in
+        [("stale", stale, false), ("hangs", hanging, true), ("another version", other_version, true)]
     {
         let (mut fixture, _) = NodeFixture::with_admin(1, |_| BackendAction::Succeed);
         fixture.process.kill().expect("killed");
         fixture.process.wait().expect("an end");
         let path = fixture.dir.join(format!("{}.sock", fixture.listen));
-        std::fs::remove_file(&path).expect("the old one's file");
+        std::fs::remove_file(&path).expect("the socket of the old process");
         peer(&path);
-        let (mut new, admin) = beside(&fixture);
+        let (mut new, admin) = start_beside(&fixture);
         let mut log = BufReader::new(new.stderr.take().expect("a log"));
         fixture.process = new;
         wait_until_ready(admin);
@@ -189,55 +197,56 @@
         while !text.contains("listening on") {
             assert!(log.read_line(&mut text).expect("a line") > 0, "{what}: {text}");
         }
-        assert_eq!(text.contains("starting as from nothing"), says, "{what}: {text}");
+        assert_eq!(text.contains("starting as from nothing"), says_so, "{what}: {text}");
     }
 }
 
-/// An id that is in hand in either of two processes is open in both: passed on again its command would run twice.
+/// A command id in progress in one of two processes is in progress in both: otherwise a repeated command would run twice.
 #[test]
-fn ids_in_hand_of_both() {
-    let acts = |n| if n < 2 { BackendAction::BodyWithLength(24 << 20) } else { BackendAction::Succeed };
-    let (mut fixture, first) = NodeFixture::with_admin(4, acts);
-    let (old, new) = (command_request("pay", "a body", ""), command_request("pay", "a body", ""));
+fn command_ids_in_progress_are_shared() {
+    let action_of = |n| if n < 2 { BackendAction::BodyWithLength(24 << 20) } else { BackendAction::Succeed };
+    let (mut fixture, first) = NodeFixture::with_admin(4, action_of);
+    let (old_command, new_command) =
+        (command_request("pay", "a body", ""), command_request("pay", "a body", ""));
     let [mut by_old, mut kept] = [(); 2].map(|()| fixture.connect());
-    by_old.write_all(old.as_bytes()).expect("written");
-    wait_until("it is in hand", || by_old.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
+    by_old.write_all(old_command.as_bytes()).expect("written");
+    wait_until("the start of the answer", || by_old.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
     kept.write_all(UP_REQUEST.as_bytes()).expect("written");
     assert_eq!(read_message(&mut kept).expect("an answer").status(), 200);
-    let (process, admin) = beside(&fixture);
+    let (process, admin) = start_beside(&fixture);
     wait_until_ready(admin);
-    assert_eq!(fixture.send_request(&old).status(), 409, "asked again of the new one");
+    assert_eq!(fixture.send_request(&old_command).status(), 409, "repeated at the new process");
     let mut by_new = fixture.connect();
-    by_new.write_all(new.as_bytes()).expect("written");
-    wait_until("it is in hand", || by_new.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
-    // The old one hears of it with the next beat, a call's answer behind that.
+    by_new.write_all(new_command.as_bytes()).expect("written");
+    wait_until("the start of the answer", || by_new.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
+    // The old process learns of it with the next heartbeat; the answer to an admin request comes after that.
     sleep(Duration::from_millis(500));
     assert_eq!(call_admin(first, "PUT /healthcheck/ok").status(), 200);
-    kept.write_all(new.as_bytes()).expect("written");
-    assert_eq!(read_message(&mut kept).unwrap_or_default().status(), 409, "asked again of the old one");
+    kept.write_all(new_command.as_bytes()).expect("written");
+    assert_eq!(read_message(&mut kept).unwrap_or_default().status(), 409, "repeated at the old process");
     assert_eq!(fixture.launch_count(), 2);
     let mut old = std::mem::replace(&mut fixture.process, process);
     old.kill().expect("killed");
     old.wait().expect("an end");
 }
 
-/// What a new process is told, asked for as one would; another version, half a word and noise get nothing, and the
-/// process at the door serves on. A backend called back is told to have started then, whatever the list says: to a new
-/// process it would be warm.
+/// The state that a new process receives over the upgrade socket. Another version, a partial message and noise get no state, and
+/// the process keeps serving. A backend back from maintenance is reported as started at that time, whatever the list says:
+/// otherwise a new process would consider it warm.
 #[test]
-fn what_a_new_process_is_told() {
+fn a_new_process_receives_the_present_state() {
     let (fixture, admin) = NodeFixture::with_admin(2, |_| BackendAction::Succeed);
     let path = fixture.dir.join(format!("{}.sock", fixture.listen));
-    let ask = |text: &str| {
-        let mut stream = UnixStream::connect(&path).expect("a door");
-        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a limit");
+    let exchange = |text: &str| {
+        let mut stream = UnixStream::connect(&path).expect("a listening socket");
+        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a timeout");
         stream.write_all(text.as_bytes()).expect("written");
         let mut lines = BufReader::new(stream).lines().map_while(Result::ok);
         lines.next();
         lines.next().and_then(|line| serde_json::from_str::<Value>(&line).ok())
     };
     for text in ["{\"hello\":{\"version\":99}}\n", "{\"hello\":{\"vers", "no word\n", "{\"done\":null}\n"] {
-        assert_eq!(ask(text), None, "{text}");
+        assert_eq!(exchange(text), None, "{text}");
     }
     for text in ["PUT /backends/b0/maint", "PUT /backends/b0/ready", "PUT /backends/b1/maint"] {
         assert_eq!(call_admin(admin, text).status(), 200);
@@ -247,7 +256,7 @@
     fixture.watch_lines.send(line).expect("a watch");
     let mut state = Value::Null;
     wait_until("the list of that index", || {
-        state = ask("{\"hello\":{\"version\":1}}\n").unwrap_or_default()["state"].clone();
+        state = exchange("{\"hello\":{\"version\":1}}\n").unwrap_or_default()["state"].clone();
         state["list"]["index"] == 77
     });
     assert_eq!(state["left_out"], json!(["b1"]));
@@ -256,75 +265,79 @@
     assert_eq!(fixture.send_command("read").status(), 200);
 }
 
-/// A second new process that comes while the first is still being told what there is, more than its socket holds, finds no
-/// room, and the first one's end makes room again. Before, both were let in.
+/// A second new process that connects while the first is still receiving its state, which is larger than the socket buffer, is
+/// refused; the end of the first one makes room again. The failure: both were accepted.
 #[test]
-fn two_new_processes_at_once() {
+fn a_second_new_process_is_refused() {
     let (fixture, _) = NodeFixture::with_admin(1, |_| BackendAction::Succeed);
     let path = fixture.dir.join(format!("{}.sock", fixture.listen));
     wait_until("a watch", || fixture.watch_count.load(SeqCst) > 0);
-    let many = (0..6000).map(|n| {
+    let entries = (0..6000).map(|n| {
         let mut entry = fixture.backend_entries[0].clone();
         (entry["name"], entry["status"]) =
             (format!("b{n}").into(), if n == 0 { "ready" } else { "draining" }.into());
         entry
     });
-    let line = json!({"index": 77, "snapshot": true, "endpoints": many.collect::<Vec<_>>()}).to_string();
+    let line = json!({"index": 77, "snapshot": true, "endpoints": entries.collect::<Vec<_>>()}).to_string();
     fixture.watch_lines.send(line).expect("a watch");
-    let hello = || {
-        let mut stream = UnixStream::connect(&path).expect("a door");
-        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a limit");
+    let send_hello = || {
+        let mut stream = UnixStream::connect(&path).expect("a listening socket");
+        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a timeout");
         stream.write_all(b"{\"hello\":{\"version\":1}}\n").expect("written");
         stream
     };
-    // Behind the byte that the listening socket comes beside.
-    let word = |stream: UnixStream| {
+    // The answer follows the byte that carries the listening socket.
+    let read_answer = |stream: UnixStream| {
         let line = BufReader::new(stream).lines().nth(1).and_then(Result::ok).unwrap_or_default();
         (line.split('"').nth(1).unwrap_or_default().to_owned(), line.len())
     };
-    wait_until("the list is taken", || word(hello()).1 > 600_000);
-    let being_told = || {
-        let (mut first, mut begin) = (hello(), [0; 8]);
-        let told = first.read_exact(&mut begin).is_ok() && &begin == b"\n{\"state";
-        told.then_some(first)
+    wait_until("the list to be applied", || read_answer(send_hello()).1 > 600_000);
+    let begin_transfer = || {
+        let (mut stream, mut start) = (send_hello(), [0; 8]);
+        let has_begun = stream.read_exact(&mut start).is_ok() && &start == b"\n{\"state";
+        has_begun.then_some(stream)
     };
-    wait_until("a second one has come in the time that the first has", || {
+    wait_until("a second process to connect while the first is served", || {
         let since = Instant::now();
-        let Some(_first) = being_told() else { return false };
-        let said = word(hello()).0;
-        // Whoever does not read on is given up after 0.6 s, and then there is room.
+        let Some(_first) = begin_transfer() else { return false };
+        let answer = read_answer(send_hello()).0;
+        // A process that stops reading is dropped after 0.6 s, and then there is room.
         let in_time = since.elapsed() < Duration::from_millis(400);
-        assert!(!in_time || said == "no", "{said}");
+        assert!(!in_time || answer == "no", "{answer}");
         in_time
     });
-    wait_until("there is room again", || word(hello()).0 == "state");
+    wait_until("room for a new process", || read_answer(send_hello()).0 == "state");
     assert_eq!(fixture.send_command("read").status(), 200);
 }
 
-/// A new process that is told to stop before it has read its start takes the connections all the same and lets them go
-/// again as it ends: who comes meanwhile is served, and then the old one serves on, until another comes that stays.
+/// A new process that receives SIGTERM before it has read its configuration still takes the connections and hands them back as
+/// it exits: clients are served meanwhile, and then the old process serves on until another new one stays.
 #[test]
-fn a_new_process_that_is_told_to_stop() {
+fn a_new_process_that_stops_at_once_hands_back() {
     let (mut fixture, _) = NodeFixture::with_admin(2, |_| BackendAction::Succeed);
     let admin = free_admin_address(&fixture.config).to_string();
-    let (mut new, _, mut told) = start_node_reading_fifo(&fixture.dir, &[("ROUTER_ADMIN", &admin)]);
+    let (mut new, _, mut config_writer) = start_node_reading_fifo(&fixture.dir, &[("ROUTER_ADMIN", &admin)]);
     send_signal(&new, "-TERM");
-    told.write_all(fixture.config.to_string().as_bytes()).expect("written");
-    drop(told);
-    let mut after = 0;
-    wait_until("it has ended, and the old one serves", || {
-        assert_eq!(fixture.send_command("read").status(), 200, "{after} after its end");
-        after += u32::from(new.try_wait().expect("a process").is_some_and(|end| end.success()));
-        after == 10
+    config_writer.write_all(fixture.config.to_string().as_bytes()).expect("written");
+    drop(config_writer);
+    let mut commands_after_exit = 0;
+    wait_until("its exit and ten commands by the old process", || {
+        assert_eq!(
+            fixture.send_command("read").status(),
+            200,
+            "{commands_after_exit} commands after its exit"
+        );
+        commands_after_exit += u32::from(new.try_wait().expect("a process").is_some_and(|end| end.success()));
+        commands_after_exit == 10
     });
     upgrade(&mut fixture);
-    assert_eq!(fixture.send_command("read").status(), 200, "by one that stays");
+    assert_eq!(fixture.send_command("read").status(), 200, "by a process that stays");
 }
 
-/// Two processes are one node, also for its budget of launches: the new one launches nothing beyond commands' first
-/// while the old one runs and a window after, as the old one may have spent what is spare; then it may.
+/// Two processes of a node share its retry budget: while the old one runs, and for one window after, the new one makes only the
+/// first launch of each command, because the old one may have used up the spare launches. Then it may retry.
 #[test]
-fn what_is_spare_is_had_once() {
+fn two_processes_do_not_double_the_retry_budget() {
     let mut fixture = NodeFixture::new(
         4,
         |n| if n < 2 { BackendAction::Status(503, "X-Unprocessed: 1\r\n") } else { BackendAction::Succeed },
@@ -336,12 +349,12 @@
             rules["extraWindow"] = 50_000_000.into();
         },
     );
-    let (new, admin) = beside(&fixture);
+    let (new, admin) = start_beside(&fixture);
     wait_until_ready(admin);
     assert_eq!(
         (fixture.send_command("read").status(), fixture.launch_count()),
         (503, 1),
-        "while the old one runs"
+        "while the old process runs"
     );
     let mut old = std::mem::replace(&mut fixture.process, new);
     send_signal(&old, "-TERM");
@@ -350,6 +363,6 @@
     assert_eq!(
         (fixture.send_command("read").status(), fixture.launch_count()),
         (200, 3),
-        "a window after it has ended"
+        "a window after it has exited"
     );
 }
