--- a/crates/rehearsal/src/bin/yarrowfront-faulty.rs
+++ b/crates/rehearsal/src/bin/yarrowfront-faulty.rs
@@ -1,5 +1,5 @@
-//! A node with one fault, for the tests of the judges on the real clock: `yarrowfront-faulty FAULT`, with
-//! `ROUTER_CONFIG` as the node has it. It sends every command to the first backend that it was told of.
+//! A minimal node with one deliberate fault, for the tests of the judges on the real clock: `yarrowfront-faulty FAULT`, with
+//! `ROUTER_CONFIG` as for the real node. It sends every command to the first backend of its configuration.
 #![forbid(unsafe_code)]
 
 use bytes::Bytes;
@@ -16,39 +16,43 @@
 use tokio::task::{spawn_local, LocalSet};
 
 #[derive(Clone, Copy, PartialEq)]
-enum Fault {
+enum NodeFault {
     None,
-    /// Ends by itself after a hundred commands.
+    /// Exits on its own after a hundred commands.
     Crash,
-    /// Does not end on SIGTERM.
-    Deaf,
-    /// Closes the connection of one command in sixteen instead of answering, as often as it comes.
-    Lose,
-    /// Finishes every tenth command with the answer that was made for the one before.
-    Swap,
-    /// Sends every command twice.
-    Twice,
-    /// At its second address: calls all others dead; takes all that is shared; knows nobody; goes back in what it knows.
-    Slanders,
-    Greedy,
-    Hermit,
-    Backwards,
+    /// Does not exit on SIGTERM.
+    IgnoreSigterm,
+    /// Closes the connection instead of answering, for one request id in sixteen, however often it is sent.
+    LoseAnswers,
+    /// Answers every tenth command with the answer to the one before.
+    SwapAnswers,
+    /// Sends every command to the backend twice.
+    DuplicateLaunch,
+    /// Reports all other nodes as dead on its admin address.
+    ReportAllDead,
+    /// Claims the whole of what the fleet shares.
+    TakeWholeShare,
+    /// Reports a fleet without other members.
+    KnowNobody,
+    /// Reports ever lower incarnations of the other members.
+    DecreasingIncarnation,
 }
 
 struct Node {
-    fault: Fault,
+    fault: NodeFault,
     name: String,
-    /// Whom a view would know, and how often it was asked for that.
-    others: Vec<String>,
-    asked: Cell<u64>,
+    /// The other members of the fleet.
+    peers: Vec<String>,
+    /// How often the fleet view was requested.
+    view_requests: Cell<u64>,
     backend: String,
-    count: Cell<u64>,
-    last: std::cell::RefCell<Bytes>,
+    command_count: Cell<u64>,
+    last_answer: std::cell::RefCell<Bytes>,
 }
 
 type Answer = Result<Response<Full<Bytes>>, String>;
 
-async fn launch(node: &Node, head: &hyper::http::request::Parts, body: Bytes) -> Answer {
+async fn send_to_backend(node: &Node, head: &hyper::http::request::Parts, body: Bytes) -> Answer {
     let stream = TcpStream::connect(&node.backend).await.map_err(|e| e.to_string())?;
     let (mut sender, connection) =
         client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
@@ -68,43 +72,43 @@
     Ok(answer)
 }
 
-fn lost(head: &hyper::http::request::Parts) -> bool {
+fn loses_answer(head: &hyper::http::request::Parts) -> bool {
     head.headers.get("x-correlation-id").is_some_and(|id| id.as_bytes().ends_with(b"0"))
 }
 
-/// What it says of the others: what is so, but for its fault.
-fn view(node: &Node) -> String {
-    let asked = node.asked.get() + 1;
-    node.asked.set(asked);
-    let standing = if node.fault == Fault::Slanders && asked > 10 { "dead" } else { "alive" };
-    let edition = if node.fault == Fault::Backwards { 1000 - asked } else { 0 };
-    let member = |name: &String| json!({"name": name, "life": 1, "edition": edition, "standing": standing});
+/// Its fleet view: all peers alive, apart from its fault.
+fn fleet_view(node: &Node) -> String {
+    let request_count = node.view_requests.get() + 1;
+    node.view_requests.set(request_count);
+    let state = if node.fault == NodeFault::ReportAllDead && request_count > 10 { "dead" } else { "alive" };
+    let incarnation = if node.fault == NodeFault::DecreasingIncarnation { 1000 - request_count } else { 0 };
+    let member = |name: &String| json!({"name": name, "life": 1, "edition": incarnation, "standing": state});
     let members: Vec<Value> = match node.fault {
-        Fault::Hermit => Vec::new(),
-        _ => node.others.iter().map(member).collect(),
+        NodeFault::KnowNobody => Vec::new(),
+        _ => node.peers.iter().map(member).collect(),
     };
-    let of = if node.fault == Fault::Greedy { 1 } else { node.others.len() + 1 };
-    json!({"name": node.name, "life": 1, "members": members, "portion": {"nodes": of}}).to_string()
+    let share_divisor = if node.fault == NodeFault::TakeWholeShare { 1 } else { node.peers.len() + 1 };
+    json!({"name": node.name, "life": 1, "members": members, "portion": {"nodes": share_divisor}}).to_string()
 }
 
 async fn answer(node: Rc<Node>, request: Request<Incoming>) -> Answer {
     if request.uri().path() == "/fleet" {
-        return Ok(Response::new(Full::new(Bytes::from(view(&node)))));
+        return Ok(Response::new(Full::new(Bytes::from(fleet_view(&node)))));
     }
     if request.uri().path() == "/up" {
         return Ok(Response::new(Full::new(Bytes::from_static(b"up\n"))));
     }
-    let count = node.count.get() + 1;
-    node.count.set(count);
+    let count = node.command_count.get() + 1;
+    node.command_count.set(count);
     let (head, body) = request.into_parts();
     let body = body.collect().await.map_err(|e| e.to_string())?.to_bytes();
     match node.fault {
-        Fault::Crash if count > 100 => std::process::exit(3),
-        Fault::Lose if lost(&head) => return Err("lost".into()),
-        Fault::Twice => drop(launch(&node, &head, body.clone()).await),
+        NodeFault::Crash if count > 100 => std::process::exit(3),
+        NodeFault::LoseAnswers if loses_answer(&head) => return Err("lost".into()),
+        NodeFault::DuplicateLaunch => drop(send_to_backend(&node, &head, body.clone()).await),
         _ => {}
     }
-    let answer = launch(&node, &head, body).await;
+    let answer = send_to_backend(&node, &head, body).await;
     let Ok(answer) = answer else {
         let mut answer = Response::new(Full::new(Bytes::new()));
         *answer.status_mut() = StatusCode::BAD_GATEWAY;
@@ -112,12 +116,12 @@
     };
     let (head, body) = answer.into_parts();
     let body = body.collect().await.map_err(|e| e.to_string())?.to_bytes();
-    let before = node.last.replace(body.clone());
-    let swapped = node.fault == Fault::Swap && count.is_multiple_of(10);
-    Ok(Response::from_parts(head, Full::new(if swapped { before } else { body })))
+    let previous = node.last_answer.replace(body.clone());
+    let is_swapped = node.fault == NodeFault::SwapAnswers && count.is_multiple_of(10);
+    Ok(Response::from_parts(head, Full::new(if is_swapped { previous } else { body })))
 }
 
-async fn run(fault: Fault) -> Result<(), String> {
+async fn run(fault: NodeFault) -> Result<(), String> {
     let path = std::env::var("ROUTER_CONFIG").map_err(|e| e.to_string())?;
     let file = std::fs::read(path).map_err(|e| e.to_string())?;
     let file: Value = serde_json::from_slice(&file).map_err(|e| e.to_string())?;
@@ -125,7 +129,7 @@
     let listen = file["listen"].as_str().ok_or("no address")?;
     let listener = TcpListener::bind(listen).await.map_err(|e| e.to_string())?;
     let name = file["name"].as_str().ok_or("no name")?.to_owned();
-    let others = match file["fleet"].as_str().map(std::fs::read_to_string) {
+    let peers = match file["fleet"].as_str().map(std::fs::read_to_string) {
         Some(text) => {
             let text = text.map_err(|e| e.to_string())?;
             let via: toml::Table = toml::from_str(&text).map_err(|e| e.to_string())?;
@@ -133,24 +137,24 @@
         }
         None => Vec::new(),
     };
-    let (count, asked, last) = Default::default();
-    let node = Rc::new(Node { fault, name, others, asked, backend, count, last });
+    let (command_count, view_requests, last_answer) = Default::default();
+    let node = Rc::new(Node { fault, name, peers, view_requests, backend, command_count, last_answer });
     if let Some(admin) = file["admin"].as_str() {
         let listener = TcpListener::bind(admin).await.map_err(|e| e.to_string())?;
-        spawn_local(take(listener, node.clone()));
+        spawn_local(accept_connections(listener, node.clone()));
     }
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|e| e.to_string())?;
-    spawn_local(take(listener, node));
+    spawn_local(accept_connections(listener, node));
     loop {
         term.recv().await;
-        if fault != Fault::Deaf {
+        if fault != NodeFault::IgnoreSigterm {
             return Ok(());
         }
     }
 }
 
-async fn take(listener: TcpListener, node: Rc<Node>) {
+async fn accept_connections(listener: TcpListener, node: Rc<Node>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         let node = node.clone();
@@ -163,16 +167,16 @@
 
 fn main() -> ExitCode {
     let fault = match std::env::args().nth(1).as_deref() {
-        Some("none") => Fault::None,
-        Some("crash") => Fault::Crash,
-        Some("deaf") => Fault::Deaf,
-        Some("lose") => Fault::Lose,
-        Some("swap") => Fault::Swap,
-        Some("twice") => Fault::Twice,
-        Some("slanders") => Fault::Slanders,
-        Some("greedy") => Fault::Greedy,
-        Some("hermit") => Fault::Hermit,
-        Some("backwards") => Fault::Backwards,
+        Some("none") => NodeFault::None,
+        Some("crash") => NodeFault::Crash,
+        Some("deaf") => NodeFault::IgnoreSigterm,
+        Some("lose") => NodeFault::LoseAnswers,
+        Some("swap") => NodeFault::SwapAnswers,
+        Some("twice") => NodeFault::DuplicateLaunch,
+        Some("slanders") => NodeFault::ReportAllDead,
+        Some("greedy") => NodeFault::TakeWholeShare,
+        Some("hermit") => NodeFault::KnowNobody,
+        Some("backwards") => NodeFault::DecreasingIncarnation,
         _ => {
             eprintln!("yarrowfront-faulty: none, crash, deaf, lose, swap, twice, slanders, greedy, hermit or backwards");
             return ExitCode::FAILURE;
--- a/crates/rehearsal/src/real/backends.rs
+++ b/crates/rehearsal/src/real/backends.rs
@@ -25,7 +25,7 @@
 
 /// Opens a backend's door and starts its clock.
 pub fn start(stage: &Rc<Stage>, i: usize) -> Result<(), String> {
-    let (listener, port) = ports::listen_here()?;
+    let (listener, port) = ports::listen_async()?;
     stage.gate(i).port.set(port);
     spawn_local(door(stage.clone(), i, listener));
     spawn_local(tick(stage.clone(), i));
--- a/crates/rehearsal/src/real/discovery.rs
+++ b/crates/rehearsal/src/real/discovery.rs
@@ -65,7 +65,7 @@
 
 /// Opens discovery's door for a node.
 pub fn start(stage: &Rc<Stage>, node: usize) -> Result<Door, String> {
-    let (listener, port) = ports::listen_here()?;
+    let (listener, port) = ports::listen_async()?;
     let (stage, closed) = (stage.clone(), Rc::new(watch::Sender::new(false)));
     let closing = closed.clone();
     let accepting = spawn_local(async move {
--- a/crates/rehearsal/src/soak/mod.rs
+++ b/crates/rehearsal/src/soak/mod.rs
@@ -61,13 +61,13 @@
     logs: Option<&Path>,
     tell: &mut dyn FnMut(String),
 ) -> Result<SoakSummary, String> {
-    let shim = shim::Library::build()?;
+    let shim = shim::ShimLibrary::build()?;
     let mut found = SoakSummary::default();
     for seed in seeds.0 {
         let scenario = world::draw(seed);
         scenario.check().map_err(|(key, why)| format!("seed {seed}: {key}: {why}"))?;
         let logs = logs.map(|folder| folder.join(seed.to_string()));
-        let variables = shim.variables(scenario.stress.as_ref());
+        let variables = shim.environment(scenario.stress.as_ref());
         let means = NodeProcessOptions {
             program: program.to_owned(),
             log_dir: logs,
--- a/crates/rehearsal/src/soak/shim.rs
+++ b/crates/rehearsal/src/soak/shim.rs
@@ -1,4 +1,4 @@
-//! The library that has a node's system calls fail or end short, built for each soak.
+//! The preloaded library that makes a node's system calls fail or transfer less than requested. It is built for each soak run.
 
 use crate::scenario::Stress;
 use std::path::PathBuf;
@@ -7,39 +7,40 @@
 
 const SOURCE: &str = include_str!("../../../node/tests/shims/system_calls.c");
 
-pub struct Library {
-    _folder: TempDir,
+pub struct ShimLibrary {
+    _dir: TempDir,
     path: PathBuf,
 }
 
-impl Library {
-    pub fn build() -> Result<Library, String> {
-        let folder = tempfile::tempdir().map_err(|e| format!("a folder for the shim: {e}"))?;
-        let (source, path) = (folder.path().join("system_calls.c"), folder.path().join("system_calls.so"));
-        std::fs::write(&source, SOURCE).map_err(|e| format!("the shim's source: {e}"))?;
+impl ShimLibrary {
+    pub fn build() -> Result<ShimLibrary, String> {
+        let dir = tempfile::tempdir().map_err(|e| format!("cannot create a directory for the shim: {e}"))?;
+        let (source, path) = (dir.path().join("system_calls.c"), dir.path().join("system_calls.so"));
+        std::fs::write(&source, SOURCE).map_err(|e| format!("cannot write the shim's source: {e}"))?;
         let mut compiler = Command::new("cc");
         compiler.args(["-shared", "-fPIC", "-O1", "-o"]).arg(&path).arg(&source).arg("-ldl");
-        let built = compiler.status().map_err(|e| format!("the shim needs a C compiler: {e}"))?;
+        let built = compiler.status().map_err(|e| format!("cannot run the C compiler for the shim: {e}"))?;
         if !built.success() {
-            return Err("the shim does not build".into());
+            return Err("the shim failed to build".into());
         }
-        Ok(Library { _folder: folder, path })
+        Ok(ShimLibrary { _dir: dir, path })
     }
 
-    /// What loads it into a node and says how often which call fails; nothing where none is to.
-    pub fn variables(&self, stress: Option<&Stress>) -> Vec<(String, String)> {
+    /// The environment variables that preload it into a node and set how many calls there are per failing one. Empty
+    /// if no call is to fail.
+    pub fn environment(&self, stress: Option<&Stress>) -> Vec<(String, String)> {
         let Some(stress) = stress else { return Vec::new() };
-        let shares = [
+        let calls_per_failure = [
             ("SHIM_SHORT", stress.short_calls),
             ("SHIM_INTERRUPT", stress.short_calls),
             ("SHIM_ACCEPT", stress.failing_accepts),
             ("SHIM_CONNECT", stress.failing_dials),
         ];
-        if shares.iter().all(|(_, share)| *share == 0) {
+        if calls_per_failure.iter().all(|(_, calls)| *calls == 0) {
             return Vec::new();
         }
-        let shares = shares.map(|(name, share)| (name.to_owned(), share.to_string()));
-        let load = ("LD_PRELOAD".to_owned(), self.path.display().to_string());
-        shares.into_iter().chain([load]).collect()
+        let calls_per_failure = calls_per_failure.map(|(name, calls)| (name.to_owned(), calls.to_string()));
+        let preload = ("LD_PRELOAD".to_owned(), self.path.display().to_string());
+        calls_per_failure.into_iter().chain([preload]).collect()
     }
 }
