--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -710,27 +710,27 @@
 impl TestFleet {
     /// A valid ping of this fleet from a node that no member knows.
     fn ping_datagram(from: SocketAddr) -> Vec<u8> {
-        use yarrowfront_view::card::{Edition, Life};
+        use yarrowfront_view::node_info::{Generation, Incarnation};
         use yarrowfront_view::wire::{Datagram, Kind, VERSION};
         let datagram = Datagram {
             version: VERSION,
             fleet: "tested".into(),
-            kind: Kind::Ask,
-            ask: 1,
-            from: "spy".into(),
-            life: Life(1),
-            edition: Edition(0),
+            kind: Kind::Ping,
+            probe_id: 1,
+            sender: "spy".into(),
+            generation: Generation(1),
+            incarnation: Incarnation(0),
             address: from,
             target: None,
             digest: 0,
-            here: 1,
+            present_count: 1,
             load: None,
-            sums: None,
-            last: None,
-            whole: None,
-            news: None,
+            checksums: None,
+            is_final: None,
+            wants_info: None,
+            updates: None,
         };
-        datagram.bytes().expect("small")
+        datagram.to_bytes().expect("small")
     }
 }
 
