--- a/crates/rehearsal/src/real/backends.rs
+++ b/crates/rehearsal/src/real/backends.rs
@@ -1,8 +1,8 @@
 //! Stand-in backends: the model behind sockets, one listener each.
 
 use crate::judge::Observation;
+use crate::real::harness::{Stage, Stay};
 use crate::real::ports;
-use crate::real::stage::{Stage, Stay};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
--- a/crates/rehearsal/src/real/discovery.rs
+++ b/crates/rehearsal/src/real/discovery.rs
@@ -1,7 +1,7 @@
 //! Stand-in discovery: one door for each node, so that it is known who was told what.
 
+use crate::real::harness::{Line, Stage};
 use crate::real::ports;
-use crate::real::stage::{Line, Stage};
 use bytes::Bytes;
 use http_body_util::{combinators::UnsyncBoxBody, BodyExt, Full};
 use hyper::body::{Body, Frame, Incoming};
--- a/crates/rehearsal/src/real/discovery_moves.rs
+++ b/crates/rehearsal/src/real/discovery_moves.rs
@@ -1,7 +1,7 @@
 //! Configurations that move discovery, given to the nodes one after the other.
 
+use crate::real::harness::Stage;
 use crate::real::nodes::Crew;
-use crate::real::stage::Stage;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
--- a/crates/rehearsal/src/real/stage.rs
+++ b/crates/rehearsal/src/real/harness.rs
@@ -7,7 +7,7 @@
 use crate::model::fleet::{AnswerFate, DriverAction, Fleet};
 use crate::model::settings::zone_name;
 use crate::model::troubles::Step;
-use crate::real::ways::Ways;
+use crate::real::network::Ways;
 use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{CommandEffect, Scenario};
 use crate::span::Time;
--- a/crates/rehearsal/src/real/idle_crowd.rs
+++ b/crates/rehearsal/src/real/idle_crowd.rs
@@ -1,7 +1,7 @@
 //! Clients that connect to a node and say nothing: they come again when they are sent away.
 
+use crate::real::harness::Stage;
 use crate::real::nodes::Crew;
-use crate::real::stage::Stage;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
--- a/crates/rehearsal/src/real/ways.rs
+++ b/crates/rehearsal/src/real/network.rs
@@ -1,8 +1,8 @@
 //! Faults on the ways between processes and on nodes' processes, by a schedule; and what nodes tell of each other meanwhile.
 
 use crate::judge::views::FleetReport;
+use crate::real::harness::Stage;
 use crate::real::nodes::Crew;
-use crate::real::stage::Stage;
 use crate::scenario::Scenario;
 use crate::span::Time;
 use bytes::Bytes;
--- a/crates/rehearsal/src/real/nodes.rs
+++ b/crates/rehearsal/src/real/nodes.rs
@@ -3,8 +3,8 @@
 use crate::judge::result::ProcessUsage;
 use crate::judge::Observation;
 use crate::model::settings::node_settings;
-use crate::real::stage::Stage;
-use crate::real::{discovery, ports, ways};
+use crate::real::harness::Stage;
+use crate::real::{discovery, network, ports};
 use crate::rng::{RngStream, SeededRng};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -109,7 +109,7 @@
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
                 "known": stage.whole(node), "settings": node_settings(&stage.scenario, node),
             });
-            if let Some(text) = ways::view_file(&stage.scenario, &stage.ways, node, &udp)? {
+            if let Some(text) = network::view_file(&stage.scenario, &stage.ways, node, &udp)? {
                 let path = folder.join(format!("n{node}.toml"));
                 std::fs::write(&path, text).map_err(|e| format!("a node's view: {e}"))?;
                 config["fleet"] = path.display().to_string().into();
--- a/crates/rehearsal/src/soak/mod.rs
+++ b/crates/rehearsal/src/soak/mod.rs
@@ -1,8 +1,8 @@
 //! A soak: worlds drawn from seeds, played around real nodes on loopback, and judged by the rules from what clients,
 //! backends and discovery recorded. The same seed draws the same world.
 
+pub mod generator;
 mod shim;
-pub mod world;
 
 use crate::judge::result::PlayResult;
 use crate::real::{self, NodeProcessOptions};
@@ -64,7 +64,7 @@
     let shim = shim::ShimLibrary::build()?;
     let mut found = SoakSummary::default();
     for seed in seeds.0 {
-        let scenario = world::draw(seed);
+        let scenario = generator::draw(seed);
         scenario.check().map_err(|(key, why)| format!("seed {seed}: {key}: {why}"))?;
         let logs = logs.map(|folder| folder.join(seed.to_string()));
         let variables = shim.environment(scenario.stress.as_ref());
