--- a/crates/rehearsal/src/real/backends.rs
+++ b/crates/rehearsal/src/real/backends.rs
@@ -1,7 +1,7 @@
-//! Stand-in backends: the model behind sockets, one listener each.
+//! Simulated backends on sockets: each has its own listener and its own model.
 
 use crate::judge::Observation;
-use crate::real::harness::{Stage, Stay};
+use crate::real::harness::{Harness, LaunchResult};
 use crate::real::ports;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -18,17 +18,17 @@
 use tokio::time::{sleep, sleep_until};
 use yarrowfront::times::Micros;
 
-type Answer = Result<Response<Full<Bytes>>, &'static str>;
+type AnswerResult = Result<Response<Full<Bytes>>, &'static str>;
 
-/// The header that names a try; its client writes the number in hexadecimal.
-pub const ID: &str = "x-correlation-id";
+/// The header with the attempt's number, which its client writes in hexadecimal.
+pub const ATTEMPT_ID_HEADER: &str = "x-correlation-id";
 
-/// Opens a backend's door and starts its clock.
-pub fn start(stage: &Rc<Stage>, i: usize) -> Result<(), String> {
+/// Opens a backend's listener and starts its clock.
+pub fn start_backend(harness: &Rc<Harness>, backend: usize) -> Result<(), String> {
     let (listener, port) = ports::listen_async()?;
-    stage.gate(i).port.set(port);
-    spawn_local(door(stage.clone(), i, listener));
-    spawn_local(tick(stage.clone(), i));
+    harness.control(backend).port.set(port);
+    spawn_local(accept_connections(harness.clone(), backend, listener));
+    spawn_local(advance_when_due(harness.clone(), backend));
     Ok(())
 }
 
@@ -38,162 +38,162 @@
         .map_err(|e| format!("a backend cannot listen on {port}: {e}"))
 }
 
-/// Takes connections while its process is up; a dead one refuses them.
-async fn door(stage: Rc<Stage>, i: usize, first: TcpListener) {
-    let gate = stage.gate(i);
-    let mut life = gate.life.subscribe();
-    let mut open = Some(first);
+/// Accepts connections while the backend's process is up; while it is down they are refused.
+async fn accept_connections(harness: Rc<Harness>, backend: usize, first_listener: TcpListener) {
+    let control = harness.control(backend);
+    let mut epoch = control.connection_epoch.subscribe();
+    let mut listener = Some(first_listener);
     loop {
-        match &open {
+        match &listener {
             Some(listener) => tokio::select! {
-                taken = listener.accept() => {
-                    if let Ok((stream, _)) = taken {
-                        spawn_local(connection(stage.clone(), i, stream));
+                accepted = listener.accept() => {
+                    if let Ok((stream, _)) = accepted {
+                        spawn_local(serve_connection(harness.clone(), backend, stream));
                     }
                 }
-                changed = life.changed() => if changed.is_err() { return },
+                changed = epoch.changed() => if changed.is_err() { return },
             },
             None => {
-                if life.changed().await.is_err() {
+                if epoch.changed().await.is_err() {
                     return;
                 }
             }
         }
-        match (stage.is_up(i), open.is_some()) {
-            (false, true) => open = None,
-            (true, false) => match bind(gate.port.get()).await {
-                Ok(listener) => open = Some(listener),
-                Err(why) => stage.fail(why),
+        match (harness.is_up(backend), listener.is_some()) {
+            (false, true) => listener = None,
+            (true, false) => match bind(control.port.get()).await {
+                Ok(bound) => listener = Some(bound),
+                Err(why) => harness.report_error(why),
             },
             _ => {}
         }
     }
 }
 
-/// Lets the model's time pass whenever it has something to do.
-async fn tick(stage: Rc<Stage>, i: usize) {
-    let gate = stage.gate(i);
+/// Advances the model whenever its next change is due.
+async fn advance_when_due(harness: Rc<Harness>, backend: usize) {
+    let control = harness.control(backend);
     loop {
-        match stage.next(i) {
+        match harness.next_backend_change(backend) {
             Some(at) => tokio::select! {
-                () = sleep_until(stage.instant(at)) => stage.pass(i),
-                () = gate.turned.notified() => {}
+                () = sleep_until(harness.to_instant(at)) => harness.advance_backend(backend),
+                () = control.next_change_updated.notified() => {}
             },
-            None => gate.turned.notified().await,
+            None => control.next_change_updated.notified().await,
         }
     }
 }
 
-async fn connection(stage: Rc<Stage>, i: usize, stream: TcpStream) {
-    let gate = stage.gate(i);
-    let mut life = gate.life.subscribe();
-    life.mark_unchanged();
+async fn serve_connection(harness: Rc<Harness>, backend: usize, stream: TcpStream) {
+    let control = harness.control(backend);
+    let mut epoch = control.connection_epoch.subscribe();
+    epoch.mark_unchanged();
     let _ = stream.set_nodelay(true);
-    stage.burden(i, true);
-    let own = stage.clone();
-    let service = service_fn(move |request| answer(own.clone(), i, request));
+    harness.add_overhead(backend, true);
+    let service_harness = harness.clone();
+    let service = service_fn(move |request| handle_request(service_harness.clone(), backend, request));
     let mut serving = std::pin::pin!(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
     tokio::select! {
         _ = serving.as_mut() => {}
-        // The process has died, or the network is back after a cut: the connection is reset.
-        _ = life.changed() => {}
+        // The process has died, or the network has recovered from an outage: the connection is reset.
+        _ = epoch.changed() => {}
     }
 }
 
-fn plain(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(format!("{text}\n"))));
     *response.status_mut() = status;
     response
 }
 
-/// Tells the model if the node closes the connection: hyper drops the answer then.
-struct Staying {
-    stage: Rc<Stage>,
+/// Cancels the launch when the node closes the connection: hyper drops the pending answer then.
+struct CancelOnDrop {
+    harness: Rc<Harness>,
     backend: usize,
     key: u64,
 }
 
-impl Drop for Staying {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
-        self.stage.stop(self.backend, self.key);
+        self.harness.cancel_launch(self.backend, self.key);
     }
 }
 
-async fn silence(stage: &Stage, i: usize) {
-    if stage.is_cut(i) {
+async fn wait_for_network(harness: &Harness, backend: usize) {
+    if harness.is_cut_off(backend) {
         pending::<()>().await;
     }
-    sleep_some(stage).await;
+    sleep_extra_delay(harness).await;
 }
 
-async fn sleep_some(stage: &Stage) {
-    let delay = stage.delay();
+async fn sleep_extra_delay(harness: &Harness) {
+    let delay = harness.extra_delay();
     if !delay.is_zero() {
         sleep(delay).await;
     }
 }
 
-async fn answer(stage: Rc<Stage>, i: usize, request: Request<Incoming>) -> Answer {
-    silence(&stage, i).await;
+async fn handle_request(harness: Rc<Harness>, backend: usize, request: Request<Incoming>) -> AnswerResult {
+    wait_for_network(&harness, backend).await;
     match request.uri().path() {
-        "/metrics/load" | "/alive" => return load(&stage, i).await,
+        "/metrics/load" | "/alive" => return answer_probe(&harness, backend).await,
         path if path == "/api" || path.starts_with("/api/") => {}
-        _ => return Ok(plain(StatusCode::NOT_FOUND, "no such path")),
+        _ => return Ok(text_response(StatusCode::NOT_FOUND, "no such path")),
     }
-    let id = request.headers().get(ID).and_then(|v| v.to_str().ok());
+    let id = request.headers().get(ATTEMPT_ID_HEADER).and_then(|v| v.to_str().ok());
     let attempt = id.and_then(|id| u64::from_str_radix(id, 16).ok());
-    let Some((attempt, sent)) = attempt.and_then(|a| Some((a, stage.of(a)?))) else {
-        return Ok(plain(StatusCode::BAD_REQUEST, "no client has sent this"));
+    let Some((attempt, info)) = attempt.and_then(|a| Some((a, harness.attempt_info(a)?))) else {
+        return Ok(text_response(StatusCode::BAD_REQUEST, "unknown request id"));
     };
     let announced_time_left = request.headers().get("x-time-left-ms").and_then(|v| v.to_str().ok());
     let announced_time_left =
         announced_time_left.and_then(|millis| millis.parse().ok()).map(Micros::from_millis);
-    stage.see(Observation::LaunchStarted {
-        node: sent.node,
-        backend: i,
+    harness.observe(Observation::LaunchStarted {
+        node: info.node,
+        backend,
         attempt,
-        at: stage.now(),
+        at: harness.now(),
         announced_time_left,
     });
     let method = request.method().clone();
     if request.into_body().collect().await.is_err() {
-        return Err("the command was cut short");
+        return Err("the command is incomplete");
     }
     if method != Method::GET && method != Method::POST {
-        return Ok(plain(StatusCode::METHOD_NOT_ALLOWED, "GET or POST"));
+        return Ok(text_response(StatusCode::METHOD_NOT_ALLOWED, "GET or POST"));
     }
-    let (key, ended) = stage.arrive(i, attempt, sent);
-    let staying = Staying { stage: stage.clone(), backend: i, key };
-    let stay = ended.await.unwrap_or(Stay::Broken);
-    silence(&stage, i).await;
-    drop(staying);
-    match stay {
-        Stay::Done => {
-            let body = json!({"try": format!("{attempt:016x}"), "command": sent.command, "backend": i});
+    let (key, result_receiver) = harness.start_launch(backend, attempt, info);
+    let cancel_on_drop = CancelOnDrop { harness: harness.clone(), backend, key };
+    let result = result_receiver.await.unwrap_or(LaunchResult::ConnectionBroken);
+    wait_for_network(&harness, backend).await;
+    drop(cancel_on_drop);
+    match result {
+        LaunchResult::Done => {
+            let body = json!({"try": format!("{attempt:016x}"), "command": info.command, "backend": backend});
             Ok(Response::new(Full::new(Bytes::from(body.to_string()))))
         }
-        Stay::Full => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "full or draining");
+        LaunchResult::Full => {
+            let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "full or draining");
             response.headers_mut().insert("x-unprocessed", hyper::header::HeaderValue::from_static("1"));
             Ok(response)
         }
-        Stay::Error => Ok(plain(StatusCode::INTERNAL_SERVER_ERROR, "an error")),
-        // hyper closes the connection without an answer.
-        Stay::Broken => Err("broken off"),
-        Stay::Silent => pending().await,
+        LaunchResult::Error => Ok(text_response(StatusCode::INTERNAL_SERVER_ERROR, "an error")),
+        // On an error hyper closes the connection without an answer.
+        LaunchResult::ConnectionBroken => Err("connection broken"),
+        LaunchResult::Unanswered => pending().await,
     }
 }
 
-async fn load(stage: &Stage, i: usize) -> Answer {
-    if !stage.scenario.allow.probes {
-        return Ok(plain(StatusCode::NOT_FOUND, "no probes here"));
+async fn answer_probe(harness: &Harness, backend: usize) -> AnswerResult {
+    if !harness.scenario.allow.probes {
+        return Ok(text_response(StatusCode::NOT_FOUND, "probes are not allowed"));
     }
-    stage.see(Observation::ProbeReceived);
-    stage.burden(i, false);
-    let Some(load) = stage.load(i) else {
-        // A process that stands answers nobody.
+    harness.observe(Observation::ProbeReceived);
+    harness.add_overhead(backend, false);
+    let Some(load) = harness.load_report(backend) else {
+        // A stalled or hanging process does not answer.
         return pending().await;
     };
-    sleep_some(stage).await;
+    sleep_extra_delay(harness).await;
     Ok(Response::new(Full::new(Bytes::from(load.to_string()))))
 }
--- a/crates/rehearsal/src/real/clients.rs
+++ b/crates/rehearsal/src/real/clients.rs
@@ -1,11 +1,11 @@
-//! The clients: commands go out when they are due, whatever became of those before.
+//! The clients: commands are sent when they are due, whether or not earlier ones have been answered (open-loop load).
 
 use crate::judge::{CommandOutcome, FinalAnswer, Observation};
 use crate::model::arrivals::{Arrival, Arrivals};
 use crate::model::clients::{retry_delay, AttemptOutcome};
-use crate::real::backends::ID;
-use crate::real::harness::{Sent, Stage};
-use crate::real::nodes::Crew;
+use crate::real::backends::ATTEMPT_ID_HEADER;
+use crate::real::harness::{AttemptInfo, Harness};
+use crate::real::nodes::NodeSupervisor;
 use crate::rng::{RngStream, SeededRng};
 use crate::scenario::CommandEffect;
 use crate::span::Time;
@@ -24,185 +24,208 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use yarrowfront::times::Micros;
 
-/// A client waits so much longer than it said: an answer on its way still counts.
-const PATIENCE: Duration = Duration::from_millis(60);
-/// Between the end of a process's connections and the word that it has ended.
-const NOTICE: Duration = Duration::from_millis(40);
-/// For a connection to a node.
-const DIAL: Duration = Duration::from_secs(1);
+/// How much longer a client waits than it announced: an answer in transit still counts.
+const CLIENT_GRACE: Duration = Duration::from_millis(60);
+/// Time between the end of a process's connections and the report of its exit.
+const EXIT_NOTICE_DELAY: Duration = Duration::from_millis(40);
+/// Time limit for connecting to a node.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-type Sender = SendRequest<Full<Bytes>>;
+type ConnectionSender = SendRequest<Full<Bytes>>;
 
-pub struct Crowd {
-    stage: Rc<Stage>,
-    crew: Crew,
+pub struct ClientPool {
+    harness: Rc<Harness>,
+    supervisor: NodeSupervisor,
     seed: u64,
-    draw: RefCell<SeededRng>,
-    /// Open connections without a command, by node; the last one used last.
-    idle: RefCell<Vec<Vec<Sender>>>,
-    tries: Cell<u64>,
+    rng: RefCell<SeededRng>,
+    /// Idle connections by node, the most recently used last.
+    idle_connections: RefCell<Vec<Vec<ConnectionSender>>>,
+    attempt_count: Cell<u64>,
 }
 
-impl Crowd {
-    pub fn new(stage: Rc<Stage>, crew: Crew, seed: u64) -> Rc<Crowd> {
-        let nodes = stage.scenario.nodes as usize;
-        let idle = RefCell::new((0..nodes).map(|_| Vec::new()).collect());
-        let draw = RefCell::new(SeededRng::new(seed, RngStream::Clients));
-        // Another rehearsal may take a port that this one has let go: its commands must not be taken for ours.
-        let tries = Cell::new(u64::from(std::process::id()) << 32);
-        Rc::new(Crowd { stage, crew, seed, draw, idle, tries })
+impl ClientPool {
+    pub fn new(harness: Rc<Harness>, supervisor: NodeSupervisor, seed: u64) -> Rc<ClientPool> {
+        let nodes = harness.scenario.nodes as usize;
+        let idle_connections = RefCell::new((0..nodes).map(|_| Vec::new()).collect());
+        let rng = RefCell::new(SeededRng::new(seed, RngStream::Clients));
+        // Another rehearsal may take a port that this one has released: its attempts must not be mistaken for ours.
+        let attempt_count = Cell::new(u64::from(std::process::id()) << 32);
+        Rc::new(ClientPool { harness, supervisor, seed, rng, idle_connections, attempt_count })
     }
 
-    /// Plays all arrivals to their ends. Returns by how many microseconds each went out late.
+    /// Runs all commands to their ends. Returns a histogram of how late each was sent, in microseconds.
     pub async fn run(self: Rc<Self>) -> Histogram<u64> {
-        let mut late = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that hold");
-        let scenario = self.stage.scenario.clone();
-        let mut all = JoinSet::new();
-        for wanted in Arrivals::new(&scenario, self.seed) {
-            let due = Time(wanted.due.0);
-            sleep(self.stage.until(due)).await;
-            let at = self.stage.moment(due);
-            late.saturating_record(self.stage.now().since(at).0.max(1));
-            let (command, profile) = (wanted.number, wanted.profile);
-            self.stage.see(Observation::CommandDue { command, profile, at });
-            all.spawn_local(self.clone().command(wanted));
+        let mut lateness = Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid bounds");
+        let scenario = self.harness.scenario.clone();
+        let mut commands = JoinSet::new();
+        for arrival in Arrivals::new(&scenario, self.seed) {
+            let due = Time(arrival.due.0);
+            sleep(self.harness.duration_until(due)).await;
+            let at = self.harness.at_scenario_time(due);
+            lateness.saturating_record(self.harness.now().since(at).0.max(1));
+            let (command, profile) = (arrival.number, arrival.profile);
+            self.harness.observe(Observation::CommandDue { command, profile, at });
+            commands.spawn_local(self.clone().run_command(arrival));
         }
-        while all.join_next().await.is_some() {}
-        late
+        while commands.join_next().await.is_some() {}
+        lateness
     }
 
-    async fn command(self: Rc<Self>, wanted: Arrival) {
-        let mut tries = 0;
+    async fn run_command(self: Rc<Self>, arrival: Arrival) {
+        let mut attempt_number = 0;
         let outcome = loop {
-            tries += 1;
-            let end = self.attempt(&wanted, tries).await;
-            let Some(end) = end else { break CommandOutcome::ClientLeft };
-            let pause = {
-                let mut draw = self.draw.borrow_mut();
-                retry_delay(&self.stage.scenario, wanted.profile, tries, end, &mut draw)
+            attempt_number += 1;
+            let attempt_outcome = self.run_attempt(&arrival, attempt_number).await;
+            let Some(attempt_outcome) = attempt_outcome else { break CommandOutcome::ClientLeft };
+            let delay = {
+                let mut rng = self.rng.borrow_mut();
+                retry_delay(
+                    &self.harness.scenario,
+                    arrival.profile,
+                    attempt_number,
+                    attempt_outcome,
+                    &mut rng,
+                )
             };
-            match pause {
-                Some(pause) => sleep(Duration::from_micros(pause.0)).await,
-                None => break CommandOutcome::from(end),
+            match delay {
+                Some(delay) => sleep(Duration::from_micros(delay.0)).await,
+                None => break CommandOutcome::from(attempt_outcome),
             }
         };
-        let (command, profile) = (wanted.number, wanted.profile);
-        self.stage.see(Observation::CommandSettled { command, profile, at: self.stage.now(), outcome });
+        let (command, profile) = (arrival.number, arrival.profile);
+        self.harness.observe(Observation::CommandSettled {
+            command,
+            profile,
+            at: self.harness.now(),
+            outcome,
+        });
     }
 
-    /// One try; none where the client left before its end.
-    async fn attempt(&self, wanted: &Arrival, tries: u32) -> Option<AttemptOutcome> {
-        let nodes = self.crew.in_front();
-        let draw = if tries == 1 { wanted.node_draw } else { self.draw.borrow_mut().uniform() };
-        let front = nodes.get((draw * nodes.len() as f64) as usize).copied();
-        let Some(node) = self.stopping_with_open_connection().or(front) else {
+    /// Runs one attempt; `None` if the client left before its end.
+    async fn run_attempt(&self, arrival: &Arrival, attempt_number: u32) -> Option<AttemptOutcome> {
+        let nodes = self.supervisor.nodes_in_rotation();
+        let node_draw = if attempt_number == 1 { arrival.node_draw } else { self.rng.borrow_mut().uniform() };
+        let chosen = nodes.get((node_draw * nodes.len() as f64) as usize).copied();
+        let Some(node) = self.stopping_with_open_connection().or(chosen) else {
             return Some(AttemptOutcome::NotConnected);
         };
-        self.tries.set(self.tries.get() + 1);
-        let attempt = self.tries.get();
-        let (command, profile, work) = (wanted.number, wanted.profile, wanted.work);
-        self.stage.sent(attempt, Sent { command, profile, work, node });
-        let limit = self.stage.scenario.profiles[usize::from(profile)].limit;
-        let until = Instant::now() + limit.duration() + PATIENCE;
-        let leave = self.stage.scenario.clients.leave_after.duration();
-        let leaves = wanted.leaves_early && leave < limit.duration();
-        let end = if leaves { Instant::now() + leave } else { until };
-        let exchange = self.exchange(node, attempt, wanted, tries > 1);
-        let Ok(answered) = timeout_at(end, exchange).await else {
-            // The future that is dropped here takes its connection along: the node sees its client go.
-            if leaves {
-                self.stage.see(Observation::ClientLeft { attempt, at: self.stage.now() });
+        self.attempt_count.set(self.attempt_count.get() + 1);
+        let attempt = self.attempt_count.get();
+        let (command, profile, work) = (arrival.number, arrival.profile, arrival.work);
+        self.harness.register_attempt(attempt, AttemptInfo { command, profile, work, node });
+        let limit = self.harness.scenario.profiles[usize::from(profile)].limit;
+        let deadline = Instant::now() + limit.duration() + CLIENT_GRACE;
+        let leave_after = self.harness.scenario.clients.leave_after.duration();
+        let leaves_early = arrival.leaves_early && leave_after < limit.duration();
+        let wait_until = if leaves_early { Instant::now() + leave_after } else { deadline };
+        let exchange = self.exchange(node, attempt, arrival, attempt_number > 1);
+        let Ok(answered) = timeout_at(wait_until, exchange).await else {
+            // Dropping the future closes its connection, so the node sees that its client has left.
+            if leaves_early {
+                self.harness.observe(Observation::ClientLeft { attempt, at: self.harness.now() });
                 return None;
             }
             return Some(AttemptOutcome::TimedOut);
         };
-        let (status, come_back, body) = match answered {
+        let (status, retry_after, body) = match answered {
             Ok(answer) => answer,
             Err(AttemptOutcome::Lost) => {
-                // A process's end is noticed a little later than that of its connections, and excuses it.
-                sleep(NOTICE).await;
-                self.stage.see(Observation::ConnectionBroken { attempt, at: self.stage.now() });
+                // The exit of a process is reported a little later than the end of its connections, and excuses that end.
+                sleep(EXIT_NOTICE_DELAY).await;
+                self.harness.observe(Observation::ConnectionBroken { attempt, at: self.harness.now() });
                 return Some(AttemptOutcome::Lost);
             }
-            Err(end) => return Some(end),
+            Err(outcome) => return Some(outcome),
         };
-        let (what, end) = match status {
+        let (answer, outcome) = match status {
             StatusCode::OK => (FinalAnswer::Finished, AttemptOutcome::Finished),
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-                (FinalAnswer::Rejected, AttemptOutcome::Rejected(come_back))
+                (FinalAnswer::Rejected, AttemptOutcome::Rejected(retry_after))
             }
             _ => (FinalAnswer::Errored, AttemptOutcome::Errored),
         };
-        let named = serde_json::from_slice::<serde_json::Value>(&body).ok();
+        let body_json = serde_json::from_slice::<serde_json::Value>(&body).ok();
         let made_for =
-            named.as_ref().and_then(|v| v["try"].as_str()).and_then(|t| u64::from_str_radix(t, 16).ok());
-        self.stage.see(Observation::Answered { attempt, answer: what, made_for, at: self.stage.now() });
-        Some(end)
+            body_json.as_ref().and_then(|v| v["try"].as_str()).and_then(|t| u64::from_str_radix(t, 16).ok());
+        self.harness.observe(Observation::Answered { attempt, answer, made_for, at: self.harness.now() });
+        Some(outcome)
     }
 
     async fn exchange(
         &self,
-        first: usize,
+        first_node: usize,
         attempt: u64,
-        wanted: &Arrival,
-        repeat: bool,
+        arrival: &Arrival,
+        is_retry: bool,
     ) -> Result<(StatusCode, Option<Micros>, Bytes), AttemptOutcome> {
-        let (mut taken, mut node) = (false, first);
-        // A connection that the node closed as the command went out is tried once more on a new one.
-        for fresh in [false, true] {
-            let old = if fresh { None } else { self.reuse(node) };
-            let reused = old.is_some();
-            if old.is_none() && self.crew.stopping().contains(&node) {
-                // The front gives out no new connections to it.
-                self.stage.see(Observation::ClientLeft { attempt, at: self.stage.now() });
-                node = self.crew.in_front().first().copied().ok_or(AttemptOutcome::NotConnected)?;
-                self.stage.moved(attempt, node);
-                taken = false;
+        let (mut is_received, mut node) = (false, first_node);
+        // If the node closes an idle connection while the command is sent, the attempt is repeated on a new one.
+        for use_new_connection in [false, true] {
+            let idle_sender = if use_new_connection { None } else { self.take_idle_connection(node) };
+            let is_reused = idle_sender.is_some();
+            if idle_sender.is_none() && self.supervisor.stopping_nodes().contains(&node) {
+                // The front end opens no new connections to a stopping node.
+                self.harness.observe(Observation::ClientLeft { attempt, at: self.harness.now() });
+                node = self
+                    .supervisor
+                    .nodes_in_rotation()
+                    .first()
+                    .copied()
+                    .ok_or(AttemptOutcome::NotConnected)?;
+                self.harness.move_attempt(attempt, node);
+                is_received = false;
             }
-            let mut sender = match old {
+            let mut sender = match idle_sender {
                 Some(sender) => sender,
-                None => self.connect(node).await.ok_or(if taken {
+                None => self.connect(node).await.ok_or(if is_received {
                     AttemptOutcome::Lost
                 } else {
                     AttemptOutcome::NotConnected
                 })?,
             };
-            if !std::mem::replace(&mut taken, true) {
-                let (command, profile) = (wanted.number, wanted.profile);
-                let limit = self.stage.scenario.profiles[usize::from(profile)].limit.span();
-                let at = self.stage.now();
+            if !std::mem::replace(&mut is_received, true) {
+                let (command, profile) = (arrival.number, arrival.profile);
+                let limit = self.harness.scenario.profiles[usize::from(profile)].limit.span();
+                let at = self.harness.now();
                 let until = at + limit;
-                self.stage.see(Observation::AttemptReceived { attempt, command, profile, node, at, until });
+                self.harness.observe(Observation::AttemptReceived {
+                    attempt,
+                    command,
+                    profile,
+                    node,
+                    at,
+                    until,
+                });
             }
-            match sender.send_request(self.request(attempt, wanted, repeat)).await {
+            match sender.send_request(self.request(attempt, arrival, is_retry)).await {
                 Ok(response) => {
-                    let answer = read(response).await.ok_or(AttemptOutcome::Lost)?;
-                    let idle = &mut self.idle.borrow_mut()[node];
+                    let answer = read_answer(response).await.ok_or(AttemptOutcome::Lost)?;
+                    let idle = &mut self.idle_connections.borrow_mut()[node];
                     if idle.len() < 256 {
                         idle.push(sender);
                     }
                     return Ok(answer);
                 }
-                Err(_) if reused => {}
+                Err(_) if is_reused => {}
                 Err(_) => return Err(AttemptOutcome::Lost),
             }
         }
         Err(AttemptOutcome::Lost)
     }
 
-    /// A node that was told to stop and has left a connection open: clients may go on using that.
+    /// A node that was told to stop but has left a connection open: clients may keep using it.
     fn stopping_with_open_connection(&self) -> Option<usize> {
-        let stress = self.stage.scenario.stress.as_ref()?;
+        let stress = self.harness.scenario.stress.as_ref()?;
         if !stress.used_until_kill {
             return None;
         }
-        let idle = self.idle.borrow();
-        let open = |node: &usize| idle[*node].iter().any(|sender| sender.is_ready());
-        self.crew.stopping().into_iter().find(open)
+        let idle = self.idle_connections.borrow();
+        let has_open_connection = |node: &usize| idle[*node].iter().any(|sender| sender.is_ready());
+        self.supervisor.stopping_nodes().into_iter().find(has_open_connection)
     }
 
-    fn reuse(&self, node: usize) -> Option<Sender> {
-        let idle = &mut self.idle.borrow_mut()[node];
+    fn take_idle_connection(&self, node: usize) -> Option<ConnectionSender> {
+        let idle = &mut self.idle_connections.borrow_mut()[node];
         while let Some(sender) = idle.pop() {
             if sender.is_ready() {
                 return Some(sender);
@@ -211,9 +234,12 @@
         None
     }
 
-    async fn connect(&self, node: usize) -> Option<Sender> {
+    async fn connect(&self, node: usize) -> Option<ConnectionSender> {
         let stream =
-            timeout(DIAL, TcpStream::connect(("127.0.0.1", self.crew.door(node)))).await.ok()?.ok()?;
+            timeout(CONNECT_TIMEOUT, TcpStream::connect(("127.0.0.1", self.supervisor.client_port(node))))
+                .await
+                .ok()?
+                .ok()?;
         stream.set_nodelay(true).ok()?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         spawn_local(async move {
@@ -222,44 +248,44 @@
         Some(sender)
     }
 
-    fn request(&self, attempt: u64, wanted: &Arrival, repeat: bool) -> Request<Full<Bytes>> {
-        let profile = &self.stage.scenario.profiles[usize::from(wanted.profile)];
-        let reads = profile.effect == CommandEffect::Repeatable;
-        let body = if reads { Bytes::new() } else { Bytes::from(format!("command {}", wanted.number)) };
+    fn request(&self, attempt: u64, arrival: &Arrival, is_retry: bool) -> Request<Full<Bytes>> {
+        let profile = &self.harness.scenario.profiles[usize::from(arrival.profile)];
+        let is_read = profile.effect == CommandEffect::Repeatable;
+        let body = if is_read { Bytes::new() } else { Bytes::from(format!("command {}", arrival.number)) };
         let mut request = Request::new(Full::new(body));
-        *request.method_mut() = if reads { Method::GET } else { Method::POST };
+        *request.method_mut() = if is_read { Method::GET } else { Method::POST };
         *request.uri_mut() = hyper::Uri::from_static("/api");
-        let mut put = |name: &'static str, value: String| {
+        let mut set_header = |name: &'static str, value: String| {
             if let Ok(value) = value.parse() {
                 request.headers_mut().insert(name, value);
             }
         };
-        put("host", "origin.svc".into());
-        put(ID, format!("{attempt:016x}"));
-        put("x-service-class", profile.name.clone());
-        put("x-time-left-ms", (profile.limit.0 / 1000).to_string());
+        set_header("host", "origin.svc".into());
+        set_header(ATTEMPT_ID_HEADER, format!("{attempt:016x}"));
+        set_header("x-service-class", profile.name.clone());
+        set_header("x-time-left-ms", (profile.limit.0 / 1000).to_string());
         if profile.effect == CommandEffect::Tagged {
-            // The same with every try of a command.
-            put("idempotency-key", format!("{:032x}", wanted.number));
+            // The key is the same for every attempt of a command.
+            set_header("idempotency-key", format!("{:032x}", arrival.number));
         }
-        if let Some(customer) = self.stage.scenario.customers.get(wanted.customer as usize) {
-            put("x-account", customer.name.clone());
+        if let Some(customer) = self.harness.scenario.customers.get(arrival.customer as usize) {
+            set_header("x-account", customer.name.clone());
         }
-        if let Some(hint) = wanted.work_hint {
-            put("x-weight-hint", (hint as u64).to_string());
+        if let Some(hint) = arrival.work_hint {
+            set_header("x-weight-hint", (hint as u64).to_string());
         }
-        if repeat && self.stage.scenario.clients.mark_repeats {
-            put("x-repeat", "1".into());
+        if is_retry && self.harness.scenario.clients.mark_repeats {
+            set_header("x-repeat", "1".into());
         }
         request
     }
 }
 
-async fn read(response: Response<Incoming>) -> Option<(StatusCode, Option<Micros>, Bytes)> {
+async fn read_answer(response: Response<Incoming>) -> Option<(StatusCode, Option<Micros>, Bytes)> {
     let (head, body) = response.into_parts();
-    let told =
+    let header =
         head.headers.get("retry-after").and_then(|v| v.to_str().ok()).and_then(|v| v.parse::<f64>().ok());
-    let come_back = told.filter(|s| (0.0..3600.0).contains(s)).map(|s| Micros((s * 1e6) as u64));
+    let retry_after = header.filter(|s| (0.0..3600.0).contains(s)).map(|s| Micros((s * 1e6) as u64));
     let body = body.collect().await.ok()?.to_bytes();
-    Some((head.status, come_back, body))
+    Some((head.status, retry_after, body))
 }
--- a/crates/rehearsal/src/real/discovery.rs
+++ b/crates/rehearsal/src/real/discovery.rs
@@ -1,6 +1,6 @@
-//! Stand-in discovery: one door for each node, so that it is known who was told what.
+//! Simulated discovery: one endpoint per node, so that the judges know which node has received what.
 
-use crate::real::harness::{Line, Stage};
+use crate::real::harness::{Harness, ListMessage};
 use crate::real::ports;
 use bytes::Bytes;
 use http_body_util::{combinators::UnsyncBoxBody, BodyExt, Full};
@@ -18,19 +18,19 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// A watch with nothing to tell says so with an empty line.
-const BEAT: Duration = Duration::from_secs(2);
+/// A watch without news sends an empty line this often.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a call hangs before it fails, in a soak's outages.
-const HANGS: Duration = Duration::from_secs(2);
+/// How long a call hangs before it fails during an outage in a soak.
+const OUTAGE_HANG: Duration = Duration::from_secs(2);
 
-/// How long a former address serves on what is open there.
-const FORMER_SERVES_FOR: Duration = Duration::from_millis(1500);
+/// How long a former address keeps serving its open connections.
+const FORMER_ADDRESS_LIFETIME: Duration = Duration::from_millis(1500);
 
-/// A body that comes line by line.
-struct Lines(mpsc::UnboundedReceiver<Bytes>);
+/// A response body that is streamed line by line.
+struct StreamingBody(mpsc::UnboundedReceiver<Bytes>);
 
-impl Body for Lines {
+impl Body for StreamingBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -42,57 +42,57 @@
     }
 }
 
-type Answer = Result<Response<UnsyncBoxBody<Bytes, Infallible>>, &'static str>;
+type AnswerResult = Result<Response<UnsyncBoxBody<Bytes, Infallible>>, &'static str>;
 
-/// An address at which discovery serves one node. Dropped, it takes no new connection, and ends those that are open a while
-/// later.
-pub struct Door {
+/// An address at which discovery serves one node. When it is dropped, it accepts no new connections and closes the open ones
+/// after a while.
+pub struct DiscoveryEndpoint {
     pub port: u16,
     accepting: AbortHandle,
-    closed: Rc<watch::Sender<bool>>,
+    is_closed: Rc<watch::Sender<bool>>,
 }
 
-impl Drop for Door {
+impl Drop for DiscoveryEndpoint {
     fn drop(&mut self) {
         self.accepting.abort();
-        let closed = self.closed.clone();
+        let is_closed = self.is_closed.clone();
         spawn_local(async move {
-            sleep(FORMER_SERVES_FOR).await;
-            closed.send_replace(true);
+            sleep(FORMER_ADDRESS_LIFETIME).await;
+            is_closed.send_replace(true);
         });
     }
 }
 
-/// Opens discovery's door for a node.
-pub fn start(stage: &Rc<Stage>, node: usize) -> Result<Door, String> {
+/// Opens an endpoint for a node.
+pub fn start_endpoint(harness: &Rc<Harness>, node: usize) -> Result<DiscoveryEndpoint, String> {
     let (listener, port) = ports::listen_async()?;
-    let (stage, closed) = (stage.clone(), Rc::new(watch::Sender::new(false)));
-    let closing = closed.clone();
+    let (harness, is_closed) = (harness.clone(), Rc::new(watch::Sender::new(false)));
+    let close_receiver = is_closed.clone();
     let accepting = spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let stage = stage.clone();
-            let mut closing = closing.subscribe();
+            let harness = harness.clone();
+            let mut close_receiver = close_receiver.subscribe();
             let _ = stream.set_nodelay(true);
             spawn_local(async move {
-                let service = service_fn(move |request| answer(stage.clone(), node, request));
+                let service = service_fn(move |request| handle_call(harness.clone(), node, request));
                 tokio::select! {
                     _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service) => {}
-                    _ = closing.wait_for(|closed| *closed) => {}
+                    _ = close_receiver.wait_for(|is_closed| *is_closed) => {}
                 }
             });
         }
     });
-    Ok(Door { port, accepting: accepting.abort_handle(), closed })
+    Ok(DiscoveryEndpoint { port, accepting: accepting.abort_handle(), is_closed })
 }
 
-async fn answer(stage: Rc<Stage>, node: usize, request: Request<Incoming>) -> Answer {
+async fn handle_call(harness: Rc<Harness>, node: usize, request: Request<Incoming>) -> AnswerResult {
     let mut response = Response::new(Full::new(Bytes::new()).boxed_unsync());
-    let stressed = stage.scenario.stress.is_some();
-    let turn = stage.list_turn();
-    if !stage.list_up() || turn.is_none() {
-        if stressed && turn.is_some() {
-            // While it is down a call hangs first.
-            sleep(HANGS).await;
+    let is_stressed = harness.scenario.stress.is_some();
+    let answer_at = harness.queue_list_call();
+    if !harness.discovery_is_up() || answer_at.is_none() {
+        if is_stressed && answer_at.is_some() {
+            // In a soak, a call during an outage hangs before it fails.
+            sleep(OUTAGE_HANG).await;
         }
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         return Ok(response);
@@ -101,44 +101,45 @@
         *response.status_mut() = StatusCode::NOT_FOUND;
         return Ok(response);
     }
-    if let Some(turn) = turn {
-        sleep_until(turn).await;
+    if let Some(answer_at) = answer_at {
+        sleep_until(answer_at).await;
     }
     let query = request.uri().query().unwrap_or_default();
-    let value = |name: &str| query.split('&').find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
-    if value("stream") != Some("1") {
-        *response.body_mut() = Full::new(Bytes::from(stage.whole(node).to_string())).boxed_unsync();
-        stage.told(node, None);
+    let query_value =
+        |name: &str| query.split('&').find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
+    if query_value("stream") != Some("1") {
+        *response.body_mut() = Full::new(Bytes::from(harness.list_snapshot(node).to_string())).boxed_unsync();
+        harness.record_list_delivery(node, None);
         return Ok(response);
     }
-    let since = value("index").and_then(|n| n.parse().ok()).unwrap_or(usize::MAX);
-    let (to, lines) = mpsc::unbounded_channel();
-    spawn_local(tell(stage.clone(), node, stage.watch(node, since), to));
-    *response.body_mut() = Lines(lines).boxed_unsync();
+    let since = query_value("index").and_then(|n| n.parse().ok()).unwrap_or(usize::MAX);
+    let (body_sender, chunks) = mpsc::unbounded_channel();
+    spawn_local(stream_messages(harness.clone(), node, harness.open_watch(node, since), body_sender));
+    *response.body_mut() = StreamingBody(chunks).boxed_unsync();
     Ok(response)
 }
 
-/// Writes each line when it is due. Ends when the list goes down or its node has gone.
-async fn tell(
-    stage: Rc<Stage>,
+/// Writes each message when it is due. Ends when discovery goes down or the node closes the connection.
+async fn stream_messages(
+    harness: Rc<Harness>,
     node: usize,
-    mut lines: mpsc::UnboundedReceiver<Line>,
-    to: mpsc::UnboundedSender<Bytes>,
+    mut messages: mpsc::UnboundedReceiver<ListMessage>,
+    body_sender: mpsc::UnboundedSender<Bytes>,
 ) {
     loop {
-        let (backend, text) = match timeout(BEAT, lines.recv()).await {
-            Ok(Some((due, backend, text))) => {
-                sleep_until(due).await;
+        let (backend, text) = match timeout(HEARTBEAT_INTERVAL, messages.recv()).await {
+            Ok(Some((delivered_at, backend, text))) => {
+                sleep_until(delivered_at).await;
                 (Some(backend), text)
             }
             Ok(None) => return,
             Err(_) => (None, String::new()),
         };
-        if !stage.list_up() || to.send(Bytes::from(format!("{text}\n"))).is_err() {
+        if !harness.discovery_is_up() || body_sender.send(Bytes::from(format!("{text}\n"))).is_err() {
             return;
         }
         if let Some(backend) = backend {
-            stage.told(node, backend);
+            harness.record_list_delivery(node, backend);
         }
     }
 }
--- a/crates/rehearsal/src/real/discovery_moves.rs
+++ b/crates/rehearsal/src/real/discovery_moves.rs
@@ -1,30 +1,30 @@
-//! Configurations that move discovery, given to the nodes one after the other.
+//! Moves discovery to new addresses by configuration reloads, one node after the other.
 
-use crate::real::harness::Stage;
-use crate::real::nodes::Crew;
+use crate::real::harness::Harness;
+use crate::real::nodes::NodeSupervisor;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
 
-const BETWEEN_NODES: Duration = Duration::from_millis(400);
+const NODE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Moves it again and again, as often as the scenario says, until it is aborted.
-pub async fn run(stage: Rc<Stage>, crew: Crew) {
-    let every = stage
+/// Moves discovery at the interval that the scenario sets, until the task is aborted.
+pub async fn run(harness: Rc<Harness>, supervisor: NodeSupervisor) {
+    let interval = harness
         .scenario
         .stress
         .as_ref()
         .map_or(Duration::ZERO, |stress| stress.discovery_moves_every.duration());
-    if every.is_zero() {
+    if interval.is_zero() {
         return;
     }
     loop {
-        sleep(every).await;
-        for node in 0..stage.scenario.nodes as usize {
-            if let Err(why) = crew.move_discovery(node) {
-                return stage.fail(why);
+        sleep(interval).await;
+        for node in 0..harness.scenario.nodes as usize {
+            if let Err(reason) = supervisor.move_discovery(node) {
+                return harness.report_error(reason);
             }
-            sleep(BETWEEN_NODES).await;
+            sleep(NODE_INTERVAL).await;
         }
     }
 }
--- a/crates/rehearsal/src/real/harness.rs
+++ b/crates/rehearsal/src/real/harness.rs
@@ -1,5 +1,5 @@
-//! What all parts on the real clock share: the model, the judges, the clock. Borrowed within a call and never
-//! across an await.
+//! What all parts of a run on the real clock share: the model, the judges and the clock. The state is borrowed within a call
+//! and never across an await.
 
 use crate::judge::views::ViewJudge;
 use crate::judge::{Judges, Observation};
@@ -7,7 +7,7 @@
 use crate::model::fleet::{AnswerFate, DriverAction, Fleet};
 use crate::model::settings::zone_name;
 use crate::model::troubles::Step;
-use crate::real::network::Ways;
+use crate::real::network::ProcessLinks;
 use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{CommandEffect, Scenario};
 use crate::span::Time;
@@ -22,82 +22,83 @@
 use yarrowfront::decide::{BackendState, ListEntry};
 use yarrowfront::times::Timestamp;
 
-/// How a command's stay at a backend ended.
+/// How a launch ended at a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Stay {
+pub enum LaunchResult {
     Done,
     Full,
     Error,
-    /// Its connection is to break off.
-    Broken,
-    /// Nothing comes of it, and its connection stays open.
-    Silent,
+    /// Its connection breaks without an answer.
+    ConnectionBroken,
+    /// No answer comes, and its connection stays open.
+    Unanswered,
 }
 
-/// A try, as its client sent it.
+/// An attempt as its client sent it.
 #[derive(Clone, Copy)]
-pub struct Sent {
+pub struct AttemptInfo {
     pub command: u64,
     pub profile: u16,
     pub work: f64,
     pub node: usize,
 }
 
-struct Job {
+/// A launch that its backend has not answered yet.
+struct PendingLaunch {
     attempt: u64,
     backend: usize,
-    answer: AnswerFate,
-    end: oneshot::Sender<Stay>,
+    answer_fate: AnswerFate,
+    result_sender: oneshot::Sender<LaunchResult>,
 }
 
-/// A backend's doors.
-pub struct Gate {
-    /// Its model may have another next edge.
-    pub turned: Notify,
-    /// Counted up when its connections are reset or its process starts.
-    pub life: watch::Sender<u64>,
+/// Links a backend's model to the tasks that serve its connections.
+pub struct BackendControl {
+    /// The time of the model's next change may have moved.
+    pub next_change_updated: Notify,
+    /// Incremented when its connections are reset or its process starts.
+    pub connection_epoch: watch::Sender<u64>,
     pub port: Cell<u16>,
 }
 
-/// How often it is looked whether discovery is still up.
-const LOOKS_FOR_OUTAGES: Duration = Duration::from_millis(20);
-/// A call that would wait for longer in discovery's queue is refused.
-const LONGEST_LIST_WAIT: Duration = Duration::from_secs(3);
-/// What the end of a watch hides counts as told so much later.
-const HIDDEN_COUNTS_AS_TOLD: Duration = Duration::from_secs(2);
+/// How often it is checked whether discovery is still up.
+const DISCOVERY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// A call that would wait longer than this in discovery's queue is refused.
+const MAX_LIST_CALL_WAIT: Duration = Duration::from_secs(3);
+/// A change hidden by the end of a watch counts as delivered after this time.
+const HIDDEN_CHANGE_KNOWN_AFTER: Duration = Duration::from_secs(2);
 
-/// A line of the list on its way to a node, and when it is due there.
-pub type Line = (Instant, Option<usize>, String);
+/// A message of a watch: when it arrives at the node, the backend that it concerns (`None`: all), and its text.
+pub type ListMessage = (Instant, Option<usize>, String);
 
 struct Inner {
     fleet: Fleet,
     judges: Option<Judges>,
-    jobs: HashMap<u64, Job>,
-    sent: HashMap<u64, Sent>,
-    next_job: u64,
-    network: SeededRng,
-    watchers: Vec<Option<mpsc::UnboundedSender<Line>>>,
-    told: Vec<BackendEvent>,
-    gates: Vec<Rc<Gate>>,
-    fault: Option<String>,
+    launches: HashMap<u64, PendingLaunch>,
+    attempts: HashMap<u64, AttemptInfo>,
+    next_launch: u64,
+    network_rng: SeededRng,
+    watchers: Vec<Option<mpsc::UnboundedSender<ListMessage>>>,
+    backend_events: Vec<BackendEvent>,
+    controls: Vec<Rc<BackendControl>>,
+    error: Option<String>,
 }
 
-pub struct Stage {
+pub struct Harness {
     pub scenario: Rc<Scenario>,
-    /// The instant, and what the machine's clock said then in microseconds since 1970.
-    zero: (Instant, u64),
-    origin: Cell<Timestamp>,
+    /// An instant, and the machine's clock at that instant in microseconds since 1970.
+    clock_base: (Instant, u64),
+    scenario_start: Cell<Timestamp>,
     inner: RefCell<Inner>,
-    pub ways: Ways,
-    /// Until when discovery works through the calls that it has.
-    list_busy_until: Cell<Instant>,
-    /// New machines, whose doors are to be opened.
-    replaced: mpsc::UnboundedSender<usize>,
+    pub process_links: ProcessLinks,
+    /// Until when discovery is busy with the calls that it has accepted.
+    discovery_busy_until: Cell<Instant>,
+    /// Backends that have replaced others and need listeners.
+    new_backends: mpsc::UnboundedSender<usize>,
 }
 
-impl Stage {
-    /// The stage, and where it tells of machines that have come in place of others.
-    pub fn new(scenario: &Scenario, seed: u64) -> (Rc<Stage>, mpsc::UnboundedReceiver<usize>) {
+impl Harness {
+    /// Returns the harness and the channel on which it reports backends that have replaced others.
+    pub fn new(scenario: &Scenario, seed: u64) -> (Rc<Harness>, mpsc::UnboundedReceiver<usize>) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
         let now = Timestamp(unix);
         let fleet = Fleet::new(scenario, seed, now);
@@ -106,203 +107,213 @@
         let inner = Inner {
             fleet,
             judges,
-            jobs: HashMap::new(),
-            sent: HashMap::new(),
-            next_job: 0,
-            network: SeededRng::new(seed, RngStream::Network),
+            launches: HashMap::new(),
+            attempts: HashMap::new(),
+            next_launch: 0,
+            network_rng: SeededRng::new(seed, RngStream::Network),
             watchers: vec![None; scenario.nodes as usize],
-            told: Vec::new(),
-            gates: (0..count).map(|_| Rc::new(Gate::new())).collect(),
-            fault: None,
+            backend_events: Vec::new(),
+            controls: (0..count).map(|_| Rc::new(BackendControl::new())).collect(),
+            error: None,
         };
-        let (replaced, told) = mpsc::unbounded_channel();
-        let stage = Stage {
-            replaced,
-            list_busy_until: Cell::new(Instant::now()),
-            ways: Ways::new(scenario, seed),
+        let (new_backends, new_backends_receiver) = mpsc::unbounded_channel();
+        let harness = Harness {
+            new_backends,
+            discovery_busy_until: Cell::new(Instant::now()),
+            process_links: ProcessLinks::new(scenario, seed),
             scenario: Rc::new(scenario.clone()),
-            zero: (Instant::now(), unix),
-            origin: Cell::new(now),
+            clock_base: (Instant::now(), unix),
+            scenario_start: Cell::new(now),
             inner: RefCell::new(inner),
         };
-        (Rc::new(stage), told)
+        (Rc::new(harness), new_backends_receiver)
     }
 
-    /// The scenario's time starts now: all nodes are up.
-    pub fn begin(&self) {
-        let (now, count) = (self.now(), self.backends());
-        self.origin.set(now);
+    /// Starts the scenario's clock; all nodes are up by now.
+    pub fn start_scenario(&self) {
+        let (now, count) = (self.now(), self.backend_count());
+        self.scenario_start.set(now);
         self.inner.borrow_mut().judges = Some(Judges::new(&self.scenario, now, count));
     }
 
     pub fn now(&self) -> Timestamp {
-        Timestamp(self.zero.1 + self.zero.0.elapsed().as_micros() as u64)
+        Timestamp(self.clock_base.1 + self.clock_base.0.elapsed().as_micros() as u64)
     }
 
-    pub fn instant(&self, at: Timestamp) -> Instant {
-        self.zero.0 + Duration::from_micros(at.since(Timestamp(self.zero.1)).0)
+    pub fn to_instant(&self, at: Timestamp) -> Instant {
+        self.clock_base.0 + Duration::from_micros(at.since(Timestamp(self.clock_base.1)).0)
     }
 
-    pub fn moment(&self, at: Time) -> Timestamp {
-        self.origin.get() + at.span()
+    pub fn at_scenario_time(&self, at: Time) -> Timestamp {
+        self.scenario_start.get() + at.span()
     }
 
-    /// How long until this time of the scenario.
-    pub fn until(&self, at: Time) -> Duration {
-        Duration::from_micros(self.moment(at).since(self.now()).0)
+    /// The time that is left until this time of the scenario; zero if it has passed.
+    pub fn duration_until(&self, at: Time) -> Duration {
+        Duration::from_micros(self.at_scenario_time(at).since(self.now()).0)
     }
 
-    pub fn backends(&self) -> usize {
+    pub fn backend_count(&self) -> usize {
         self.inner.borrow().fleet.backends.len()
     }
 
-    pub fn gate(&self, i: usize) -> Rc<Gate> {
-        self.inner.borrow().gates[i].clone()
+    pub fn control(&self, backend: usize) -> Rc<BackendControl> {
+        self.inner.borrow().controls[backend].clone()
     }
 
-    pub fn is_up(&self, i: usize) -> bool {
-        self.inner.borrow().fleet.backends[i].is_up
+    pub fn is_up(&self, backend: usize) -> bool {
+        self.inner.borrow().fleet.backends[backend].is_up
     }
 
-    pub fn is_cut(&self, i: usize) -> bool {
-        self.inner.borrow().fleet.backends[i].is_cut_off
+    pub fn is_cut_off(&self, backend: usize) -> bool {
+        self.inner.borrow().fleet.backends[backend].is_cut_off
     }
 
-    /// What a trouble puts on top of each way.
-    pub fn delay(&self) -> Duration {
+    /// The delay that troubles add to each message.
+    pub fn extra_delay(&self) -> Duration {
         Duration::from_micros(self.inner.borrow().fleet.extra_delay_us.max(0) as u64)
     }
 
-    /// A fault of the rehearsal itself: its figures say nothing.
-    pub fn fail(&self, why: String) {
-        self.inner.borrow_mut().fault.get_or_insert(why);
+    /// Records an error of the rehearsal itself, which makes its figures meaningless. Only the first one is kept.
+    pub fn report_error(&self, reason: String) {
+        self.inner.borrow_mut().error.get_or_insert(reason);
     }
 
-    pub fn fault(&self) -> Option<String> {
-        self.inner.borrow().fault.clone()
+    pub fn error(&self) -> Option<String> {
+        self.inner.borrow().error.clone()
     }
 
-    pub fn see(&self, seen: Observation) {
+    pub fn observe(&self, observation: Observation) {
         if let Some(judges) = &mut self.inner.borrow_mut().judges {
-            judges.observe(seen);
+            judges.observe(observation);
         }
     }
 
-    /// What is done to nodes or told by them goes to the judge of their views.
-    pub fn view(&self, tell: impl FnOnce(&mut ViewJudge, Timestamp)) {
+    /// Gives the judge of the nodes' views what is done to nodes or reported by them.
+    pub fn with_view_judge(&self, update: impl FnOnce(&mut ViewJudge, Timestamp)) {
         let now = self.now();
         if let Some(judges) = &mut self.inner.borrow_mut().judges {
-            tell(&mut judges.views, now);
+            update(&mut judges.views, now);
         }
     }
 
-    /// The judges, once all is over; what is seen later counts no more.
-    pub fn end(&self) -> Judges {
+    /// Takes the judges at the end of the run; later observations are ignored.
+    pub fn take_judges(&self) -> Judges {
         let judges = self.inner.borrow_mut().judges.take();
-        judges.unwrap_or_else(|| Judges::new(&self.scenario, self.origin.get(), 0))
+        judges.unwrap_or_else(|| Judges::new(&self.scenario, self.scenario_start.get(), 0))
     }
 
-    // Commands at backends.
+    // Launches at backends.
 
-    pub fn sent(&self, attempt: u64, sent: Sent) {
-        self.inner.borrow_mut().sent.insert(attempt, sent);
+    pub fn register_attempt(&self, attempt: u64, info: AttemptInfo) {
+        self.inner.borrow_mut().attempts.insert(attempt, info);
     }
 
-    /// Its client has sent it to another node instead.
-    pub fn moved(&self, attempt: u64, node: usize) {
-        if let Some(sent) = self.inner.borrow_mut().sent.get_mut(&attempt) {
-            sent.node = node;
+    /// Records that the client has sent the attempt to another node instead.
+    pub fn move_attempt(&self, attempt: u64, node: usize) {
+        if let Some(info) = self.inner.borrow_mut().attempts.get_mut(&attempt) {
+            info.node = node;
         }
     }
 
-    pub fn of(&self, attempt: u64) -> Option<Sent> {
-        self.inner.borrow().sent.get(&attempt).copied()
+    pub fn attempt_info(&self, attempt: u64) -> Option<AttemptInfo> {
+        self.inner.borrow().attempts.get(&attempt).copied()
     }
 
-    /// A command has come whole. What becomes of it is told on the channel, and its number is for `stop`.
-    pub fn arrive(self: &Rc<Self>, i: usize, attempt: u64, sent: Sent) -> (u64, oneshot::Receiver<Stay>) {
-        let (end, ended) = oneshot::channel();
+    /// Gives a complete launch to the backend's model. Returns its key for `cancel_launch` and the channel for its result.
+    pub fn start_launch(
+        self: &Rc<Self>,
+        backend: usize,
+        attempt: u64,
+        info: AttemptInfo,
+    ) -> (u64, oneshot::Receiver<LaunchResult>) {
+        let (result_sender, result_receiver) = oneshot::channel();
         let now = self.now();
-        self.pass(i);
-        let p = &self.scenario.profiles[usize::from(sent.profile)];
-        let mut asked = Vec::new();
+        self.advance_backend(backend);
+        let profile = &self.scenario.profiles[usize::from(info.profile)];
+        let mut actions = Vec::new();
         let key = {
             let inner = &mut *self.inner.borrow_mut();
-            inner.next_job += 1;
-            let key = inner.next_job;
-            let scope = inner.fleet.scope_id(p.scope, i);
-            let tag = IdempotencyKey { scope, key: sent.command, retention: p.memory.span() };
-            let tag = (p.effect == CommandEffect::Tagged).then_some(tag);
-            let answer = inner.fleet.draw_answer_fate(&mut inner.network);
-            inner.jobs.insert(key, Job { attempt, backend: i, answer, end });
+            inner.next_launch += 1;
+            let key = inner.next_launch;
+            let scope = inner.fleet.scope_id(profile.scope, backend);
+            let idempotency_key =
+                IdempotencyKey { scope, key: info.command, retention: profile.memory.span() };
+            let idempotency_key = (profile.effect == CommandEffect::Tagged).then_some(idempotency_key);
+            let answer_fate = inner.fleet.draw_answer_fate(&mut inner.network_rng);
+            inner.launches.insert(key, PendingLaunch { attempt, backend, answer_fate, result_sender });
             let fleet = &mut inner.fleet;
-            let told = &mut inner.told;
-            let reply =
-                fleet.backends[i].arrive(now, (key, sent.work, tag), &mut fleet.idempotency_store, told);
-            let stay = match reply {
+            let events = &mut inner.backend_events;
+            let reply = fleet.backends[backend].arrive(
+                now,
+                (key, info.work, idempotency_key),
+                &mut fleet.idempotency_store,
+                events,
+            );
+            let result = match reply {
                 Reply::Accepted => None,
-                Reply::Full => Some(Stay::Full),
-                Reply::Error => Some(Stay::Error),
-                Reply::Down => Some(Stay::Broken),
+                Reply::Full => Some(LaunchResult::Full),
+                Reply::Error => Some(LaunchResult::Error),
+                Reply::Down => Some(LaunchResult::ConnectionBroken),
                 Reply::Crashed => {
-                    fleet.crash(now, i, &mut asked);
-                    Some(Stay::Broken)
+                    fleet.crash(now, backend, &mut actions);
+                    Some(LaunchResult::ConnectionBroken)
                 }
             };
-            if let Some(stay) = stay {
-                if let Some(job) = inner.jobs.remove(&key) {
-                    let _ = job.end.send(stay);
+            if let Some(result) = result {
+                if let Some(launch) = inner.launches.remove(&key) {
+                    let _ = launch.result_sender.send(result);
                 }
             }
             if let Some(judges) = &mut inner.judges {
-                judges.observe(Observation::LaunchReceived { backend: i, work: sent.work, at: now });
+                judges.observe(Observation::LaunchReceived { backend, work: info.work, at: now });
                 if reply == Reply::Crashed {
-                    judges.observe(Observation::BackendCrashed { backend: i, at: now });
+                    judges.observe(Observation::BackendCrashed { backend, at: now });
                 }
             }
             key
         };
-        self.happened();
-        self.gate(i).turned.notify_one();
-        self.asked_now(asked);
-        (key, ended)
+        self.process_backend_events();
+        self.control(backend).next_change_updated.notify_one();
+        self.run_driver_actions(actions);
+        (key, result_receiver)
     }
 
-    /// Its node has closed the connection.
-    pub fn stop(&self, i: usize, key: u64) {
-        if !self.inner.borrow().jobs.contains_key(&key) {
+    /// Cancels a launch whose node has closed the connection.
+    pub fn cancel_launch(&self, backend: usize, key: u64) {
+        if !self.inner.borrow().launches.contains_key(&key) {
             return;
         }
-        self.pass(i);
+        self.advance_backend(backend);
         {
             let inner = &mut *self.inner.borrow_mut();
             let now = self.now();
-            let (fleet, told) = (&mut inner.fleet, &mut inner.told);
-            fleet.backends[i].cancel(now, key, &mut fleet.idempotency_store, told);
+            let (fleet, events) = (&mut inner.fleet, &mut inner.backend_events);
+            fleet.backends[backend].cancel(now, key, &mut fleet.idempotency_store, events);
         }
-        self.happened();
-        self.gate(i).turned.notify_one();
+        self.process_backend_events();
+        self.control(backend).next_change_updated.notify_one();
     }
 
-    pub fn pass(&self, i: usize) {
+    pub fn advance_backend(&self, backend: usize) {
         {
             let inner = &mut *self.inner.borrow_mut();
             let now = self.now();
-            let (fleet, told) = (&mut inner.fleet, &mut inner.told);
-            fleet.backends[i].advance(now, &mut fleet.idempotency_store, told);
+            let (fleet, events) = (&mut inner.fleet, &mut inner.backend_events);
+            fleet.backends[backend].advance(now, &mut fleet.idempotency_store, events);
         }
-        self.happened();
+        self.process_backend_events();
     }
 
-    fn happened(&self) {
+    fn process_backend_events(&self) {
         let inner = &mut *self.inner.borrow_mut();
-        for one in inner.told.drain(..) {
-            match one {
+        for event in inner.backend_events.drain(..) {
+            match event {
                 BackendEvent::WorkStarted(key, at) => {
-                    let Some(job) = inner.jobs.get(&key) else { continue };
-                    let Some(sent) = inner.sent.get(&job.attempt) else { continue };
-                    let (backend, attempt, command) = (job.backend, job.attempt, sent.command);
-                    let (profile, work) = (sent.profile, sent.work);
+                    let Some(launch) = inner.launches.get(&key) else { continue };
+                    let Some(info) = inner.attempts.get(&launch.attempt) else { continue };
+                    let (backend, attempt, command) = (launch.backend, launch.attempt, info.command);
+                    let (profile, work) = (info.profile, info.work);
                     if let Some(judges) = &mut inner.judges {
                         judges.observe(Observation::WorkStarted {
                             backend,
@@ -315,158 +326,169 @@
                     }
                 }
                 BackendEvent::WorkFinished(key, _) => {
-                    if let Some(job) = inner.jobs.remove(&key) {
-                        let stay = match job.answer {
-                            AnswerFate::Delivered => Stay::Done,
-                            AnswerFate::ConnectionBroken => Stay::Broken,
-                            AnswerFate::Lost => Stay::Silent,
+                    if let Some(launch) = inner.launches.remove(&key) {
+                        let result = match launch.answer_fate {
+                            AnswerFate::Delivered => LaunchResult::Done,
+                            AnswerFate::ConnectionBroken => LaunchResult::ConnectionBroken,
+                            AnswerFate::Lost => LaunchResult::Unanswered,
                         };
-                        let _ = job.end.send(stay);
+                        let _ = launch.result_sender.send(result);
                     }
                 }
             }
         }
     }
 
-    pub fn next(&self, i: usize) -> Option<Timestamp> {
-        self.inner.borrow().fleet.backends[i].next_change()
+    pub fn next_backend_change(&self, backend: usize) -> Option<Timestamp> {
+        self.inner.borrow().fleet.backends[backend].next_change()
     }
 
-    pub fn burden(&self, i: usize, connection: bool) {
-        self.pass(i);
-        let b = &mut self.inner.borrow_mut().fleet.backends[i];
-        b.add_overhead(if connection { b.kind.connection_work.micros() } else { b.kind.probe_work.micros() });
+    pub fn add_overhead(&self, backend: usize, is_new_connection: bool) {
+        self.advance_backend(backend);
+        let model = &mut self.inner.borrow_mut().fleet.backends[backend];
+        model.add_overhead(if is_new_connection {
+            model.kind.connection_work.micros()
+        } else {
+            model.kind.probe_work.micros()
+        });
     }
 
-    /// Its load report, if its process does anything at all.
-    pub fn load(&self, i: usize) -> Option<Value> {
-        self.pass(i);
+    /// The backend's load report; `None` if its process hangs or is stalled.
+    pub fn load_report(&self, backend: usize) -> Option<Value> {
+        self.advance_backend(backend);
         let inner = self.inner.borrow();
-        let b = &inner.fleet.backends[i];
-        let silent = b.is_hung || self.now() < b.stalled_until;
-        let busy = (b.held_commands() as f64 / b.cores()).min(1.0);
-        (!silent).then(|| json!({"inflight": b.held_commands(), "queue": b.queued_commands(), "util": busy}))
+        let model = &inner.fleet.backends[backend];
+        let is_silent = model.is_hung || self.now() < model.stalled_until;
+        let utilization = (model.held_commands() as f64 / model.cores()).min(1.0);
+        (!is_silent).then(|| json!({"inflight": model.held_commands(), "queue": model.queued_commands(), "util": utilization}))
     }
 
     // Troubles.
 
-    pub fn step(self: &Rc<Self>, step: Step) {
-        let mut asked = Vec::new();
-        if let Step::Hang(i, _)
-        | Step::ScaleSpeed(i, _)
-        | Step::Stall(i, _)
-        | Step::Kill(i)
-        | Step::Drain(i) = step
+    pub fn apply_step(self: &Rc<Self>, step: Step) {
+        let mut actions = Vec::new();
+        if let Step::Hang(backend, _)
+        | Step::ScaleSpeed(backend, _)
+        | Step::Stall(backend, _)
+        | Step::Kill(backend)
+        | Step::Drain(backend) = step
         {
-            self.pass(i);
+            self.advance_backend(backend);
         }
         {
             let inner = &mut *self.inner.borrow_mut();
-            inner.fleet.apply(self.now(), step, &mut asked);
+            inner.fleet.apply(self.now(), step, &mut actions);
             if step == Step::DiscoveryDown {
-                // Watches end when the list goes down.
+                // Watches end when discovery goes down.
                 inner.watchers.fill(None);
             }
         }
-        self.asked_now(asked);
+        self.run_driver_actions(actions);
     }
 
-    fn asked_now(self: &Rc<Self>, asked: Vec<DriverAction>) {
-        for one in asked {
-            match one {
-                DriverAction::ResetConnections(i) => {
+    fn run_driver_actions(self: &Rc<Self>, actions: Vec<DriverAction>) {
+        for action in actions {
+            match action {
+                DriverAction::ResetConnections(backend) => {
                     let inner = &mut *self.inner.borrow_mut();
-                    if !inner.fleet.backends[i].is_up {
-                        inner.jobs.retain(|_, job| job.backend != i);
+                    if !inner.fleet.backends[backend].is_up {
+                        inner.launches.retain(|_, launch| launch.backend != backend);
                     }
-                    inner.gates[i].life.send_modify(|life| *life += 1);
+                    inner.controls[backend].connection_epoch.send_modify(|epoch| *epoch += 1);
                 }
-                DriverAction::Publish(at, i) => {
-                    let (stage, at) = (self.clone(), self.instant(at));
+                DriverAction::Publish(at, backend) => {
+                    let (harness, at) = (self.clone(), self.to_instant(at));
                     spawn_local(async move {
                         tokio::time::sleep_until(at).await;
-                        stage.publish(i);
+                        harness.publish_entry(backend);
                     });
                 }
                 DriverAction::ScheduleStep(at, step) => {
-                    let (stage, at) = (self.clone(), self.instant(at));
+                    let (harness, at) = (self.clone(), self.to_instant(at));
                     spawn_local(async move {
                         tokio::time::sleep_until(at).await;
-                        stage.step(step);
+                        harness.apply_step(step);
                     });
                 }
-                DriverAction::ReportColdStart(i) => self.started(i),
-                DriverAction::UpdateNextChange(i) => self.gate(i).turned.notify_one(),
+                DriverAction::ReportColdStart(backend) => self.on_cold_start(backend),
+                DriverAction::UpdateNextChange(backend) => {
+                    self.control(backend).next_change_updated.notify_one()
+                }
             }
         }
     }
 
-    fn started(self: &Rc<Self>, i: usize) {
-        let new = {
+    fn on_cold_start(self: &Rc<Self>, backend: usize) {
+        let is_new = {
             let inner = &mut *self.inner.borrow_mut();
-            let new = inner.gates.len() <= i;
-            if new {
-                inner.gates.push(Rc::new(Gate::new()));
+            let is_new = inner.controls.len() <= backend;
+            if is_new {
+                inner.controls.push(Rc::new(BackendControl::new()));
             }
-            let b = &inner.fleet.backends[i];
-            let (share, warm, capacity) = (b.kind.cold, b.kind.warm.micros(), b.cores() * b.speed);
+            let model = &inner.fleet.backends[backend];
+            let (share, warm, capacity) =
+                (model.kind.cold, model.kind.warm.micros(), model.cores() * model.speed);
             if let Some(judges) = inner.judges.as_mut().filter(|_| warm > 0.0) {
-                judges.observe(Observation::ColdStart { backend: i, at: self.now(), share, warm, capacity });
+                judges.observe(Observation::ColdStart { backend, at: self.now(), share, warm, capacity });
             }
-            inner.gates[i].life.send_modify(|life| *life += 1);
-            new
+            inner.controls[backend].connection_epoch.send_modify(|epoch| *epoch += 1);
+            is_new
         };
-        if new {
-            let _ = self.replaced.send(i);
+        if is_new {
+            let _ = self.new_backends.send(backend);
         }
     }
 
-    // The list.
+    // Discovery.
 
-    pub fn list_up(&self) -> bool {
+    pub fn discovery_is_up(&self) -> bool {
         self.inner.borrow().fleet.discovery_is_up
     }
 
-    /// Waits so long; whether discovery could be reached all the while.
-    pub async fn list_stays_up(&self, span: Duration) -> bool {
-        let end = Instant::now() + span;
+    /// Waits for this time. Returns whether discovery stayed up throughout.
+    pub async fn discovery_stays_up(&self, duration: Duration) -> bool {
+        let end = Instant::now() + duration;
         while Instant::now() < end {
-            if !self.list_up() {
+            if !self.discovery_is_up() {
                 return false;
             }
-            sleep(LOOKS_FOR_OUTAGES.min(end - Instant::now())).await;
+            sleep(DISCOVERY_POLL_INTERVAL.min(end - Instant::now())).await;
         }
-        self.list_up()
-    }
-
-    /// A line of the list as that node is told it: each reaches a backend by its own way.
-    fn entry(&self, inner: &Inner, node: usize, line: &ListEntry) -> Value {
-        let (i, scenario) = (line.backend.0 as usize, &self.scenario);
-        let own = inner.gates[i].port.get();
-        let port = self.ways.tcp(&format!("n{node}"), &format!("b{i}"), own).unwrap_or(own);
-        let status = match line.state {
+        self.discovery_is_up()
+    }
+
+    /// A list entry as this node receives it: each node reaches a backend over its own link.
+    fn list_entry(&self, inner: &Inner, node: usize, entry: &ListEntry) -> Value {
+        let (backend, scenario) = (entry.backend.0 as usize, &self.scenario);
+        let own_port = inner.controls[backend].port.get();
+        let port = self
+            .process_links
+            .tcp_port(&format!("n{node}"), &format!("b{backend}"), own_port)
+            .unwrap_or(own_port);
+        let status = match entry.state {
             BackendState::Ready => "ready",
             BackendState::Draining => "draining",
             BackendState::Gone => "gone",
         };
         json!({
-            "name": inner.fleet.backend_name(i), "address": format!("127.0.0.1:{port}"),
-            "zone": zone_name(line.zone.0), "type": scenario.backends[usize::from(line.backend_type.0)].kind,
-            "group": line.group.0, "status": status, "weight": 1.0, "since_ms": line.started_at.0 / 1000,
+            "name": inner.fleet.backend_name(backend), "address": format!("127.0.0.1:{port}"),
+            "zone": zone_name(entry.zone.0), "type": scenario.backends[usize::from(entry.backend_type.0)].kind,
+            "group": entry.group.0, "status": status, "weight": 1.0, "since_ms": entry.started_at.0 / 1000,
         })
     }
 
-    /// The whole list, in the form in which it is told.
-    pub fn whole(&self, node: usize) -> Value {
+    /// The complete list as this node receives it.
+    pub fn list_snapshot(&self, node: usize) -> Value {
         let inner = self.inner.borrow();
-        let lines: Vec<Value> = inner.fleet.snapshot().map(|line| self.entry(&inner, node, &line)).collect();
-        json!({"index": inner.fleet.changes.len(), "snapshot": true, "endpoints": lines})
+        let entries: Vec<Value> =
+            inner.fleet.snapshot().map(|entry| self.list_entry(&inner, node, &entry)).collect();
+        json!({"index": inner.fleet.changes.len(), "snapshot": true, "endpoints": entries})
     }
 
-    /// A node watches: the first message holds what has changed since that version.
-    pub fn watch(&self, node: usize, since: usize) -> mpsc::UnboundedReceiver<Line> {
-        let (to, lines) = mpsc::unbounded_channel();
-        let whole = self.whole(node);
+    /// Opens a watch for a node. Its first message holds what has changed since that version.
+    pub fn open_watch(&self, node: usize, since: usize) -> mpsc::UnboundedReceiver<ListMessage> {
+        let (sender, messages) = mpsc::unbounded_channel();
+        let snapshot = self.list_snapshot(node);
         let inner = &mut *self.inner.borrow_mut();
         let index = inner.fleet.changes.len();
         let mut changed: Vec<usize> = inner.fleet.changes.get(since..).unwrap_or_default().to_vec();
@@ -475,85 +497,90 @@
         let text = match since <= index {
             true if changed.is_empty() => String::new(),
             true => {
-                let entry = |i: &usize| self.entry(inner, node, &inner.fleet.entries[*i]);
-                let lines: Vec<Value> = changed.iter().map(entry).collect();
-                json!({"index": index, "snapshot": false, "endpoints": lines}).to_string()
+                let entry_of = |backend: &usize| self.list_entry(inner, node, &inner.fleet.entries[*backend]);
+                let entries: Vec<Value> = changed.iter().map(entry_of).collect();
+                json!({"index": index, "snapshot": false, "endpoints": entries}).to_string()
             }
-            false => whole.to_string(),
+            false => snapshot.to_string(),
         };
-        let _ = to.send((Instant::now(), None, text));
-        inner.watchers[node] = Some(to);
-        lines
+        let _ = sender.send((Instant::now(), None, text));
+        inner.watchers[node] = Some(sender);
+        messages
     }
 
-    /// What the judges must know: this node has been told of this backend, or of all (none named).
-    pub fn told(&self, node: usize, backend: Option<usize>) {
+    /// Tells the judges that this node has received the entry of one backend, or of all (`None`).
+    pub fn record_list_delivery(&self, node: usize, changed: Option<usize>) {
         let (now, inner) = (self.now(), &mut *self.inner.borrow_mut());
         let all = 0..inner.fleet.entries.len();
-        let some = backend.map_or(all, |b| b..b + 1);
-        for i in some {
-            let ready = inner.fleet.entries[i].state == BackendState::Ready;
+        let delivered = changed.map_or(all, |backend| backend..backend + 1);
+        for backend in delivered {
+            let ready = inner.fleet.entries[backend].state == BackendState::Ready;
             if let Some(judges) = &mut inner.judges {
-                judges.observe(Observation::ListEntryDelivered { node, backend: i, ready, at: now });
+                judges.observe(Observation::ListEntryDelivered { node, backend, ready, at: now });
             }
         }
     }
 
-    /// When discovery gets to a call that comes now; none if that is too late for it.
-    pub fn list_turn(&self) -> Option<Instant> {
-        let turn = self.scenario.stress.as_ref().map_or(Duration::ZERO, |stress| stress.list_turn.duration());
-        let answered = self.list_busy_until.get().max(Instant::now()) + turn;
-        if answered > Instant::now() + LONGEST_LIST_WAIT {
+    /// Queues a call at discovery. Returns when it is answered; `None` if the queue is too long.
+    pub fn queue_list_call(&self) -> Option<Instant> {
+        let service_time =
+            self.scenario.stress.as_ref().map_or(Duration::ZERO, |stress| stress.list_turn.duration());
+        let answer_at = self.discovery_busy_until.get().max(Instant::now()) + service_time;
+        if answer_at > Instant::now() + MAX_LIST_CALL_WAIT {
             return None;
         }
-        self.list_busy_until.set(answered);
-        Some(answered)
+        self.discovery_busy_until.set(answer_at);
+        Some(answer_at)
     }
 
-    /// All watches end instead of telling of this backend; what they hide counts as told a while later.
-    fn end_watches(self: &Rc<Self>, i: usize) {
-        let watching: Vec<usize> = {
+    /// Ends all watches instead of announcing a change of this backend; the hidden change counts as delivered some time later.
+    fn end_watches_instead_of_publishing(self: &Rc<Self>, backend: usize) {
+        let watching_nodes: Vec<usize> = {
             let watchers = &mut self.inner.borrow_mut().watchers;
             (0..watchers.len()).filter(|node| watchers[*node].take().is_some()).collect()
         };
-        let stage = self.clone();
+        let harness = self.clone();
         spawn_local(async move {
-            sleep(HIDDEN_COUNTS_AS_TOLD).await;
-            watching.into_iter().for_each(|node| stage.told(node, Some(i)));
+            sleep(HIDDEN_CHANGE_KNOWN_AFTER).await;
+            watching_nodes.into_iter().for_each(|node| harness.record_list_delivery(node, Some(backend)));
         });
     }
 
-    fn publish(self: &Rc<Self>, i: usize) {
-        let ends = self.scenario.stress.as_ref().is_some_and(|stress| stress.watches_end);
-        let hidden = {
+    fn publish_entry(self: &Rc<Self>, backend: usize) {
+        let watches_end = self.scenario.stress.as_ref().is_some_and(|stress| stress.watches_end);
+        let is_hidden = {
             let inner = &mut *self.inner.borrow_mut();
-            if !inner.fleet.publish(i) || !inner.fleet.discovery_is_up {
+            if !inner.fleet.publish(backend) || !inner.fleet.discovery_is_up {
                 return;
             }
-            ends && inner.fleet.entries[i].state == BackendState::Draining
+            watches_end && inner.fleet.entries[backend].state == BackendState::Draining
         };
-        if hidden {
-            return self.end_watches(i);
+        if is_hidden {
+            return self.end_watches_instead_of_publishing(backend);
         }
         let inner = &mut *self.inner.borrow_mut();
         let index = inner.fleet.changes.len();
-        let trip = self.scenario.list.trip.duration();
+        let max_trip = self.scenario.list.trip.duration();
         for node in 0..inner.watchers.len() {
             if inner.watchers[node].is_none() {
                 continue;
             }
-            let entry = self.entry(inner, node, &inner.fleet.entries[i]);
+            let entry = self.list_entry(inner, node, &inner.fleet.entries[backend]);
             let text = json!({"index": index, "snapshot": false, "endpoints": [entry]}).to_string();
-            let due = Instant::now() + trip.mul_f64(inner.network.uniform());
+            let delivered_at = Instant::now() + max_trip.mul_f64(inner.network_rng.uniform());
             if let Some(watcher) = &inner.watchers[node] {
-                let _ = watcher.send((due, Some(i), text));
+                let _ = watcher.send((delivered_at, Some(backend), text));
             }
         }
     }
 }
 
-impl Gate {
-    fn new() -> Gate {
-        Gate { turned: Notify::new(), life: watch::channel(0).0, port: Cell::new(0) }
+impl BackendControl {
+    fn new() -> BackendControl {
+        BackendControl {
+            next_change_updated: Notify::new(),
+            connection_epoch: watch::channel(0).0,
+            port: Cell::new(0),
+        }
     }
 }
--- a/crates/rehearsal/src/real/mod.rs
+++ b/crates/rehearsal/src/real/mod.rs
@@ -15,7 +15,7 @@
 use crate::model::troubles::{timeline, Step};
 use crate::scenario::Scenario;
 use crate::span::Time;
-use harness::Stage;
+use harness::Harness;
 use hdrhistogram::Histogram;
 use links::schedule::Schedule;
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
@@ -27,177 +27,183 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::sleep;
 
-/// What goes out later than this, one command in a hundred, is the machine's fault and not a node's: a fifth of
-/// the shortest goal time, and 20 ms at most.
-fn bearable(scenario: &Scenario) -> Duration {
+/// If one command in a hundred is sent later than this, the machine is too slow and the run says nothing about the nodes: a
+/// fifth of the shortest goal time, and 20 ms at most.
+fn max_acceptable_lateness(scenario: &Scenario) -> Duration {
     let goal = scenario.profiles.iter().map(|p| p.goal).min().unwrap_or(Time::millis(100));
     Duration::from_micros(goal.0 / 5).min(Duration::from_millis(20))
 }
 
-/// Descriptors that a play may use, where the machine allows that many.
-const DESCRIPTORS: u64 = 65_536;
+/// File descriptors that a run may use, where the machine allows that many.
+const MAX_DESCRIPTORS: u64 = 65_536;
 
-/// Plays a scenario around real nodes. An error is a fault of the machine or of what is asked for; what a node
-/// does wrong is in the result.
+/// Plays a scenario around real nodes. An error means that the machine or the request is at fault; what a node does wrong is in
+/// the result.
 pub fn play(
     scenario: &Scenario,
     seed: u64,
-    means: &NodeProcessOptions,
+    options: &NodeProcessOptions,
     progress: &mut dyn FnMut(u64),
 ) -> Result<(PlayResult, Judges), String> {
-    // Clients, ways and backends of a whole fleet are this one process's.
-    if let Ok((_, most)) = getrlimit(Resource::RLIMIT_NOFILE) {
-        let _ = setrlimit(Resource::RLIMIT_NOFILE, most.min(DESCRIPTORS), most);
+    // The clients, links and backends of a whole fleet all belong to this one process.
+    if let Ok((_, hard_limit)) = getrlimit(Resource::RLIMIT_NOFILE) {
+        let _ = setrlimit(Resource::RLIMIT_NOFILE, hard_limit.min(MAX_DESCRIPTORS), hard_limit);
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         tokio::select! {
-            played = run(scenario, seed, means, progress) => played,
-            // Whatever was started goes down with the tasks that hold it.
-            why = told_to_stop() => Err(why),
+            played = run_scenario(scenario, seed, options, progress) => played,
+            // Everything that was started ends with the tasks that own it.
+            reason = wait_for_stop_signal() => Err(reason),
         }
     })
 }
 
-async fn told_to_stop() -> String {
-    let Ok(mut term) = signal(SignalKind::terminate()) else { return pending().await };
-    let word = tokio::select! {
+async fn wait_for_stop_signal() -> String {
+    let Ok(mut sigterm) = signal(SignalKind::terminate()) else { return pending().await };
+    let signal_name = tokio::select! {
         _ = tokio::signal::ctrl_c() => "Ctrl-C",
-        _ = term.recv() => "SIGTERM",
+        _ = sigterm.recv() => "SIGTERM",
     };
-    format!("stopped by {word}; all nodes are ended")
+    format!("stopped by {signal_name}; all nodes have been stopped")
 }
 
-async fn run(
+async fn run_scenario(
     scenario: &Scenario,
     seed: u64,
-    means: &NodeProcessOptions,
+    options: &NodeProcessOptions,
     progress: &mut dyn FnMut(u64),
 ) -> Result<(PlayResult, Judges), String> {
-    let folder = tempfile::tempdir().map_err(|e| format!("a folder for the nodes' files: {e}"))?;
-    let (stage, mut replaced) = Stage::new(scenario, seed);
-    for i in 0..stage.backends() {
-        backends::start(&stage, i)?;
+    let dir =
+        tempfile::tempdir().map_err(|e| format!("cannot create a directory for the nodes' files: {e}"))?;
+    let (harness, mut new_backends) = Harness::new(scenario, seed);
+    for backend in 0..harness.backend_count() {
+        backends::start_backend(&harness, backend)?;
     }
-    let doors = stage.clone();
+    let backend_harness = harness.clone();
     spawn_local(async move {
-        while let Some(i) = replaced.recv().await {
-            if let Err(why) = backends::start(&doors, i) {
-                doors.fail(why);
+        while let Some(backend) = new_backends.recv().await {
+            if let Err(reason) = backends::start_backend(&backend_harness, backend) {
+                backend_harness.report_error(reason);
             }
         }
     });
-    let crew = nodes::Crew::new(&stage, means, folder.path().to_owned())?;
-    crew.start_all().await?;
-    stage.begin();
-    let troubles = spawn_local(run_troubles(stage.clone(), timeline(scenario, seed), crew.clone()));
+    let supervisor = nodes::NodeSupervisor::new(&harness, options, dir.path().to_owned())?;
+    supervisor.start_all().await?;
+    harness.start_scenario();
+    let troubles = spawn_local(apply_troubles(harness.clone(), timeline(scenario, seed), supervisor.clone()));
     let schedule = scenario.schedule(seed)?;
-    let faults = spawn_local(network::run_faults(stage.clone(), schedule.clone(), crew.clone()));
-    let watched = scenario.view.is_some().then(|| spawn_local(network::watch(stage.clone(), crew.clone())));
-    let crowd = clients::Crowd::new(stage.clone(), crew.clone(), seed);
-    let moves = spawn_local(discovery_moves::run(stage.clone(), crew.clone()));
-    let silent = spawn_local(idle_crowd::hold(stage.clone(), crew.clone()));
-    let driven = spawn_local(crowd.run());
+    let faults = spawn_local(network::inject_faults(harness.clone(), schedule.clone(), supervisor.clone()));
+    let view_polling = scenario
+        .view
+        .is_some()
+        .then(|| spawn_local(network::poll_views(harness.clone(), supervisor.clone())));
+    let client_pool = clients::ClientPool::new(harness.clone(), supervisor.clone(), seed);
+    let discovery_moves = spawn_local(discovery_moves::run(harness.clone(), supervisor.clone()));
+    let idle_connections = spawn_local(idle_crowd::hold_connections(harness.clone(), supervisor.clone()));
+    let clients = spawn_local(client_pool.run());
     let seconds = scenario.length.0.div_ceil(1_000_000);
     for second in 1..=seconds {
-        sleep(stage.until(Time::seconds(second.min(scenario.length.0 / 1_000_000)))).await;
+        sleep(harness.duration_until(Time::seconds(second.min(scenario.length.0 / 1_000_000)))).await;
         progress(second);
     }
-    let late = driven.await.map_err(|e| format!("the clients: {e}"))?;
+    let lateness = clients.await.map_err(|e| format!("the clients failed: {e}"))?;
     troubles.abort();
     faults.abort();
-    silent.abort();
-    moves.abort();
-    watched.inspect(|watched| watched.abort());
-    stage.view(|views, now| views.finish(now));
-    let processes = crew.end_all().await;
-    let mut judges = stage.end();
-    let now = stage.now();
+    idle_connections.abort();
+    discovery_moves.abort();
+    view_polling.inspect(|task| task.abort());
+    harness.with_view_judge(|views, now| views.finish(now));
+    let processes = supervisor.stop_all().await;
+    let mut judges = harness.take_judges();
+    let now = harness.now();
     judges.rules.finish(now);
     let mut played = judges.result(scenario, ("yarrowfront", "real"), seed);
     played.processes = processes;
     played.faults = schedule.to_string();
-    played.void = void(scenario, &late, stage.fault());
+    played.void = void_reason(scenario, &lateness, harness.error());
     Ok((played, judges))
 }
 
-/// Leaves out faults of a play that broke something for as long as something still breaks, in so many plays at the most.
+/// Removes scheduled faults from a scenario in which a rule was broken for as long as one is still broken, in `max_plays` plays
+/// at most.
 pub fn shrink_faults(
     scenario: &Scenario,
     seed: u64,
-    means: &NodeProcessOptions,
-    most: usize,
+    options: &NodeProcessOptions,
+    max_plays: usize,
 ) -> Result<Scenario, String> {
-    let (mut left, mut fault) = (most, None);
+    let (mut plays_left, mut error) = (max_plays, None);
     let schedule = scenario.schedule(seed)?.shrink(|fewer: &Schedule| {
-        if left == 0 || fault.is_some() {
+        if plays_left == 0 || error.is_some() {
             return false;
         }
-        left -= 1;
-        match play(&scenario.with_faults(fewer), seed, means, &mut |_| ()) {
+        plays_left -= 1;
+        match play(&scenario.with_faults(fewer), seed, options, &mut |_| ()) {
             Ok((played, _)) => played.rules.any(),
-            Err(why) => {
-                fault = Some(why);
+            Err(reason) => {
+                error = Some(reason);
                 false
             }
         }
     });
-    match fault {
-        Some(why) => Err(why),
+    match error {
+        Some(reason) => Err(reason),
         None => Ok(scenario.with_faults(&schedule)),
     }
 }
 
-fn void(scenario: &Scenario, late: &Histogram<u64>, fault: Option<String>) -> Option<String> {
-    let (bound, seen) = (bearable(scenario), Duration::from_micros(late.value_at_quantile(0.99)));
-    if seen > bound {
+fn void_reason(scenario: &Scenario, lateness: &Histogram<u64>, error: Option<String>) -> Option<String> {
+    let (bound, p99) =
+        (max_acceptable_lateness(scenario), Duration::from_micros(lateness.value_at_quantile(0.99)));
+    if p99 > bound {
         return Some(format!(
-            "this machine is too slow for the load: one command in a hundred went out {seen:.1?} late, \
-             {bound:.1?} can be borne"
+            "this machine is too slow for the load: one command in a hundred was sent {p99:.1?} late, \
+             {bound:.1?} is acceptable"
         ));
     }
-    fault
+    error
 }
 
-async fn run_troubles(stage: Rc<Stage>, steps: Vec<(Time, Step)>, crew: nodes::Crew) {
+async fn apply_troubles(harness: Rc<Harness>, steps: Vec<(Time, Step)>, supervisor: nodes::NodeSupervisor) {
     for (at, step) in steps {
-        sleep(stage.until(at)).await;
+        sleep(harness.duration_until(at)).await;
         match step {
-            Step::StopNode(node) => crew.stop(node),
-            Step::KillNode(node) => crew.kill(node),
+            Step::StopNode(node) => supervisor.stop(node),
+            Step::KillNode(node) => supervisor.kill(node),
             Step::StartNode(node) => {
-                let (crew, stage) = (crew.clone(), stage.clone());
+                let (supervisor, harness) = (supervisor.clone(), harness.clone());
                 spawn_local(async move {
-                    if let Err(why) = crew.start(node).await {
-                        stage.fail(why);
+                    if let Err(reason) = supervisor.start(node).await {
+                        harness.report_error(reason);
                     }
                 });
             }
-            step => stage.step(step),
+            step => harness.apply_step(step),
         }
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::{void, Scenario};
+    use super::{void_reason, Scenario};
     use hdrhistogram::Histogram;
 
-    /// A machine that is too slow voids the run; one slow command in a thousand does not, and a fault of the
-    /// rehearsal always does.
+    /// A machine that is too slow voids the run; one slow command in a thousand does not, and an error of the rehearsal always
+    /// does.
     #[test]
-    fn when_a_run_is_void() {
+    fn a_slow_machine_or_an_error_voids_the_run() {
         let text = include_str!("../../../../scenarios/calm.toml");
         let scenario = Scenario::parse(text).expect("good");
         let cases =
             [(10, 0, None, false), (10, 1, None, false), (10, 30, None, true), (10, 0, Some("a port"), true)];
-        for (usual, slow, fault, wanted) in cases {
-            let mut late = Histogram::new(3).expect("a histogram");
-            late.record_n(usual, 1000 - slow).expect("recorded");
-            late.record_n(80_000, slow).expect("recorded");
-            let told = void(&scenario, &late, fault.map(String::from));
-            assert_eq!(told.is_some(), wanted, "{usual}, {slow}, {fault:?}: {told:?}");
+        for (usual, slow, error, expected) in cases {
+            let mut lateness = Histogram::new(3).expect("a histogram");
+            lateness.record_n(usual, 1000 - slow).expect("recorded");
+            lateness.record_n(80_000, slow).expect("recorded");
+            let reason = void_reason(&scenario, &lateness, error.map(String::from));
+            assert_eq!(reason.is_some(), expected, "{usual}, {slow}, {error:?}: {reason:?}");
         }
     }
 }
--- a/crates/rehearsal/src/real/network.rs
+++ b/crates/rehearsal/src/real/network.rs
@@ -1,8 +1,8 @@
-//! Faults on the ways between processes and on nodes' processes, by a schedule; and what nodes tell of each other meanwhile.
+//! The links between processes, scheduled faults on these and on node processes, and polling of the nodes' fleet views.
 
 use crate::judge::views::FleetReport;
-use crate::real::harness::Stage;
-use crate::real::nodes::Crew;
+use crate::real::harness::Harness;
+use crate::real::nodes::NodeSupervisor;
 use crate::scenario::Scenario;
 use crate::span::Time;
 use bytes::Bytes;
@@ -21,81 +21,87 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, timeout};
 
-const HERE: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
-/// Between two looks at what nodes tell of each other, and how long one may take.
-const LOOK: Duration = Duration::from_millis(200);
-const ANSWER: Duration = Duration::from_millis(300);
+const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
+/// Interval between two polls of all nodes' fleet views.
+const VIEW_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Time limit of one request for a view.
+const VIEW_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-pub fn at(port: u16) -> SocketAddr {
-    SocketAddr::new(HERE, port)
+pub fn loopback_address(port: u16) -> SocketAddr {
+    SocketAddr::new(LOOPBACK, port)
 }
 
-/// The ways of a play, each pair's own; without faults to come there is none, and all go straight.
-pub struct Ways {
+/// The links of a run, one for each pair of processes and port. A scenario without faults has none: processes connect
+/// directly.
+pub struct ProcessLinks {
     links: Option<Links>,
-    opened: std::cell::RefCell<HashMap<(String, String, u16), u16>>,
+    relay_ports: std::cell::RefCell<HashMap<(String, String, u16), u16>>,
 }
 
-impl Ways {
-    pub fn new(scenario: &Scenario, seed: u64) -> Ways {
-        Ways { links: scenario.needs_processes().then(|| Links::new(seed)), opened: Default::default() }
+impl ProcessLinks {
+    pub fn new(scenario: &Scenario, seed: u64) -> ProcessLinks {
+        ProcessLinks {
+            links: scenario.needs_processes().then(|| Links::new(seed)),
+            relay_ports: Default::default(),
+        }
     }
 
     pub fn links(&self) -> Option<&Links> {
         self.links.as_ref()
     }
 
-    /// Where one has to connect to reach the other, who listens on that port.
-    pub fn tcp(&self, from: &str, to: &str, port: u16) -> Result<u16, String> {
-        self.way(from, to, port, |links| links.open_tcp(from, to, at(port), HERE))
+    /// The port to which `from` connects to reach `to`, which listens on `port`.
+    pub fn tcp_port(&self, from: &str, to: &str, port: u16) -> Result<u16, String> {
+        self.relay_port(from, to, port, |links| links.open_tcp(from, to, loopback_address(port), LOOPBACK))
     }
 
-    /// Where one has to send datagrams for the other.
-    pub fn udp(&self, from: &str, to: &str, port: u16) -> Result<u16, String> {
-        self.way(from, to, port, |links| links.open_udp(from, to, at(port), HERE))
+    /// The port to which `from` sends datagrams for `to`, which receives them on `port`.
+    pub fn udp_port(&self, from: &str, to: &str, port: u16) -> Result<u16, String> {
+        self.relay_port(from, to, port, |links| links.open_udp(from, to, loopback_address(port), LOOPBACK))
     }
 
-    fn way(
+    fn relay_port(
         &self,
         from: &str,
         to: &str,
         port: u16,
-        open: impl Fn(&Links) -> std::io::Result<SocketAddr>,
+        open_relay: impl Fn(&Links) -> std::io::Result<SocketAddr>,
     ) -> Result<u16, String> {
         let Some(links) = &self.links else { return Ok(port) };
         let key = (from.to_owned(), to.to_owned(), port);
-        if let Some(way) = self.opened.borrow().get(&key) {
-            return Ok(*way);
+        if let Some(relay_port) = self.relay_ports.borrow().get(&key) {
+            return Ok(*relay_port);
         }
-        let way = open(links).map_err(|e| format!("a way from {from} to {to}: {e}"))?.port();
-        self.opened.borrow_mut().insert(key, way);
-        Ok(way)
+        let relay_port =
+            open_relay(links).map_err(|e| format!("cannot open a link from {from} to {to}: {e}"))?.port();
+        self.relay_ports.borrow_mut().insert(key, relay_port);
+        Ok(relay_port)
     }
 }
 
-/// The operators' file of a node's view: every other member over its way, the first two as seeds.
-pub fn view_file(
+/// The membership file of a node: every other member has an address override to its link, the first two are seeds.
+pub fn membership_file(
     scenario: &Scenario,
-    ways: &Ways,
+    process_links: &ProcessLinks,
     node: usize,
-    udp: &[u16],
+    udp_ports: &[u16],
 ) -> Result<Option<String>, String> {
     let Some(view) = &scenario.view else { return Ok(None) };
     let name = |node: usize| format!("n{node}");
-    let mut via = String::new();
+    let mut overrides = String::new();
     let mut seeds = Vec::new();
-    for (other, port) in udp.iter().enumerate().filter(|(other, _)| *other != node) {
-        let way = at(ways.udp(&name(node), &name(other), *port)?);
-        let _ = writeln!(via, "n{other} = \"{way}\"");
+    for (other, port) in udp_ports.iter().enumerate().filter(|(other, _)| *other != node) {
+        let address = loopback_address(process_links.udp_port(&name(node), &name(other), *port)?);
+        let _ = writeln!(overrides, "n{other} = \"{address}\"");
         if other < 2 {
-            seeds.push(format!("\"{way}\""));
+            seeds.push(format!("\"{address}\""));
         }
     }
     let millis = |time: Time| time.0 / 1000;
     Ok(Some(format!(
         "fleet = \"rehearsal\"\nlisten = \"{}\"\nnetworks = [\"127.0.0.0/8\"]\nseeds = [{}]\n\
-         [times]\nperiod = {}\nseeds = 500\nsure = {}\nrelease = {}\n[via]\n{via}",
-        at(udp[node]),
+         [times]\nperiod = {}\nseeds = 500\nsure = {}\nrelease = {}\n[via]\n{overrides}",
+        loopback_address(udp_ports[node]),
         seeds.join(", "),
         millis(view.period),
         millis(view.sure),
@@ -103,56 +109,59 @@
     )))
 }
 
-/// Does what the schedule says, each at its time.
-pub async fn run_faults(stage: Rc<Stage>, schedule: Schedule, crew: Crew) {
-    let nodes: Vec<String> = (0..stage.scenario.nodes).map(|node| format!("n{node}")).collect();
-    for step in &schedule.0 {
-        sleep(stage.until(Time::millis(step.at_ms))).await;
-        stage.view(|views, now| views.observe_fault(now, &step.fault));
-        let number = |name: &String| name.trim_start_matches('n').parse::<usize>().unwrap_or_default();
-        match &step.fault {
-            Fault::Kill(one) => crew.kill(number(one)),
-            Fault::Terminate(one) => crew.stop(number(one)),
-            Fault::Pause(one) => crew.pause(number(one)),
-            Fault::Resume(one) => crew.go_on(number(one)),
-            Fault::Start(one) => {
-                let (crew, stage, node) = (crew.clone(), stage.clone(), number(one));
+/// Applies the faults of the schedule, each at its time.
+pub async fn inject_faults(harness: Rc<Harness>, schedule: Schedule, supervisor: NodeSupervisor) {
+    let node_names: Vec<String> = (0..harness.scenario.nodes).map(|node| format!("n{node}")).collect();
+    for scheduled in &schedule.0 {
+        sleep(harness.duration_until(Time::millis(scheduled.at_ms))).await;
+        harness.with_view_judge(|views, now| views.observe_fault(now, &scheduled.fault));
+        let node_index = |name: &String| name.trim_start_matches('n').parse::<usize>().unwrap_or_default();
+        match &scheduled.fault {
+            Fault::Kill(name) => supervisor.kill(node_index(name)),
+            Fault::Terminate(name) => supervisor.stop(node_index(name)),
+            Fault::Pause(name) => supervisor.pause(node_index(name)),
+            Fault::Resume(name) => supervisor.resume(node_index(name)),
+            Fault::Start(name) => {
+                let (supervisor, harness, node) = (supervisor.clone(), harness.clone(), node_index(name));
                 spawn_local(async move {
-                    if let Err(why) = crew.start(node).await {
-                        stage.fail(why);
+                    if let Err(reason) = supervisor.start(node).await {
+                        harness.report_error(reason);
                     }
                 });
             }
             fault => {
-                // Backends, discovery and clients are met only where they are named.
-                let others = fault.targets().into_iter().filter(|name| !nodes.contains(name)).cloned();
-                let names: Vec<String> = nodes.iter().cloned().chain(others).collect();
-                if let Some(links) = stage.ways.links() {
-                    apply_to_links(fault, links, &names);
+                // Backends, discovery and clients are affected only where the fault names them.
+                let other_names =
+                    fault.targets().into_iter().filter(|name| !node_names.contains(name)).cloned();
+                let affected: Vec<String> = node_names.iter().cloned().chain(other_names).collect();
+                if let Some(links) = harness.process_links.links() {
+                    apply_to_links(fault, links, &affected);
                 }
             }
         }
     }
 }
 
-/// Tells the judge what all nodes say of each other, again and again.
-pub async fn watch(stage: Rc<Stage>, crew: Crew) {
+/// Regularly gives the judge what all nodes report of each other.
+pub async fn poll_views(harness: Rc<Harness>, supervisor: NodeSupervisor) {
     loop {
-        let mut asked = JoinSet::new();
-        for (node, port) in crew.seconds() {
-            asked.spawn_local(async move { (node, timeout(ANSWER, ask(port)).await.ok().flatten()) });
+        let mut requests = JoinSet::new();
+        for (node, port) in supervisor.admin_ports() {
+            requests.spawn_local(async move {
+                (node, timeout(VIEW_REQUEST_TIMEOUT, request_view(port)).await.ok().flatten())
+            });
         }
-        let mut told: BTreeMap<usize, FleetReport> = BTreeMap::new();
-        while let Some(Ok((node, view))) = asked.join_next().await {
-            told.extend(view.map(|view| (node, view)));
+        let mut reports: BTreeMap<usize, FleetReport> = BTreeMap::new();
+        while let Some(Ok((node, report))) = requests.join_next().await {
+            reports.extend(report.map(|report| (node, report)));
         }
-        stage.view(|views, now| views.observe_reports(now, &told));
-        sleep(LOOK).await;
+        harness.with_view_judge(|views, now| views.observe_reports(now, &reports));
+        sleep(VIEW_POLL_INTERVAL).await;
     }
 }
 
-async fn ask(port: u16) -> Option<FleetReport> {
-    let stream = TcpStream::connect(at(port)).await.ok()?;
+async fn request_view(port: u16) -> Option<FleetReport> {
+    let stream = TcpStream::connect(loopback_address(port)).await.ok()?;
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     spawn_local(async move {
         let _ = connection.await;
--- a/crates/rehearsal/src/real/nodes.rs
+++ b/crates/rehearsal/src/real/nodes.rs
@@ -1,9 +1,9 @@
-//! The nodes: real processes, started, stopped and killed by plan. None outlives the rehearsal.
+//! The nodes: real processes that are started, stopped and killed as the scenario says. None outlives the rehearsal.
 
 use crate::judge::result::ProcessUsage;
 use crate::judge::Observation;
 use crate::model::settings::node_settings;
-use crate::real::harness::Stage;
+use crate::real::harness::Harness;
 use crate::real::{discovery, network, ports};
 use crate::rng::{RngStream, SeededRng};
 use nix::sys::signal::{kill, Signal};
@@ -22,391 +22,425 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A node that does not take commands so long after its start has failed.
-const START: Duration = Duration::from_secs(10);
-/// What a node may take beyond the longest time limit to end after SIGTERM.
-const STOP: Duration = Duration::from_millis(1500);
-
-/// A kill comes so long after the longest time limit, or after this where that is longer, counted from the word to stop.
-const KILL_AFTER: Duration = Duration::from_millis(700);
-const KILL_WAITS_FOR: Duration = Duration::from_secs(3);
-/// A process is sent no signal before this.
-const FIRST_SIGNAL: Duration = Duration::from_secs(1);
-/// All that discovery has to tell counts as told so long after a configuration that moved it.
-const MOVE_COUNTS_AS_TOLD: Duration = Duration::from_secs(4);
-const BETWEEN_SIGNALS: Duration = Duration::from_millis(60);
-
-/// How real processes are to be run.
+/// A node that does not accept commands this long after its start has failed.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// How much longer than the longest time limit a node may take to exit after SIGTERM.
+const STOP_TIMEOUT: Duration = Duration::from_millis(1500);
+
+/// SIGKILL follows SIGTERM after the longest time limit, or `MAX_LIMIT_BEFORE_KILL` if that is shorter, plus this delay.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+const MAX_LIMIT_BEFORE_KILL: Duration = Duration::from_secs(3);
+/// A process that has run for less than this gets no SIGHUP.
+const MIN_AGE_FOR_SIGNALS: Duration = Duration::from_secs(1);
+/// The whole list counts as delivered this long after a configuration that moved discovery.
+const MOVED_LIST_KNOWN_AFTER: Duration = Duration::from_secs(4);
+/// Interval between the signals of a series.
+const SIGNAL_INTERVAL: Duration = Duration::from_millis(60);
+
+/// How the node processes of a run are started.
 #[derive(Clone, Debug)]
 pub struct NodeProcessOptions {
     /// The node's program.
     pub program: PathBuf,
-    /// Where the nodes' logs are kept; nowhere if not told.
+    /// The directory for the nodes' logs; without it they are discarded.
     pub log_dir: Option<PathBuf>,
-    /// What the program is started with: nothing for the node.
+    /// Arguments of the program; the real node takes none.
     pub arguments: Vec<String>,
-    /// And what is added to its environment.
+    /// Additional environment variables.
     pub environment: Vec<(String, String)>,
 }
 
-/// A process at its place.
-struct Life {
+/// A running process of a node.
+struct RunningProcess {
     pid: i32,
-    /// Whether it was asked to end, so that its end is no crash.
-    asked: Rc<Cell<bool>>,
-    ended: watch::Receiver<bool>,
+    /// Whether it was told to exit, so that its exit is not a crash.
+    exit_expected: Rc<Cell<bool>>,
+    exited: watch::Receiver<bool>,
 }
 
-struct Place {
+/// A node of the fleet, whether its process runs or not.
+struct NodeSlot {
     port: u16,
-    /// Where clients connect, and where it tells of the others, if it does.
-    door: u16,
-    admin: Option<u16>,
-    config: PathBuf,
-    discovery: RefCell<discovery::Door>,
-    /// When its process was started.
-    started: Cell<Instant>,
-    in_front: Cell<bool>,
-    /// Told to stop, and not ended yet.
-    stopping: Cell<bool>,
-    life: RefCell<Option<Life>>,
-    /// Counted up with every start.
-    lives: Cell<u32>,
-    seen: RefCell<ProcessUsage>,
+    /// The port to which clients connect; it differs from `port` when they go through a link.
+    client_port: u16,
+    admin_port: Option<u16>,
+    config_path: PathBuf,
+    discovery: RefCell<discovery::DiscoveryEndpoint>,
+    /// When its present process was started.
+    started_at: Cell<Instant>,
+    /// Whether the front end sends new commands to it.
+    in_rotation: Cell<bool>,
+    /// Whether its process was told to stop and has not exited yet.
+    is_stopping: Cell<bool>,
+    process: RefCell<Option<RunningProcess>>,
+    /// Incremented with every start, so that a delayed task can tell whether the process is still the same.
+    start_count: Cell<u32>,
+    usage: RefCell<ProcessUsage>,
 }
 
-struct Inner {
-    stage: Rc<Stage>,
-    means: NodeProcessOptions,
-    places: Vec<Place>,
+struct SupervisorState {
+    harness: Rc<Harness>,
+    options: NodeProcessOptions,
+    slots: Vec<NodeSlot>,
 }
 
 #[derive(Clone)]
-pub struct Crew(Rc<Inner>);
-
-impl Crew {
-    pub fn new(stage: &Rc<Stage>, means: &NodeProcessOptions, folder: PathBuf) -> Result<Crew, String> {
-        let mut places = Vec::new();
-        let nodes = stage.scenario.nodes as usize;
-        let with_view = stage.scenario.view.is_some();
-        // Ports for datagrams are of the same numbers: nobody's outgoing socket takes them meanwhile.
+pub struct NodeSupervisor(Rc<SupervisorState>);
+
+impl NodeSupervisor {
+    pub fn new(
+        harness: &Rc<Harness>,
+        options: &NodeProcessOptions,
+        dir: PathBuf,
+    ) -> Result<NodeSupervisor, String> {
+        let mut slots = Vec::new();
+        let nodes = harness.scenario.nodes as usize;
+        let with_view = harness.scenario.view.is_some();
+        // Datagram ports use the numbers of reserved listening ports, so that no outgoing socket takes them meanwhile.
         let udp: Vec<u16> = match with_view {
             true => (0..nodes).map(|_| ports::listen().map(|(_, port)| port)).collect::<Result<_, _>>()?,
             false => Vec::new(),
         };
         for node in 0..nodes {
-            // Free again as soon as this is dropped, and nobody else here is given it.
+            // The port is free again as soon as the listener is dropped, and no one else in this process gets it.
             let (_, port) = ports::listen()?;
             let name = format!("n{node}");
-            let discovery_door = discovery::start(stage, node)?;
-            let discovery = stage.ways.tcp(&name, "discovery", discovery_door.port)?;
-            let door = stage.ways.tcp("clients", &name, port)?;
-            let admin = if with_view { Some(ports::listen()?.1) } else { None };
+            let endpoint = discovery::start_endpoint(harness, node)?;
+            let discovery_port = harness.process_links.tcp_port(&name, "discovery", endpoint.port)?;
+            let client_port = harness.process_links.tcp_port("clients", &name, port)?;
+            let admin_port = if with_view { Some(ports::listen()?.1) } else { None };
             let seed = SeededRng::with_index(0, RngStream::Nodes, node as u64).next_u64();
             let mut config = json!({
                 "name": format!("n{node}"), "listen": format!("127.0.0.1:{port}"),
-                "discovery": format!("127.0.0.1:{discovery}"), "seed": format!("{seed:016x}"),
+                "discovery": format!("127.0.0.1:{discovery_port}"), "seed": format!("{seed:016x}"),
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                "known": stage.whole(node), "settings": node_settings(&stage.scenario, node),
+                "known": harness.list_snapshot(node), "settings": node_settings(&harness.scenario, node),
             });
-            if let Some(text) = network::view_file(&stage.scenario, &stage.ways, node, &udp)? {
-                let path = folder.join(format!("n{node}.toml"));
-                std::fs::write(&path, text).map_err(|e| format!("a node's view: {e}"))?;
+            if let Some(text) =
+                network::membership_file(&harness.scenario, &harness.process_links, node, &udp)?
+            {
+                let path = dir.join(format!("n{node}.toml"));
+                std::fs::write(&path, text)
+                    .map_err(|e| format!("cannot write a node's membership file: {e}"))?;
                 config["fleet"] = path.display().to_string().into();
-                config["admin"] = admin.map(|port| format!("127.0.0.1:{port}")).into();
+                config["admin"] = admin_port.map(|port| format!("127.0.0.1:{port}")).into();
             }
-            if let Some(text) = &stage.scenario.site_plan {
-                let path = folder.join("sites.toml");
-                std::fs::write(&path, text).map_err(|e| format!("the plan of sites: {e}"))?;
+            if let Some(text) = &harness.scenario.site_plan {
+                let path = dir.join("sites.toml");
+                std::fs::write(&path, text).map_err(|e| format!("cannot write the site plan: {e}"))?;
                 config["sites"] = path.display().to_string().into();
             }
-            let path = folder.join(format!("n{node}.json"));
-            std::fs::write(&path, config.to_string()).map_err(|e| format!("a node's file: {e}"))?;
-            places.push(Place {
+            let path = dir.join(format!("n{node}.json"));
+            std::fs::write(&path, config.to_string())
+                .map_err(|e| format!("cannot write a node's configuration: {e}"))?;
+            slots.push(NodeSlot {
                 port,
-                door,
-                admin,
-                config: path,
-                discovery: RefCell::new(discovery_door),
-                started: Cell::new(Instant::now()),
-                in_front: Cell::new(false),
-                stopping: Cell::new(false),
-                life: RefCell::new(None),
-                lives: Cell::new(0),
-                seen: RefCell::new(ProcessUsage { node, ..ProcessUsage::default() }),
+                client_port,
+                admin_port,
+                config_path: path,
+                discovery: RefCell::new(endpoint),
+                started_at: Cell::new(Instant::now()),
+                in_rotation: Cell::new(false),
+                is_stopping: Cell::new(false),
+                process: RefCell::new(None),
+                start_count: Cell::new(0),
+                usage: RefCell::new(ProcessUsage { node, ..ProcessUsage::default() }),
             });
         }
-        Ok(Crew(Rc::new(Inner { stage: stage.clone(), means: means.clone(), places })))
+        Ok(NodeSupervisor(Rc::new(SupervisorState {
+            harness: harness.clone(),
+            options: options.clone(),
+            slots,
+        })))
     }
 
     pub async fn start_all(&self) -> Result<(), String> {
-        for node in 0..self.0.places.len() {
+        for node in 0..self.0.slots.len() {
             self.start(node).await?;
         }
         Ok(())
     }
 
-    /// Where clients find it.
-    pub fn door(&self, node: usize) -> u16 {
-        self.0.places[node].door
+    /// The port to which clients connect.
+    pub fn client_port(&self, node: usize) -> u16 {
+        self.0.slots[node].client_port
     }
 
-    /// The second addresses of all nodes that run.
-    pub fn seconds(&self) -> Vec<(usize, u16)> {
-        let runs = |place: &Place| place.life.borrow().as_ref().is_some_and(|life| !life.asked.get());
-        let places = self.0.places.iter().enumerate().filter(|(_, place)| runs(place));
-        places.filter_map(|(node, place)| Some((node, place.admin?))).collect()
+    /// The admin ports of all running nodes that have one.
+    pub fn admin_ports(&self) -> Vec<(usize, u16)> {
+        let is_running = |slot: &NodeSlot| {
+            slot.process.borrow().as_ref().is_some_and(|process| !process.exit_expected.get())
+        };
+        let slots = self.0.slots.iter().enumerate().filter(|(_, slot)| is_running(slot));
+        slots.filter_map(|(node, slot)| Some((node, slot.admin_port?))).collect()
     }
 
-    /// The nodes that the front sends to.
-    pub fn in_front(&self) -> Vec<usize> {
-        let places = self.0.places.iter().enumerate();
-        places.filter(|(_, p)| p.in_front.get()).map(|(i, _)| i).collect()
+    /// The nodes to which the front end sends new commands.
+    pub fn nodes_in_rotation(&self) -> Vec<usize> {
+        let slots = self.0.slots.iter().enumerate();
+        slots.filter(|(_, p)| p.in_rotation.get()).map(|(i, _)| i).collect()
     }
 
-    fn spawn(&self, node: usize) -> Result<Child, String> {
-        let (place, means) = (&self.0.places[node], &self.0.means);
-        let log = match &means.log_dir {
+    fn spawn_process(&self, node: usize) -> Result<Child, String> {
+        let (slot, options) = (&self.0.slots[node], &self.0.options);
+        let log = match &options.log_dir {
             None => Stdio::null(),
-            Some(folder) => {
-                let path = folder.join(format!("n{node}-{}.log", place.lives.get()));
-                std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+            Some(dir) => {
+                let path = dir.join(format!("n{node}-{}.log", slot.start_count.get()));
+                std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
                 File::create(&path).map_err(|e| format!("{}: {e}", path.display()))?.into()
             }
         };
-        let mut command = Command::new(&means.program);
-        command.args(&means.arguments);
-        command.envs(means.environment.iter().map(|(name, value)| (name, value)));
+        let mut command = Command::new(&options.program);
+        command.args(&options.arguments);
+        command.envs(options.environment.iter().map(|(name, value)| (name, value)));
         for name in ["ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY"] {
             command.env_remove(name);
         }
-        command.env("ROUTER_CONFIG", &place.config).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        // Also when the rehearsal fails half-way.
+        command
+            .env("ROUTER_CONFIG", &slot.config_path)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
+        // This also ends the process when the rehearsal fails halfway.
         command.kill_on_drop(true);
-        command.spawn().map_err(|e| format!("{}: {e}", means.program.display()))
+        command.spawn().map_err(|e| format!("{}: {e}", options.program.display()))
     }
 
-    /// Starts a node, or restarts one that was stopped, and waits until it takes commands.
+    /// Starts a node, or restarts one that was stopped, and waits until it accepts commands.
     pub async fn start(&self, node: usize) -> Result<(), String> {
-        self.finish(node).await;
-        let place = &self.0.places[node];
-        let child = self.spawn(node)?;
-        let pid = child.id().ok_or("a node ended at once")? as i32;
-        let (asked, (end, ended)) = (Rc::new(Cell::new(false)), watch::channel(false));
-        place.lives.set(place.lives.get() + 1);
-        place.started.set(Instant::now());
-        let at_once = ended.clone();
-        *place.life.borrow_mut() = Some(Life { pid, asked: asked.clone(), ended });
-        self.0.stage.see(Observation::NodeStarted { node });
-        spawn_local(self.clone().mind(node, child, asked, end));
+        self.wait_for_exit(node).await;
+        let slot = &self.0.slots[node];
+        let child = self.spawn_process(node)?;
+        let pid = child.id().ok_or("a node exited at once")? as i32;
+        let (exit_expected, (end, exited)) = (Rc::new(Cell::new(false)), watch::channel(false));
+        slot.start_count.set(slot.start_count.get() + 1);
+        slot.started_at.set(Instant::now());
+        let exited_at_start = exited.clone();
+        *slot.process.borrow_mut() =
+            Some(RunningProcess { pid, exit_expected: exit_expected.clone(), exited });
+        self.0.harness.observe(Observation::NodeStarted { node });
+        spawn_local(self.clone().watch_exit(node, child, exit_expected, end));
         let since = Instant::now();
-        while since.elapsed() < START {
-            if self.is_up(node).await {
-                place.in_front.set(true);
+        while since.elapsed() < START_TIMEOUT {
+            if self.answers_health_check(node).await {
+                slot.in_rotation.set(true);
                 return Ok(());
             }
-            if *at_once.borrow() {
-                return Err(format!("node {node} ended at its start: --logs DIR keeps what it said"));
+            if *exited_at_start.borrow() {
+                return Err(format!("node {node} exited during its start: see its log with --logs DIR"));
             }
             sleep(Duration::from_millis(20)).await;
         }
-        Err(format!("node {node} does not take commands {} s after its start", START.as_secs()))
+        Err(format!("node {node} does not accept commands {} s after its start", START_TIMEOUT.as_secs()))
     }
 
-    /// Waits for a process's end, and says so if nobody asked for it.
-    async fn mind(self, node: usize, mut child: Child, asked: Rc<Cell<bool>>, end: watch::Sender<bool>) {
+    /// Waits for a process to exit, and reports a crash if the exit was not expected.
+    async fn watch_exit(
+        self,
+        node: usize,
+        mut child: Child,
+        exit_expected: Rc<Cell<bool>>,
+        end: watch::Sender<bool>,
+    ) {
         let _ = child.wait().await;
-        self.0.places[node].stopping.set(false);
-        if !asked.get() {
-            let place = &self.0.places[node];
-            place.in_front.set(false);
-            self.0.stage.see(Observation::NodeCrashed { node, at: self.0.stage.now() });
+        self.0.slots[node].is_stopping.set(false);
+        if !exit_expected.get() {
+            let slot = &self.0.slots[node];
+            slot.in_rotation.set(false);
+            self.0.harness.observe(Observation::NodeCrashed { node, at: self.0.harness.now() });
         }
         let _ = end.send(true);
     }
 
-    async fn is_up(&self, node: usize) -> bool {
-        let ask = async {
-            let mut stream = TcpStream::connect(("127.0.0.1", self.0.places[node].port)).await?;
+    async fn answers_health_check(&self, node: usize) -> bool {
+        let request = async {
+            let mut stream = TcpStream::connect(("127.0.0.1", self.0.slots[node].port)).await?;
             stream.write_all(b"GET /up HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n").await?;
             let mut head = [0; 12];
             stream.read_exact(&mut head).await?;
             std::io::Result::Ok(head)
         };
-        matches!(timeout(Duration::from_millis(500), ask).await, Ok(Ok(head)) if head.ends_with(b"200"))
+        matches!(timeout(Duration::from_millis(500), request).await, Ok(Ok(head)) if head.ends_with(b"200"))
     }
 
-    fn signal(&self, node: usize, signal: Signal) {
-        self.measure(node);
-        if let Some(life) = &*self.0.places[node].life.borrow() {
-            life.asked.set(true);
-            let _ = kill(Pid::from_raw(life.pid), signal);
+    /// Sends a signal on which the process is expected to exit.
+    fn signal_expected_exit(&self, node: usize, signal: Signal) {
+        self.record_usage(node);
+        if let Some(process) = &*self.0.slots[node].process.borrow() {
+            process.exit_expected.set(true);
+            let _ = kill(Pid::from_raw(process.pid), signal);
         }
     }
 
-    /// A planned stop: the front sends nothing more there.
+    /// A planned stop: the front end sends no new commands to the node.
     pub fn stop(&self, node: usize) {
-        let place = &self.0.places[node];
-        place.in_front.set(false);
-        let stress = self.0.stage.scenario.stress.clone().unwrap_or_default();
+        let slot = &self.0.slots[node];
+        slot.in_rotation.set(false);
+        let stress = self.0.harness.scenario.stress.clone().unwrap_or_default();
         if stress.signal_series {
-            self.just_signal(node, Signal::SIGHUP);
-            self.just_signal(node, Signal::SIGHUP);
+            self.send_signal(node, Signal::SIGHUP);
+            self.send_signal(node, Signal::SIGHUP);
         }
-        self.signal(node, Signal::SIGTERM);
-        place.stopping.set(true);
+        self.signal_expected_exit(node, Signal::SIGTERM);
+        slot.is_stopping.set(true);
         if stress.signal_series {
-            let crew = self.clone();
+            let supervisor = self.clone();
             spawn_local(async move {
                 for signal in [Signal::SIGHUP, Signal::SIGTERM, Signal::SIGHUP] {
-                    sleep(BETWEEN_SIGNALS).await;
-                    crew.signal_while_stopping(node, signal);
+                    sleep(SIGNAL_INTERVAL).await;
+                    supervisor.signal_while_stopping(node, signal);
                 }
             });
         }
         if stress.used_until_kill {
-            let (crew, life) = (self.clone(), place.lives.get());
+            let (supervisor, start_count) = (self.clone(), slot.start_count.get());
             spawn_local(async move {
-                sleep(crew.longest_limit().min(KILL_WAITS_FOR) + KILL_AFTER).await;
-                if crew.0.places[node].lives.get() == life {
-                    crew.signal_while_stopping(node, Signal::SIGKILL);
+                sleep(supervisor.longest_time_limit().min(MAX_LIMIT_BEFORE_KILL) + KILL_DELAY).await;
+                if supervisor.0.slots[node].start_count.get() == start_count {
+                    supervisor.signal_while_stopping(node, Signal::SIGKILL);
                 }
             });
         }
     }
 
-    /// Gives a node that serves a configuration with another address of discovery.
+    /// Reloads the configuration of a serving node with another address of discovery.
     pub fn move_discovery(&self, node: usize) -> Result<(), String> {
-        let place = &self.0.places[node];
-        if !place.in_front.get() || place.started.get().elapsed() < FIRST_SIGNAL {
+        let slot = &self.0.slots[node];
+        if !slot.in_rotation.get() || slot.started_at.get().elapsed() < MIN_AGE_FOR_SIGNALS {
             return Ok(());
         }
-        let door = discovery::start(&self.0.stage, node)?;
-        let failed = |e: std::io::Error| format!("{}: {e}", place.config.display());
-        let text = std::fs::read_to_string(&place.config).map_err(failed)?;
+        let endpoint = discovery::start_endpoint(&self.0.harness, node)?;
+        let with_path = |e: std::io::Error| format!("{}: {e}", slot.config_path.display());
+        let text = std::fs::read_to_string(&slot.config_path).map_err(with_path)?;
         let mut config: serde_json::Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
-        config["discovery"] = format!("127.0.0.1:{}", door.port).into();
-        std::fs::write(&place.config, config.to_string()).map_err(failed)?;
-        self.just_signal(node, Signal::SIGHUP);
-        place.discovery.replace(door);
-        let (crew, life) = (self.clone(), place.lives.get());
+        config["discovery"] = format!("127.0.0.1:{}", endpoint.port).into();
+        std::fs::write(&slot.config_path, config.to_string()).map_err(with_path)?;
+        self.send_signal(node, Signal::SIGHUP);
+        slot.discovery.replace(endpoint);
+        let (supervisor, start_count) = (self.clone(), slot.start_count.get());
         spawn_local(async move {
-            let reachable = crew.0.stage.list_stays_up(MOVE_COUNTS_AS_TOLD).await;
-            if reachable && crew.0.places[node].lives.get() == life {
-                crew.0.stage.told(node, None);
+            let reachable = supervisor.0.harness.discovery_stays_up(MOVED_LIST_KNOWN_AFTER).await;
+            if reachable && supervisor.0.slots[node].start_count.get() == start_count {
+                supervisor.0.harness.record_list_delivery(node, None);
             }
         });
         Ok(())
     }
 
     fn signal_while_stopping(&self, node: usize, signal: Signal) {
-        if self.0.places[node].stopping.get() {
-            self.just_signal(node, signal);
+        if self.0.slots[node].is_stopping.get() {
+            self.send_signal(node, signal);
         }
     }
 
-    fn longest_limit(&self) -> Duration {
-        let limits = self.0.stage.scenario.profiles.iter().map(|p| p.limit);
+    fn longest_time_limit(&self) -> Duration {
+        let limits = self.0.harness.scenario.profiles.iter().map(|p| p.limit);
         limits.max().unwrap_or_default().duration()
     }
 
-    /// The nodes that were told to stop and have not ended.
-    pub fn stopping(&self) -> Vec<usize> {
-        let places = self.0.places.iter().enumerate();
-        places.filter(|(_, p)| p.stopping.get()).map(|(i, _)| i).collect()
+    /// The nodes that were told to stop and have not exited yet.
+    pub fn stopping_nodes(&self) -> Vec<usize> {
+        let slots = self.0.slots.iter().enumerate();
+        slots.filter(|(_, p)| p.is_stopping.get()).map(|(i, _)| i).collect()
     }
 
-    /// What it has taken until now cannot be asked of it any more.
-    fn excuse(&self, node: usize) {
-        self.0.stage.see(Observation::NodeKilled { node, at: self.0.stage.now() });
+    /// Tells the judges that the commands that the node has accepted so far may remain unanswered.
+    fn excuse_accepted_commands(&self, node: usize) {
+        self.0.harness.observe(Observation::NodeKilled { node, at: self.0.harness.now() });
     }
 
-    /// Stopped in the middle of what it does, and gone on with.
+    /// Pauses a node's process with SIGSTOP.
     pub fn pause(&self, node: usize) {
-        self.just_signal(node, Signal::SIGSTOP);
-        self.excuse(node);
-        self.notice(node);
+        self.send_signal(node, Signal::SIGSTOP);
+        self.excuse_accepted_commands(node);
+        self.remove_from_rotation_after_notice(node);
     }
 
-    pub fn go_on(&self, node: usize) {
-        self.just_signal(node, Signal::SIGCONT);
-        self.excuse(node);
-        let (crew, life) = (self.clone(), self.0.places[node].lives.get());
+    /// Resumes a paused process with SIGCONT; the front end uses it again after its notice time.
+    pub fn resume(&self, node: usize) {
+        self.send_signal(node, Signal::SIGCONT);
+        self.excuse_accepted_commands(node);
+        let (supervisor, start_count) = (self.clone(), self.0.slots[node].start_count.get());
         spawn_local(async move {
-            // What waited at its door for longer than its clients do is not asked for any more.
-            sleep(crew.0.stage.scenario.clients.notice.duration()).await;
-            crew.excuse(node);
-            crew.0.stage.see(Observation::NodeResumed { node });
-            let place = &crew.0.places[node];
-            if place.lives.get() == life && place.life.borrow().is_some() {
-                place.in_front.set(true);
+            // Commands that waited in the kernel's queue for longer than their clients are not expected to be answered.
+            sleep(supervisor.0.harness.scenario.clients.notice.duration()).await;
+            supervisor.excuse_accepted_commands(node);
+            supervisor.0.harness.observe(Observation::NodeResumed { node });
+            let slot = &supervisor.0.slots[node];
+            if slot.start_count.get() == start_count && slot.process.borrow().is_some() {
+                slot.in_rotation.set(true);
             }
         });
     }
 
-    fn just_signal(&self, node: usize, signal: Signal) {
-        if let Some(life) = &*self.0.places[node].life.borrow() {
-            let _ = kill(Pid::from_raw(life.pid), signal);
+    fn send_signal(&self, node: usize, signal: Signal) {
+        if let Some(process) = &*self.0.slots[node].process.borrow() {
+            let _ = kill(Pid::from_raw(process.pid), signal);
         }
     }
 
-    /// Killed outright: the front notices after a while.
+    /// Kills a node; the front end notices after a while.
     pub fn kill(&self, node: usize) {
-        self.signal(node, Signal::SIGKILL);
-        self.excuse(node);
-        self.notice(node);
+        self.signal_expected_exit(node, Signal::SIGKILL);
+        self.excuse_accepted_commands(node);
+        self.remove_from_rotation_after_notice(node);
     }
 
-    /// The front sends nothing more there after a while, unless it has started anew.
-    fn notice(&self, node: usize) {
-        let (crew, life) = (self.clone(), self.0.places[node].lives.get());
+    /// Takes a node out of rotation after the front end's notice time, unless it has been restarted.
+    fn remove_from_rotation_after_notice(&self, node: usize) {
+        let (supervisor, start_count) = (self.clone(), self.0.slots[node].start_count.get());
         spawn_local(async move {
-            sleep(crew.0.stage.scenario.clients.notice.duration()).await;
-            let place = &crew.0.places[node];
-            if place.lives.get() == life {
-                place.in_front.set(false);
+            sleep(supervisor.0.harness.scenario.clients.notice.duration()).await;
+            let slot = &supervisor.0.slots[node];
+            if slot.start_count.get() == start_count {
+                slot.in_rotation.set(false);
             }
         });
     }
 
-    /// Sees to it that a process which was told to end has ended.
-    async fn finish(&self, node: usize) {
-        let life = self.0.places[node].life.borrow_mut().take();
-        let Some(Life { pid, asked, mut ended }) = life else { return };
-        let over = async { while !*ended.borrow_and_update() && ended.changed().await.is_ok() {} };
-        if timeout(self.longest_limit() + STOP, over).await.is_err() {
-            asked.set(true);
-            self.0.stage.see(Observation::NodeCrashed { node, at: self.0.stage.now() });
+    /// Waits until a process that was told to exit has exited; kills it and reports a crash if it does not.
+    async fn wait_for_exit(&self, node: usize) {
+        let process = self.0.slots[node].process.borrow_mut().take();
+        let Some(RunningProcess { pid, exit_expected, mut exited }) = process else { return };
+        let exit = async { while !*exited.borrow_and_update() && exited.changed().await.is_ok() {} };
+        if timeout(self.longest_time_limit() + STOP_TIMEOUT, exit).await.is_err() {
+            exit_expected.set(true);
+            self.0.harness.observe(Observation::NodeCrashed { node, at: self.0.harness.now() });
             let _ = kill(Pid::from_raw(pid), Signal::SIGKILL);
         }
     }
 
-    /// CPU and memory of a process, from what the kernel tells of it.
-    fn measure(&self, node: usize) {
-        let place = &self.0.places[node];
-        let Some(pid) = place.life.borrow().as_ref().map(|l| l.pid) else { return };
+    /// Adds the CPU time and the peak memory of a process, as the kernel reports them, to the node's usage.
+    fn record_usage(&self, node: usize) {
+        let slot = &self.0.slots[node];
+        let Some(pid) = slot.process.borrow().as_ref().map(|process| process.pid) else { return };
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{pid}/{name}")).unwrap_or_default();
-        let nanos = read("schedstat").split_whitespace().next().and_then(|n| n.parse::<f64>().ok());
-        let most = read("status")
+        let cpu_ns = read("schedstat").split_whitespace().next().and_then(|n| n.parse::<f64>().ok());
+        let peak_kb = read("status")
             .lines()
             .find_map(|l| l.strip_prefix("VmHWM:")?.trim().strip_suffix("kB")?.trim().parse::<f64>().ok());
-        let mut seen = place.seen.borrow_mut();
-        seen.cpu_s += nanos.unwrap_or(0.0) / 1e9;
-        seen.memory_mb = seen.memory_mb.max(most.unwrap_or(0.0) / 1024.0);
+        let mut usage = slot.usage.borrow_mut();
+        usage.cpu_s += cpu_ns.unwrap_or(0.0) / 1e9;
+        usage.memory_mb = usage.memory_mb.max(peak_kb.unwrap_or(0.0) / 1024.0);
     }
 
-    /// Stops all nodes, and tells what they took.
-    pub async fn end_all(&self) -> Vec<ProcessUsage> {
-        let nodes = 0..self.0.places.len();
+    /// Stops all nodes and returns their resource usage.
+    pub async fn stop_all(&self) -> Vec<ProcessUsage> {
+        let nodes = 0..self.0.slots.len();
         nodes.clone().for_each(|node| {
-            let stopped = self.0.places[node].life.borrow().as_ref().is_some_and(|l| l.asked.get());
-            if !stopped {
+            let is_stopped = self.0.slots[node]
+                .process
+                .borrow()
+                .as_ref()
+                .is_some_and(|process| process.exit_expected.get());
+            if !is_stopped {
                 self.stop(node);
             }
         });
         for node in nodes {
-            self.finish(node).await;
+            self.wait_for_exit(node).await;
         }
-        self.0.places.iter().map(|p| p.seen.borrow().clone()).collect()
+        self.0.slots.iter().map(|p| p.usage.borrow().clone()).collect()
     }
 }
--- a/crates/rehearsal/src/soak/mod.rs
+++ b/crates/rehearsal/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A soak: worlds drawn from seeds, played around real nodes on loopback, and judged by the rules from what clients,
-//! backends and discovery recorded. The same seed draws the same world.
+//! Soak tests: scenarios generated from seeds, played around real nodes on loopback, and judged by the rules from what clients,
+//! backends and discovery observed. The same seed generates the same scenario.
 
 pub mod generator;
 mod shim;
@@ -11,8 +11,8 @@
 use std::path::Path;
 use std::str::FromStr;
 
-/// As many as one run may take: they last a quarter of a minute each.
-const MOST_SEEDS: u64 = 1000;
+/// The most seeds of one run: each takes about 15 s.
+const MAX_SEEDS: u64 = 1000;
 
 /// The seeds of a soak, from the first to the last.
 #[derive(Clone, Debug, PartialEq)]
@@ -22,20 +22,22 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<SeedRange, String> {
-        let number = |text: &str| text.parse::<u64>().map_err(|_| format!("{text:?} is no seed"));
+        let parse_seed = |text: &str| text.parse::<u64>().map_err(|_| format!("{text:?} is not a seed"));
         let seeds = match text.split_once("..") {
-            None => number(text)?..=number(text)?,
-            Some((first, last)) => number(first)?..=number(last)?,
+            None => parse_seed(text)?..=parse_seed(text)?,
+            Some((first, last)) => parse_seed(first)?..=parse_seed(last)?,
         };
         match seeds.end().checked_sub(*seeds.start()) {
-            None => Err(format!("{text:?} holds no seed: the last is before the first")),
-            Some(more) if more >= MOST_SEEDS => Err(format!("{text:?} are over {MOST_SEEDS} seeds")),
+            None => Err(format!("{text:?} contains no seed: the last is before the first")),
+            Some(difference) if difference >= MAX_SEEDS => {
+                Err(format!("{text:?} is more than {MAX_SEEDS} seeds"))
+            }
             Some(_) => Ok(SeedRange(seeds)),
         }
     }
 }
 
-/// What a soak has come to. A world that could not be judged is counted apart, never as kept.
+/// The result of a soak. A seed whose run could not be judged is counted as inconclusive, never as passed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SoakSummary {
     pub passed: u64,
@@ -49,56 +51,52 @@
         let SoakSummary { passed, failed, inconclusive, commands } = self;
         write!(
             f,
-            "soak: {passed} seeds kept, {failed} broken, {inconclusive} not judged; {commands} commands"
+            "soak: {passed} seeds passed, {failed} failed, {inconclusive} not judged; {commands} commands"
         )
     }
 }
 
-/// Plays each seed's world around that program, and tells a line or more of each.
+/// Plays the scenario of each seed around the program and prints at least one line for each.
 pub fn run(
     seeds: SeedRange,
     program: &Path,
-    logs: Option<&Path>,
-    tell: &mut dyn FnMut(String),
+    log_dir: Option<&Path>,
+    print: &mut dyn FnMut(String),
 ) -> Result<SoakSummary, String> {
     let shim = shim::ShimLibrary::build()?;
-    let mut found = SoakSummary::default();
+    let mut summary = SoakSummary::default();
     for seed in seeds.0 {
-        let scenario = generator::draw(seed);
-        scenario.check().map_err(|(key, why)| format!("seed {seed}: {key}: {why}"))?;
-        let logs = logs.map(|folder| folder.join(seed.to_string()));
-        let variables = shim.environment(scenario.stress.as_ref());
-        let means = NodeProcessOptions {
-            program: program.to_owned(),
-            log_dir: logs,
-            arguments: Vec::new(),
-            environment: variables,
-        };
-        let (played, _) = real::play(&scenario, seed, &means, &mut |_| ())?;
-        found.commands += played.commands;
-        tell(format!("seed {seed}: {}", verdict(&played, &mut found)));
+        let scenario = generator::generate_scenario(seed);
+        scenario.check().map_err(|(key, reason)| format!("seed {seed}: {key}: {reason}"))?;
+        let log_dir = log_dir.map(|dir| dir.join(seed.to_string()));
+        let environment = shim.environment(scenario.stress.as_ref());
+        let options =
+            NodeProcessOptions { program: program.to_owned(), log_dir, arguments: Vec::new(), environment };
+        let (played, _) = real::play(&scenario, seed, &options, &mut |_| ())?;
+        summary.commands += played.commands;
+        print(format!("seed {seed}: {}", record_verdict(&played, &mut summary)));
         if played.rules.any() {
-            tell(format!("  {}", scenario.about));
-            played.rules.cases.iter().for_each(|case| tell(format!("  {case}")));
-            tell(format!("  again: yarrowfront-rehearse soak --seeds {seed} --logs DIR"));
+            print(format!("  {}", scenario.about));
+            played.rules.cases.iter().for_each(|case| print(format!("  {case}")));
+            print(format!("  again: yarrowfront-rehearse soak --seeds {seed} --logs DIR"));
         }
     }
-    Ok(found)
+    Ok(summary)
 }
 
-fn verdict(played: &PlayResult, found: &mut SoakSummary) -> String {
+fn record_verdict(played: &PlayResult, summary: &mut SoakSummary) -> String {
     let rules = &played.rules;
-    if let Some(why) = &played.void {
-        found.inconclusive += 1;
-        return format!("NOT JUDGED: {why}");
+    if let Some(reason) = &played.void {
+        summary.inconclusive += 1;
+        return format!("NOT JUDGED: {reason}");
     }
     if !rules.any() {
-        found.passed += 1;
-        return format!("kept, {} commands, service {:.3}", played.commands, played.service);
+        summary.passed += 1;
+        return format!("passed, {} commands, service {:.3}", played.commands, played.service);
     }
-    found.failed += 1;
+    summary.failed += 1;
     format!(
-        "BROKEN: answers {}, effects {}, drains {}, slow starts {}, crashes {}",
+        "FAILED: answers {}, effects {}, drains {}, slow starts {}, crashes {}",
         rules.answers, rules.effects, rules.drains, rules.pushes, rules.crashes
     )
 }
--- a/crates/rehearsal/tests/real.rs
+++ b/crates/rehearsal/tests/real.rs
@@ -1,4 +1,4 @@
-//! The real clock: the node and faulty ones as processes on loopback.
+//! The rehearsal on the real clock, with the real node and faulty ones as processes on loopback.
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -12,7 +12,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Quiet enough for any machine.
+/// A load that is light enough for any machine.
 const QUIET: &str = r#"
 name = "quiet"
 length = "5s"
@@ -82,16 +82,16 @@
 "#;
 
 fn run(text: &str, program: PathBuf, arguments: &[&str]) -> PlayResult {
-    let scenario = Scenario::parse(text).unwrap_or_else(|(line, why)| panic!("{line}: {why}"));
+    let scenario = Scenario::parse(text).unwrap_or_else(|(line, reason)| panic!("{line}: {reason}"));
     let arguments = arguments.iter().map(|a| a.to_string()).collect();
-    let means = NodeProcessOptions { program, log_dir: None, arguments, environment: Vec::new() };
-    play(&scenario, 7, &means, &mut |_| ()).unwrap_or_else(|why| panic!("{why}")).0
+    let options = NodeProcessOptions { program, log_dir: None, arguments, environment: Vec::new() };
+    play(&scenario, 7, &options, &mut |_| ()).unwrap_or_else(|reason| panic!("{reason}")).0
 }
 
-/// Several troubles over each other around real nodes break no rule, and every command comes to its end.
+/// Real nodes break no rule in overlapping troubles, and every command comes to an end.
 #[test]
-fn the_node_in_overlapping_troubles() {
-    let _alone = one_at_a_time();
+fn the_node_breaks_no_rule_in_overlapping_troubles() {
+    let _lock = one_at_a_time();
     let played = run(&format!("{QUIET}{TROUBLES}"), program::node_binary().expect("the node"), &[]);
     assert!(!played.rules.any(), "{:?}", played.rules);
     let ended: u64 =
@@ -103,29 +103,29 @@
     assert_eq!(played.processes.len(), 2);
 }
 
-/// The same scenario by each of these faulty nodes, each in its own thread: they wait more than they work.
-fn by_faulty(text: &str, faults: impl Iterator<Item = &'static str>) -> Vec<PlayResult> {
-    let _alone = one_at_a_time();
+/// Plays the scenario with each of these faulty nodes, each in its own thread, as they are mostly waiting.
+fn run_faulty_nodes(text: &str, faults: impl Iterator<Item = &'static str>) -> Vec<PlayResult> {
+    let _lock = one_at_a_time();
     let faulty = PathBuf::from(env!("CARGO_BIN_EXE_yarrowfront-faulty"));
     std::thread::scope(|scope| {
-        let start = |fault: &'static str| {
+        let start_run = |fault: &'static str| {
             let faulty = faulty.clone();
             scope.spawn(move || run(text, faulty, &[fault]))
         };
-        let started: Vec<_> = faults.map(start).collect();
+        let started: Vec<_> = faults.map(start_run).collect();
         started.into_iter().map(|s| s.join().expect("played")).collect()
     })
 }
 
-/// Plays of many processes go one after the other: a machine that is too slow for them all breaks rules of its own.
+/// Runs with many processes go one after the other: on an overloaded machine rules would be broken for lack of CPU.
 fn one_at_a_time() -> std::sync::MutexGuard<'static, ()> {
     static ONE: std::sync::Mutex<()> = std::sync::Mutex::new(());
     ONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Each fault of a node, and which rule the judges find broken: answers, effects, crashes.
+/// Each fault of a node, and the rules that the judges must find broken: answers, effects, crashes.
 #[test]
-fn faulty_nodes_are_found_out() {
+fn the_judges_detect_faulty_nodes() {
     let text = QUIET.replace("nodes = 2", "nodes = 1").replace("length = \"5s\"", "length = \"4s\"");
     let cases = [
         ("none", [false, false, false]),
@@ -135,21 +135,22 @@
         ("swap", [true, false, false]),
         ("twice", [false, true, false]),
     ];
-    for ((fault, wanted), played) in cases.iter().zip(by_faulty(&text, cases.iter().map(|(fault, _)| *fault)))
+    for ((fault, expected), played) in
+        cases.iter().zip(run_faulty_nodes(&text, cases.iter().map(|(fault, _)| *fault)))
     {
-        let r = &played.rules;
-        let found = [r.answers, r.effects, r.crashes].map(|n| n > 0);
-        // Some clients leave: what a crash takes along is excused, and counted as the crash alone.
-        assert_eq!(&found, wanted, "{fault}: {r:?}");
+        let rules = &played.rules;
+        let found = [rules.answers, rules.effects, rules.crashes].map(|n| n > 0);
+        // Some clients leave. The commands that a crash loses are excused: only the crash itself is counted.
+        assert_eq!(&found, expected, "{fault}: {rules:?}");
     }
 }
 
 const VIEW: &str = "view = { agree = \"5s\" }\n";
 
-/// Each fault of a node's view, and which judge finds it: members called dead who could be reached, portions of more than
-/// one, views that do not agree or go back.
+/// Each fault of a node's fleet view, and the rule that the judges must find broken: reachable members declared dead, shares
+/// that add up to more than one, views that do not agree or go backwards.
 #[test]
-fn faulty_views_are_found_out() {
+fn the_judges_detect_faulty_views() {
     let text = VIEW.to_owned() + &QUIET.replace("length = \"5s\"", "length = \"9s\"");
     let cases = [
         ("none", [false, false, false]),
@@ -158,19 +159,24 @@
         ("hermit", [false, false, true]),
         ("backwards", [false, false, true]),
     ];
-    for ((fault, wanted), played) in cases.iter().zip(by_faulty(&text, cases.iter().map(|(fault, _)| *fault)))
+    for ((fault, expected), played) in
+        cases.iter().zip(run_faulty_nodes(&text, cases.iter().map(|(fault, _)| *fault)))
     {
-        let r = &played.rules;
-        assert_eq!(&[r.deaths, r.portions, r.views].map(|n| n > 0), wanted, "{fault}: {r:?}");
-        assert_eq!(r.answers + r.effects, 0, "{fault}: {r:?}");
+        let rules = &played.rules;
+        assert_eq!(
+            &[rules.deaths, rules.portions, rules.views].map(|n| n > 0),
+            expected,
+            "{fault}: {rules:?}"
+        );
+        assert_eq!(rules.answers + rules.effects, 0, "{fault}: {rules:?}");
     }
 }
 
-/// Real nodes whose ways and processes have faults, told in the scenario: no rule is broken, their views agree with what is
-/// so some seconds after the last fault, and what was played is written down.
+/// The scenario has faults of the links and processes of real nodes: no rule is broken, their views are correct some seconds
+/// after the last fault, and the result records the faults.
 #[test]
-fn faults_on_ways_and_processes() {
-    let _alone = one_at_a_time();
+fn real_nodes_survive_faults_of_links_and_processes() {
+    let _lock = one_at_a_time();
     let faults = "faults = [{ at = \"2s\", what = \"one-way n0 n1\" }, { at = \"2s\", what = \"late n2 20\" }, \
          { at = \"3s\", what = \"kill n3\" }, { at = \"4s\", what = \"stop n2\" }, { at = \"6s\", what = \"cont n2\" }, \
          { at = \"6500ms\", what = \"start n3\" }, { at = \"7s\", what = \"heal\" }]\nzones = 2\n";
@@ -183,8 +189,8 @@
     assert!(played.sites.len() == 2 && played.sites.iter().all(|served| *served > 0.6), "{:?}", played.sites);
 }
 
-/// Three sites of two nodes each: one is lost with its nodes and its backends while a fifth more is asked for than what is
-/// left can do.
+/// Three sites of two nodes each: one is lost with its nodes and its backends, while the demand is a fifth above the remaining
+/// capacity.
 const SITES: &str = r#"
 name = "site"
 length = "22s"
@@ -233,33 +239,34 @@
     };
     let all =
         (0..3).map(|zone| demand(zone, "book", 17.0) + &demand(zone, "count", 25.0)).collect::<String>();
-    let ways = "[[ways]]\nfrom = \"zone-0\"\nto = \"zone-1\"\nms = 1.0\n[[ways]]\nfrom = \"zone-0\"\nto = \"zone-2\"\nms = 1.0\n\
+    let links = "[[ways]]\nfrom = \"zone-0\"\nto = \"zone-1\"\nms = 1.0\n[[ways]]\nfrom = \"zone-0\"\nto = \"zone-2\"\nms = 1.0\n\
         [[ways]]\nfrom = \"zone-1\"\nto = \"zone-2\"\nms = 1.0\n";
     let sites =
-        (0..3).map(site).collect::<String>() + &profile("book", 5.0) + &profile("count", 1.0) + &all + ways;
+        (0..3).map(site).collect::<String>() + &profile("book", 5.0) + &profile("count", 1.0) + &all + links;
     format!("site_plan = '''\nheadroom = 0.0\nown = 0.5\n{sites}'''\n")
 }
 
-/// A lost site with the plan and without: the same faults, no rule broken either way, what is dear is served at least as well
-/// with it, what is cheap is turned back in its place, and the payoff is no lower than without. By the mean of three plays
-/// each: of six, the differences had a deviation of 0.026 and 0.022 between two plays of one text.
+/// A site loss with and without a plan, with the same faults: no rule is broken either way. With the plan the profile with the
+/// higher payoff is served at least as well, the cheaper one is rejected in its place, and the payoff is no lower. The test
+/// compares the means of three plays each: in six plays, the differences between two plays of the same scenario had standard
+/// deviations of 0.026 and 0.022.
 #[test]
-fn a_lost_site_with_a_plan_and_without() {
-    let _alone = one_at_a_time();
+fn a_site_plan_protects_the_profile_with_the_higher_payoff() {
+    let _lock = one_at_a_time();
     let program = program::node_binary().expect("the node");
-    // What a site's backends do.
+    // The capacity of a site's backends.
     let texts: [&'static str; 2] = [SITES, (site_plan(52.0) + SITES).leak()];
-    let round = |_| {
+    let play_both = |_| {
         std::thread::scope(|scope| {
-            let start = |text: &'static str| {
+            let start_run = |text: &'static str| {
                 let program = program.clone();
                 scope.spawn(move || run(text, program, &[]))
             };
-            let started = texts.map(start);
+            let started = texts.map(start_run);
             started.map(|s| s.join().expect("played"))
         })
     };
-    let played: Vec<[PlayResult; 2]> = (0..3).map(round).collect();
+    let played: Vec<[PlayResult; 2]> = (0..3).map(play_both).collect();
     let served = |played: &PlayResult, name: &str| {
         let profile = &played.latency[name];
         profile.in_time as f64 / profile.asked as f64
@@ -276,113 +283,113 @@
     let mean = |of: usize, value: &dyn Fn(&PlayResult) -> f64| {
         played.iter().map(|round| value(&round[of])).sum::<f64>() / played.len() as f64
     };
-    let [without, with] = [0, 1].map(|of| mean(of, &|played| played.service));
-    assert!(with >= without - 0.06, "{with} {without}");
-    let [dear_without, dear] = [0, 1].map(|of| mean(of, &|played| served(played, "book")));
-    assert!(dear >= dear_without - 0.03, "{dear} {dear_without}");
-    let cheap = mean(1, &|played| served(played, "count"));
-    assert!(dear > cheap + 0.05, "what is cheap is refused first: {dear} {cheap}");
+    let [service_without, service_with] = [0, 1].map(|of| mean(of, &|played| played.service));
+    assert!(service_with >= service_without - 0.06, "{service_with} {service_without}");
+    let [high_without, high_with] = [0, 1].map(|of| mean(of, &|played| served(played, "book")));
+    assert!(high_with >= high_without - 0.03, "{high_with} {high_without}");
+    let low_with = mean(1, &|played| served(played, "count"));
+    assert!(high_with > low_with + 0.05, "the cheaper profile is rejected first: {high_with} {low_with}");
 }
 
-/// Of faults that have nothing to do with what broke none is left, and the scenario that is printed can be read.
+/// Shrinking removes faults that have nothing to do with the broken rule, and the printed scenario can be parsed.
 #[test]
-fn what_is_not_to_blame_is_left_out() {
+fn shrinking_removes_unrelated_faults() {
     let faulty = PathBuf::from(env!("CARGO_BIN_EXE_yarrowfront-faulty"));
     let faults =
         "faults = [{ at = \"1s\", what = \"one-way n0 n1\" }, { at = \"1500ms\", what = \"heal\" }]\n";
     let text = VIEW.to_owned() + faults + &QUIET.replace("length = \"5s\"", "length = \"3s\"");
-    let scenario = Scenario::parse(&text).unwrap_or_else(|(line, why)| panic!("{line}: {why}"));
-    let means = NodeProcessOptions {
+    let scenario = Scenario::parse(&text).unwrap_or_else(|(line, reason)| panic!("{line}: {reason}"));
+    let options = NodeProcessOptions {
         program: faulty,
         log_dir: None,
         arguments: vec!["greedy".to_owned()],
         environment: Vec::new(),
     };
-    let small = shrink_faults(&scenario, 7, &means, 3).unwrap_or_else(|why| panic!("{why}"));
-    assert_eq!(small.faults.len(), 0);
-    let again = toml::to_string(&small).expect("a text");
+    let shrunk = shrink_faults(&scenario, 7, &options, 3).unwrap_or_else(|reason| panic!("{reason}"));
+    assert_eq!(shrunk.faults.len(), 0);
+    let again = toml::to_string(&shrunk).expect("a text");
     assert!(Scenario::parse(&again).is_ok(), "{again}");
 }
 
-/// Bad faults are told with their line; and what takes processes is not played without.
+/// Invalid faults are reported with their line, and a scenario that needs processes is not played on the virtual clock.
 #[test]
-fn bad_faults() {
+fn invalid_faults_are_reported() {
     let cases = [
         ("{ at = \"1s\", what = \"melt n0\" }", "no fault"),
         ("{ at = \"1s\", what = \"kill n7\" }", "nobody here"),
         ("{ at = \"1s\", what = \"kill b0\" }", "only nodes"),
         ("{ at = \"90s\", what = \"heal\" }", "after the scenario's end"),
     ];
-    for (fault, wanted) in cases {
+    for (fault, expected) in cases {
         let text = format!("faults = [{fault}]\n{QUIET}");
-        let (line, why) = Scenario::parse(&text).err().unwrap_or_else(|| panic!("{fault}"));
-        assert!(line == 1 && why.contains(wanted), "{fault}: {line}: {why}");
+        let (line, reason) = Scenario::parse(&text).err().unwrap_or_else(|| panic!("{fault}"));
+        assert!(line == 1 && reason.contains(expected), "{fault}: {line}: {reason}");
     }
     let text = VIEW.replace("agree", "sure = \"1s\", agree") + QUIET;
-    assert!(Scenario::parse(&text).err().is_some_and(|(_, why)| why.contains("four times")));
+    assert!(Scenario::parse(&text).err().is_some_and(|(_, reason)| reason.contains("four times")));
     let scenario = Scenario::parse(&(VIEW.to_owned() + QUIET)).expect("good");
     let make = |birth: &rehearsal::policy::NodeContext| rehearsal::policy::create("yarrowfront", birth);
-    let why = rehearsal::virtual_clock::play(&scenario, 1, "yarrowfront", &make, &mut |_| ()).err();
-    assert!(why.is_some_and(|why| why.contains("--clock real")));
+    let reason = rehearsal::virtual_clock::play(&scenario, 1, "yarrowfront", &make, &mut |_| ()).err();
+    assert!(reason.is_some_and(|reason| reason.contains("--clock real")));
 }
 
-/// A program that does not serve at all is an error in words, and nothing is left behind.
+/// A node program that cannot be started is reported by its path.
 #[test]
-fn a_node_that_does_not_start() {
+fn a_missing_node_program_is_reported() {
     let scenario = Scenario::parse(QUIET).expect("good");
-    let gone = NodeProcessOptions {
+    let options = NodeProcessOptions {
         program: "/no/such/node".into(),
         log_dir: None,
         arguments: Vec::new(),
         environment: Vec::new(),
     };
-    let why = play(&scenario, 1, &gone, &mut |_| ()).err().expect("no node");
-    assert!(why.contains("/no/such/node"), "{why}");
+    let reason = play(&scenario, 1, &options, &mut |_| ()).err().expect("no node");
+    assert!(reason.contains("/no/such/node"), "{reason}");
 }
 
-/// Processes whose environment names this folder: the nodes of one rehearsal.
-fn nodes_of(folder: &std::path::Path) -> usize {
-    let name = folder.display().to_string();
+/// The number of processes whose environment names this directory: the nodes of one rehearsal.
+fn count_nodes_of(dir: &std::path::Path) -> usize {
+    let name = dir.display().to_string();
     let all = std::fs::read_dir("/proc").expect("processes").flatten();
     all.filter(|process| {
-        let told = std::fs::read(process.path().join("environ")).unwrap_or_default();
-        let told = String::from_utf8_lossy(&told);
-        told.split('\0').any(|v| v.starts_with("ROUTER_CONFIG=") && v.contains(&name))
+        let environment = std::fs::read(process.path().join("environ")).unwrap_or_default();
+        let environment = String::from_utf8_lossy(&environment);
+        environment.split('\0').any(|v| v.starts_with("ROUTER_CONFIG=") && v.contains(&name))
     })
     .count()
 }
 
-/// Ctrl-C and SIGTERM in the middle of a play leave no process behind.
+/// Ctrl-C and SIGTERM during a run leave no process behind.
 #[test]
-fn nothing_is_left_after_a_signal() {
+fn a_signal_leaves_no_process_behind() {
     let node = program::node_binary().expect("the node");
     for signal in [Signal::SIGINT, Signal::SIGTERM] {
-        let folder = tempfile::tempdir().expect("a folder");
-        let scenario = folder.path().join("quiet.toml");
+        let dir = tempfile::tempdir().expect("a directory");
+        let scenario = dir.path().join("quiet.toml");
         std::fs::write(&scenario, QUIET.replace("length = \"5s\"", "length = \"60s\"")).expect("written");
-        let mut tool = Command::new(env!("CARGO_BIN_EXE_yarrowfront-rehearse"))
+        let mut process = Command::new(env!("CARGO_BIN_EXE_yarrowfront-rehearse"))
             .args(["play", "--clock", "real", "--node"])
             .args([&node, &scenario])
-            .env("TMPDIR", folder.path())
+            .env("TMPDIR", dir.path())
             .stderr(Stdio::piped())
             .stdout(Stdio::null())
             .spawn()
             .expect("the tool");
-        let since = Instant::now();
-        while nodes_of(folder.path()) < 2 && since.elapsed() < Duration::from_secs(20) {
+        let start = Instant::now();
+        while count_nodes_of(dir.path()) < 2 && start.elapsed() < Duration::from_secs(20) {
             sleep(Duration::from_millis(20));
         }
-        assert_eq!(nodes_of(folder.path()), 2, "both nodes run");
-        kill(Pid::from_raw(tool.id() as i32), signal).expect("a signal");
-        assert_eq!(tool.wait().expect("it ends").code(), Some(1));
-        let mut said = String::new();
-        tool.stderr.take().expect("words").read_to_string(&mut said).expect("words");
-        assert!(said.contains("stopped by"), "{said}");
-        // The kernel takes its time over processes that were killed.
-        let since = Instant::now();
-        while nodes_of(folder.path()) > 0 && since.elapsed() < Duration::from_secs(5) {
+        assert_eq!(count_nodes_of(dir.path()), 2, "both nodes run");
+        kill(Pid::from_raw(process.id() as i32), signal).expect("a signal");
+        assert_eq!(process.wait().expect("it ends").code(), Some(1));
+        let mut stderr = String::new();
+        process.stderr.take().expect("words").read_to_string(&mut stderr).expect("words");
+        assert!(stderr.contains("stopped by"), "{stderr}");
+        // Killed processes take a moment to disappear.
+        let start = Instant::now();
+        while count_nodes_of(dir.path()) > 0 && start.elapsed() < Duration::from_secs(5) {
             sleep(Duration::from_millis(20));
         }
-        assert_eq!(nodes_of(folder.path()), 0, "{signal}");
+        assert_eq!(count_nodes_of(dir.path()), 0, "{signal}");
     }
 }
