--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -356,9 +356,9 @@
     assert_nothing_left_open(fixture);
 }
 
-/// Brings about a tagged command whose second launch waits for a connection: its first launch fails at one backend, and the
-/// other backend blocks its handshakes. Backends remember tags for less time than the kernel takes to retry a handshake.
-/// `None` if the first launch took longer than its tag is remembered: then there is no second one.
+/// Brings about a command with an idempotency key whose second launch waits for a connection: its first launch fails at one
+/// backend, and the other backend blocks its handshakes. Backends remember keys for less time than the kernel takes to retry a
+/// handshake. `None` if the first launch took longer than the key is remembered: then there is no second one.
 fn try_second_launch() -> Option<(NodeFixture, BlockedBackend, TcpStream)> {
     let fixture = NodeFixture::new(
         0,
@@ -392,10 +392,10 @@
     std::iter::repeat_with(try_second_launch).take(20).flatten().next().expect("a second launch in time")
 }
 
-/// A tagged command may be launched again only while backends remember its tag. If that time is over when the second launch
-/// has its connection, it is not written. The failure: it was written, and the command ran twice.
+/// A command with an idempotency key may be launched again only while backends remember the key. If that time is over when the
+/// second launch has its connection, it is not written. The failure: it was written, and the command ran twice.
 #[test]
-fn a_second_launch_is_not_written_after_its_tag_expires() {
+fn a_second_launch_is_not_written_after_its_key_expires() {
     let (fixture, blocked, mut stream) = fixture_with_waiting_second_launch();
     blocked.accept_connections(&fixture);
     assert_eq!(read_message(&mut stream).unwrap_or_default().status(), 503);
@@ -404,9 +404,9 @@
     assert_nothing_left_open(fixture);
 }
 
-/// A waiting command that may no longer be written is answered at that moment: when its tag expires, and when its own time
-/// limit passes. The failure: on the expiry of its tag it was answered only when the connection was established or given up,
-/// eight seconds later.
+/// A waiting command that may no longer be written is answered at that moment: when its idempotency key expires, and when its
+/// own time limit passes. The failure: on the expiry of the key it was answered only when the connection was established or
+/// given up, eight seconds later.
 #[test]
 fn a_waiting_command_is_rejected_as_soon_as_it_may_not_be_written() {
     let assert_rejected_soon = |what: &str, stream: &mut TcpStream, since: Instant| {
@@ -414,12 +414,12 @@
         assert!(since.elapsed() < Duration::from_secs(4), "{what}: {:?}", since.elapsed());
     };
     let (_fixture, _blocked, mut stream) = fixture_with_waiting_second_launch();
-    assert_rejected_soon("the tag's time", &mut stream, Instant::now());
+    assert_rejected_soon("the lifetime of the key", &mut stream, Instant::now());
     let (fixture, blocked) = fixture_with_blocked_backend();
     let (mut stream, since) = (fixture.connect(), Instant::now());
     stream.write_all(command_request_within("pay", "short", 700).as_bytes()).expect("written");
     wait_until("the wait for a connection", || blocked.has_pending_connect());
-    assert_rejected_soon("its own time", &mut stream, since);
+    assert_rejected_soon("its own time limit", &mut stream, since);
     assert!(fixture.launched_bodies().is_empty());
     drop(stream);
     assert_nothing_left_open(fixture);
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -230,8 +230,8 @@
     old.wait().expect("an end");
 }
 
-/// The state that a new process receives over the upgrade socket. Another version, a partial message and noise get no state, and
-/// the process keeps serving. A backend back from maintenance is reported as started at that time, whatever the list says:
+/// The state that a new process receives over the upgrade socket. Another version, a partial message and noise get no state,
+/// and the process keeps serving. A backend back from maintenance is reported as started at that time, whatever the list says:
 /// otherwise a new process would consider it warm.
 #[test]
 fn a_new_process_receives_the_present_state() {
--- a/crates/rehearsal/src/real/clients.rs
+++ b/crates/rehearsal/src/real/clients.rs
@@ -33,6 +33,7 @@
 
 type ConnectionSender = SendRequest<Full<Bytes>>;
 
+/// All clients of a run and their connections to the nodes.
 pub struct ClientPool {
     harness: Rc<Harness>,
     supervisor: NodeSupervisor,
@@ -40,6 +41,7 @@
     rng: RefCell<SeededRng>,
     /// Idle connections by node, the most recently used last.
     idle_connections: RefCell<Vec<Vec<ConnectionSender>>>,
+    /// The number of the latest attempt, which is also its request id.
     attempt_count: Cell<u64>,
 }
 
@@ -71,6 +73,7 @@
         lateness
     }
 
+    /// Runs one command with all its retries.
     async fn run_command(self: Rc<Self>, arrival: Arrival) {
         let mut attempt_number = 0;
         let outcome = loop {
@@ -151,6 +154,7 @@
         Some(outcome)
     }
 
+    /// Sends an attempt and reads its answer: the status, the retry time and the body.
     async fn exchange(
         &self,
         first_node: usize,
@@ -158,7 +162,7 @@
         arrival: &Arrival,
         is_retry: bool,
     ) -> Result<(StatusCode, Option<Micros>, Bytes), AttemptOutcome> {
-        let (mut is_received, mut node) = (false, first_node);
+        let (mut is_reported, mut node) = (false, first_node);
         // If the node closes an idle connection while the command is sent, the attempt is repeated on a new one.
         for use_new_connection in [false, true] {
             let idle_sender = if use_new_connection { None } else { self.take_idle_connection(node) };
@@ -173,17 +177,17 @@
                     .copied()
                     .ok_or(AttemptOutcome::NotConnected)?;
                 self.harness.move_attempt(attempt, node);
-                is_received = false;
+                is_reported = false;
             }
             let mut sender = match idle_sender {
                 Some(sender) => sender,
-                None => self.connect(node).await.ok_or(if is_received {
+                None => self.connect(node).await.ok_or(if is_reported {
                     AttemptOutcome::Lost
                 } else {
                     AttemptOutcome::NotConnected
                 })?,
             };
-            if !std::mem::replace(&mut is_received, true) {
+            if !std::mem::replace(&mut is_reported, true) {
                 let (command, profile) = (arrival.number, arrival.profile);
                 let limit = self.harness.scenario.profiles[usize::from(profile)].limit.span();
                 let at = self.harness.now();
@@ -250,10 +254,10 @@
 
     fn request(&self, attempt: u64, arrival: &Arrival, is_retry: bool) -> Request<Full<Bytes>> {
         let profile = &self.harness.scenario.profiles[usize::from(arrival.profile)];
-        let is_read = profile.effect == CommandEffect::Repeatable;
-        let body = if is_read { Bytes::new() } else { Bytes::from(format!("command {}", arrival.number)) };
+        let is_get = profile.effect == CommandEffect::Repeatable;
+        let body = if is_get { Bytes::new() } else { Bytes::from(format!("command {}", arrival.number)) };
         let mut request = Request::new(Full::new(body));
-        *request.method_mut() = if is_read { Method::GET } else { Method::POST };
+        *request.method_mut() = if is_get { Method::GET } else { Method::POST };
         *request.uri_mut() = hyper::Uri::from_static("/api");
         let mut set_header = |name: &'static str, value: String| {
             if let Ok(value) = value.parse() {
--- a/crates/rehearsal/src/real/harness.rs
+++ b/crates/rehearsal/src/real/harness.rs
@@ -70,25 +70,29 @@
 /// A message of a watch: when it arrives at the node, the backend that it concerns (`None`: all), and its text.
 pub type ListMessage = (Instant, Option<usize>, String);
 
-struct Inner {
+struct HarnessState {
     fleet: Fleet,
     judges: Option<Judges>,
     launches: HashMap<u64, PendingLaunch>,
     attempts: HashMap<u64, AttemptInfo>,
-    next_launch: u64,
+    last_launch_key: u64,
+    /// Decides which answers the network loses and how long messages take.
     network_rng: SeededRng,
+    /// The open watch of each node.
     watchers: Vec<Option<mpsc::UnboundedSender<ListMessage>>>,
     backend_events: Vec<BackendEvent>,
     controls: Vec<Rc<BackendControl>>,
     error: Option<String>,
 }
 
+/// The shared state of a run.
 pub struct Harness {
     pub scenario: Rc<Scenario>,
     /// An instant, and the machine's clock at that instant in microseconds since 1970.
     clock_base: (Instant, u64),
+    /// When the scenario's clock started.
     scenario_start: Cell<Timestamp>,
-    inner: RefCell<Inner>,
+    inner: RefCell<HarnessState>,
     pub process_links: ProcessLinks,
     /// Until when discovery is busy with the calls that it has accepted.
     discovery_busy_until: Cell<Instant>,
@@ -104,12 +108,12 @@
         let fleet = Fleet::new(scenario, seed, now);
         let count = fleet.backends.len();
         let judges = Some(Judges::new(scenario, now, count));
-        let inner = Inner {
+        let inner = HarnessState {
             fleet,
             judges,
             launches: HashMap::new(),
             attempts: HashMap::new(),
-            next_launch: 0,
+            last_launch_key: 0,
             network_rng: SeededRng::new(seed, RngStream::Network),
             watchers: vec![None; scenario.nodes as usize],
             backend_events: Vec::new(),
@@ -136,14 +140,17 @@
         self.inner.borrow_mut().judges = Some(Judges::new(&self.scenario, now, count));
     }
 
+    /// The present time of the run, on a clock that never goes backwards.
     pub fn now(&self) -> Timestamp {
         Timestamp(self.clock_base.1 + self.clock_base.0.elapsed().as_micros() as u64)
     }
 
+    /// Converts a timestamp of the run for tokio's timers.
     pub fn to_instant(&self, at: Timestamp) -> Instant {
         self.clock_base.0 + Duration::from_micros(at.since(Timestamp(self.clock_base.1)).0)
     }
 
+    /// The timestamp of a time of the scenario.
     pub fn at_scenario_time(&self, at: Time) -> Timestamp {
         self.scenario_start.get() + at.span()
     }
@@ -157,6 +164,7 @@
         self.inner.borrow().fleet.backends.len()
     }
 
+    /// The control of a backend.
     pub fn control(&self, backend: usize) -> Rc<BackendControl> {
         self.inner.borrow().controls[backend].clone()
     }
@@ -165,6 +173,7 @@
         self.inner.borrow().fleet.backends[backend].is_up
     }
 
+    /// Whether the backend is cut off from the network.
     pub fn is_cut_off(&self, backend: usize) -> bool {
         self.inner.borrow().fleet.backends[backend].is_cut_off
     }
@@ -179,10 +188,12 @@
         self.inner.borrow_mut().error.get_or_insert(reason);
     }
 
+    /// The first error of the rehearsal itself, if any.
     pub fn error(&self) -> Option<String> {
         self.inner.borrow().error.clone()
     }
 
+    /// Passes an observation to the judges.
     pub fn observe(&self, observation: Observation) {
         if let Some(judges) = &mut self.inner.borrow_mut().judges {
             judges.observe(observation);
@@ -205,6 +216,7 @@
 
     // Launches at backends.
 
+    /// Records an attempt before it is sent.
     pub fn register_attempt(&self, attempt: u64, info: AttemptInfo) {
         self.inner.borrow_mut().attempts.insert(attempt, info);
     }
@@ -216,6 +228,7 @@
         }
     }
 
+    /// What its client has recorded of an attempt.
     pub fn attempt_info(&self, attempt: u64) -> Option<AttemptInfo> {
         self.inner.borrow().attempts.get(&attempt).copied()
     }
@@ -234,8 +247,8 @@
         let mut actions = Vec::new();
         let key = {
             let inner = &mut *self.inner.borrow_mut();
-            inner.next_launch += 1;
-            let key = inner.next_launch;
+            inner.last_launch_key += 1;
+            let key = inner.last_launch_key;
             let scope = inner.fleet.scope_id(profile.scope, backend);
             let idempotency_key =
                 IdempotencyKey { scope, key: info.command, retention: profile.memory.span() };
@@ -295,6 +308,7 @@
         self.control(backend).next_change_updated.notify_one();
     }
 
+    /// Advances a backend's model to the present and handles what has happened there.
     pub fn advance_backend(&self, backend: usize) {
         {
             let inner = &mut *self.inner.borrow_mut();
@@ -305,6 +319,7 @@
         self.process_backend_events();
     }
 
+    /// Reports started work to the judges and completes finished launches.
     fn process_backend_events(&self) {
         let inner = &mut *self.inner.borrow_mut();
         for event in inner.backend_events.drain(..) {
@@ -339,10 +354,12 @@
         }
     }
 
+    /// When the backend's model changes next by itself.
     pub fn next_backend_change(&self, backend: usize) -> Option<Timestamp> {
         self.inner.borrow().fleet.backends[backend].next_change()
     }
 
+    /// Adds the work of a new connection or of a probe to a backend.
     pub fn add_overhead(&self, backend: usize, is_new_connection: bool) {
         self.advance_backend(backend);
         let model = &mut self.inner.borrow_mut().fleet.backends[backend];
@@ -365,6 +382,7 @@
 
     // Troubles.
 
+    /// Applies one step of a trouble.
     pub fn apply_step(self: &Rc<Self>, step: Step) {
         let mut actions = Vec::new();
         if let Step::Hang(backend, _)
@@ -386,6 +404,7 @@
         self.run_driver_actions(actions);
     }
 
+    /// Carries out what the fleet model requires of its driver.
     fn run_driver_actions(self: &Rc<Self>, actions: Vec<DriverAction>) {
         for action in actions {
             match action {
@@ -418,6 +437,7 @@
         }
     }
 
+    /// Reports a backend that has started cold, and a new one to the task that opens listeners.
     fn on_cold_start(self: &Rc<Self>, backend: usize) {
         let is_new = {
             let inner = &mut *self.inner.borrow_mut();
@@ -441,6 +461,7 @@
 
     // Discovery.
 
+    /// Whether discovery answers calls.
     pub fn discovery_is_up(&self) -> bool {
         self.inner.borrow().fleet.discovery_is_up
     }
@@ -458,7 +479,7 @@
     }
 
     /// A list entry as this node receives it: each node reaches a backend over its own link.
-    fn list_entry(&self, inner: &Inner, node: usize, entry: &ListEntry) -> Value {
+    fn list_entry(&self, inner: &HarnessState, node: usize, entry: &ListEntry) -> Value {
         let (backend, scenario) = (entry.backend.0 as usize, &self.scenario);
         let own_port = inner.controls[backend].port.get();
         let port = self
@@ -546,6 +567,7 @@
         });
     }
 
+    /// Announces a backend's entry to all watches if it has changed.
     fn publish_entry(self: &Rc<Self>, backend: usize) {
         let watches_end = self.scenario.stress.as_ref().is_some_and(|stress| stress.watches_end);
         let is_hidden = {
--- a/crates/rehearsal/src/real/network.rs
+++ b/crates/rehearsal/src/real/network.rs
@@ -31,8 +31,8 @@
     SocketAddr::new(LOOPBACK, port)
 }
 
-/// The links of a run, one for each pair of processes and port. A scenario without faults has none: processes connect
-/// directly.
+/// The links of a run, one for each pair of processes and port. A scenario that could be played without processes has none:
+/// its processes connect directly.
 pub struct ProcessLinks {
     links: Option<Links>,
     relay_ports: std::cell::RefCell<HashMap<(String, String, u16), u16>>,
--- a/crates/rehearsal/src/real/nodes.rs
+++ b/crates/rehearsal/src/real/nodes.rs
@@ -84,6 +84,7 @@
     slots: Vec<NodeSlot>,
 }
 
+/// Starts, signals and watches the node processes of a run.
 #[derive(Clone)]
 pub struct NodeSupervisor(Rc<SupervisorState>);
 
--- a/crates/rehearsal/tests/real.rs
+++ b/crates/rehearsal/tests/real.rs
@@ -383,7 +383,7 @@
         kill(Pid::from_raw(process.id() as i32), signal).expect("a signal");
         assert_eq!(process.wait().expect("it ends").code(), Some(1));
         let mut stderr = String::new();
-        process.stderr.take().expect("words").read_to_string(&mut stderr).expect("words");
+        process.stderr.take().expect("its stderr").read_to_string(&mut stderr).expect("UTF-8");
         assert!(stderr.contains("stopped by"), "{stderr}");
         // Killed processes take a moment to disappear.
         let start = Instant::now();
