--- a/crates/node/tests/list_calls.rs
+++ b/crates/node/tests/list_calls.rs
@@ -52,17 +52,17 @@
         discovery
     }
 
-    fn with<T>(&self, update: impl FnOnce(&mut State) -> T) -> T {
+    fn with_state<T>(&self, update: impl FnOnce(&mut State) -> T) -> T {
         update(&mut self.state.lock().expect("the discovery's state"))
     }
 
     fn call_count(&self) -> usize {
-        self.with(|state| state.calls.len())
+        self.with_state(|state| state.calls.len())
     }
 
     /// Resets the connection of every watch and serves this list from now on.
     fn reset_watches(&self, list: Value) {
-        self.with(|state| {
+        self.with_state(|state| {
             state.list = list;
             for watch in state.watches.drain(..) {
                 set_socket_linger(&watch, Some(Duration::ZERO)).expect("a reset on close");
@@ -72,7 +72,7 @@
 
     /// The intervals between the calls, starting with this one.
     fn intervals_from(&self, first: usize) -> Vec<Duration> {
-        self.with(|state| state.calls[first..].windows(2).map(|pair| pair[1] - pair[0]).collect())
+        self.with_state(|state| state.calls[first..].windows(2).map(|pair| pair[1] - pair[0]).collect())
     }
 }
 
@@ -138,7 +138,7 @@
     let (mut fixture, _) = NodeFixture::with_admin(2, |_| BackendAction::Succeed);
     let discovery = Discovery::start(whole_list(5, &fixture.backend_entries));
     configure(&mut fixture, &discovery, |config| config["settings"]["balancers"] = nodes.into());
-    wait_until("a watch", || discovery.with(|state| !state.watches.is_empty()));
+    wait_until("a watch", || discovery.with_state(|state| !state.watches.is_empty()));
     (fixture, discovery)
 }
 
@@ -166,7 +166,7 @@
         for nodes in [2, 6, 44, 300] {
             scope.spawn(move || {
                 let (fixture, discovery) = watching_node(nodes);
-                discovery.with(|state| state.answer = CallAnswer::Watch(Duration::from_millis(400)));
+                discovery.with_state(|state| state.answer = CallAnswer::Watch(Duration::from_millis(400)));
                 let before = discovery.call_count();
                 let watch_ended = Instant::now();
                 discovery.reset_watches(list_without_first_backend(&fixture));
@@ -194,7 +194,7 @@
             scope.spawn(move || {
                 let (fixture, discovery) = watching_node(nodes);
                 let hang_time = Duration::from_millis(2200);
-                discovery.with(|state| state.answer = CallAnswer::Unavailable(hang_time));
+                discovery.with_state(|state| state.answer = CallAnswer::Unavailable(hang_time));
                 let first = discovery.call_count();
                 discovery.reset_watches(list_without_first_backend(&fixture));
                 wait_until("three calls", || discovery.call_count() >= first + 3);
@@ -216,7 +216,7 @@
         for nodes in [2, 44, 300] {
             scope.spawn(move || {
                 let (fixture, discovery) = watching_node(nodes);
-                discovery.with(|state| state.answer = CallAnswer::Unavailable(Duration::ZERO));
+                discovery.with_state(|state| state.answer = CallAnswer::Unavailable(Duration::ZERO));
                 let first = discovery.call_count();
                 discovery.reset_watches(list_without_first_backend(&fixture));
                 sleep(Duration::from_secs(9));
@@ -233,7 +233,7 @@
 #[test]
 fn a_message_counts_before_its_line_break() {
     let (fixture, discovery) = watching_node(2);
-    discovery.with(|state| state.answer = CallAnswer::WithoutLineEnd);
+    discovery.with_state(|state| state.answer = CallAnswer::WithoutLineEnd);
     let watch_ended = Instant::now();
     discovery.reset_watches(list_without_first_backend(&fixture));
     wait_until_list_is_known(&fixture);
@@ -249,7 +249,7 @@
             scope.spawn(move || {
                 let (mut fixture, discovery) = watching_node(6);
                 let queue_time = Duration::from_millis(1200);
-                discovery.with(|state| state.answer = CallAnswer::Watch(queue_time));
+                discovery.with_state(|state| state.answer = CallAnswer::Watch(queue_time));
                 let watch_ended = Instant::now();
                 let before = discovery.call_count();
                 discovery.reset_watches(list_without_first_backend(&fixture));
@@ -257,7 +257,7 @@
                 let list = whole_list(5, &fixture.backend_entries);
                 let next: Vec<_> = (0..moves).map(|_| Discovery::start(list.clone())).collect();
                 for discovery in &next {
-                    discovery.with(|state| state.answer = CallAnswer::Watch(Duration::from_secs(2)));
+                    discovery.with_state(|state| state.answer = CallAnswer::Watch(Duration::from_secs(2)));
                     move_discovery(&mut fixture, discovery);
                 }
                 wait_until_list_is_known(&fixture);
@@ -267,8 +267,10 @@
                     watch_ended.elapsed()
                 );
                 let (last, skipped) = next.split_last().expect("a move");
-                last.with(|state| state.list = list_without_first_backend(&fixture));
-                wait_until("a watch at the new address", || last.with(|state| !state.watches.is_empty()));
+                last.with_state(|state| state.list = list_without_first_backend(&fixture));
+                wait_until("a watch at the new address", || {
+                    last.with_state(|state| !state.watches.is_empty())
+                });
                 let calls: Vec<_> = next.iter().map(Discovery::call_count).collect();
                 assert_eq!(
                     calls,
@@ -285,7 +287,7 @@
 #[test]
 fn a_former_address_that_hangs_does_not_delay_the_next_call() {
     let (mut fixture, discovery) = watching_node(6);
-    discovery.with(|state| state.answer = CallAnswer::Watch(Duration::from_secs(10)));
+    discovery.with_state(|state| state.answer = CallAnswer::Watch(Duration::from_secs(10)));
     let before = discovery.call_count();
     discovery.reset_watches(whole_list(5, &fixture.backend_entries));
     wait_until("a call that hangs", || discovery.call_count() > before);
@@ -306,7 +308,7 @@
     configure(&mut fixture, &discovery, |config| {
         config["settings"]["guarantees"]["drainGrace"] = 300_000_000.into();
     });
-    discovery.with(|state| state.answer = CallAnswer::Watch(Duration::from_millis(3000)));
+    discovery.with_state(|state| state.answer = CallAnswer::Watch(Duration::from_millis(3000)));
     let watch_ended = Instant::now();
     discovery.reset_watches(list_without_first_backend(&fixture));
     let mut answered = (0, 0);
@@ -339,7 +341,7 @@
 #[test]
 fn the_known_list_is_used_while_discovery_is_down() {
     let (fixture, discovery) = watching_node(6);
-    discovery.with(|state| state.answer = CallAnswer::Unavailable(Duration::from_millis(50)));
+    discovery.with_state(|state| state.answer = CallAnswer::Unavailable(Duration::from_millis(50)));
     let watch_ended = Instant::now();
     discovery.reset_watches(list_without_first_backend(&fixture));
     while watch_ended.elapsed() < Duration::from_secs(8) {
--- a/crates/rehearsal/src/real/clients.rs
+++ b/crates/rehearsal/src/real/clients.rs
@@ -120,9 +120,9 @@
         let deadline = Instant::now() + limit.duration() + CLIENT_GRACE;
         let leave_after = self.harness.scenario.clients.leave_after.duration();
         let leaves_early = arrival.leaves_early && leave_after < limit.duration();
-        let wait_until = if leaves_early { Instant::now() + leave_after } else { deadline };
+        let give_up_at = if leaves_early { Instant::now() + leave_after } else { deadline };
         let exchange = self.exchange(node, attempt, arrival, attempt_number > 1);
-        let Ok(answered) = timeout_at(wait_until, exchange).await else {
+        let Ok(answered) = timeout_at(give_up_at, exchange).await else {
             // Dropping the future closes its connection, so the node sees that its client has left.
             if leaves_early {
                 self.harness.observe(Observation::ClientLeft { attempt, at: self.harness.now() });
