--- a/crates/view/src/gossip.rs
+++ b/crates/view/src/gossip.rs
@@ -1,30 +1,30 @@
-//! News that are still to be told, each to so many: those told least first. And the bytes that may be spent on them.
+//! The queue of member updates that still have to be gossiped, and the byte budget that limits sending.
 
 use std::collections::{BTreeSet, HashMap};
 use yarrowfront::times::Moment;
 
-/// Names of members of whom there is news, by how often it was told.
+/// Names of the members with updates to gossip, ordered by how often the update was sent.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Gossip {
-    /// How often told, the later the number the newer, and whom it is about.
+pub(crate) struct GossipQueue {
+    /// Number of transmissions, sequence number (the newest update first) and member name.
     queue: BTreeSet<(u32, std::cmp::Reverse<u64>, String)>,
-    place: HashMap<String, (u32, std::cmp::Reverse<u64>)>,
-    turn: u64,
+    positions: HashMap<String, (u32, std::cmp::Reverse<u64>)>,
+    last_sequence: u64,
 }
 
-impl Gossip {
-    /// There is something new about that member, in place of what there was.
+impl GossipQueue {
+    /// Queues an update about the member and replaces an earlier one about it.
     pub fn add(&mut self, name: &str) {
-        self.drop(name);
-        self.turn += 1;
-        let place = (0, std::cmp::Reverse(self.turn));
-        self.place.insert(name.to_owned(), place);
-        self.queue.insert((place.0, place.1, name.to_owned()));
+        self.remove(name);
+        self.last_sequence += 1;
+        let position = (0, std::cmp::Reverse(self.last_sequence));
+        self.positions.insert(name.to_owned(), position);
+        self.queue.insert((position.0, position.1, name.to_owned()));
     }
 
-    pub fn drop(&mut self, name: &str) {
-        if let Some(place) = self.place.remove(name) {
-            self.queue.remove(&(place.0, place.1, name.to_owned()));
+    pub fn remove(&mut self, name: &str) {
+        if let Some(position) = self.positions.remove(name) {
+            self.queue.remove(&(position.0, position.1, name.to_owned()));
         }
     }
 
@@ -32,46 +32,50 @@
         self.queue.len()
     }
 
-    /// Those told least, in that order.
-    pub fn next(&self) -> impl Iterator<Item = &str> {
+    /// Member names in the order in which their updates are to be sent: the least transmitted first.
+    pub fn iter(&self) -> impl Iterator<Item = &str> {
         self.queue.iter().map(|(_, _, name)| name.as_str())
     }
 
-    /// It was told once more; after so many times it is no news any more.
-    pub fn told(&mut self, name: &str, most: u32) {
-        let Some(place) = self.place.get_mut(name) else { return };
-        self.queue.remove(&(place.0, place.1, name.to_owned()));
-        place.0 += 1;
-        match place.0 >= most {
-            true => drop(self.place.remove(name)),
-            false => drop(self.queue.insert((place.0, place.1, name.to_owned()))),
+    /// Counts one transmission of the update, which leaves the queue after `max_transmits` of them.
+    pub fn mark_sent(&mut self, name: &str, max_transmits: u32) {
+        let Some(position) = self.positions.get_mut(name) else { return };
+        self.queue.remove(&(position.0, position.1, name.to_owned()));
+        position.0 += 1;
+        match position.0 >= max_transmits {
+            true => drop(self.positions.remove(name)),
+            false => drop(self.queue.insert((position.0, position.1, name.to_owned()))),
         }
     }
 }
 
-/// Bytes to spend: so many a second, and what was saved up to a bound.
+/// A token bucket of bytes to send.
 #[derive(Clone, Debug)]
 pub(crate) struct ByteBudget {
+    /// Refill in bytes per second.
     rate: f64,
-    most: f64,
-    held: f64,
-    at: Moment,
+    /// The most bytes that can be saved up.
+    capacity: f64,
+    available: f64,
+    refilled_at: Moment,
 }
 
 impl ByteBudget {
-    pub fn new(now: Moment, rate: f64, most: f64) -> ByteBudget {
-        ByteBudget { rate, most, held: most, at: now }
+    pub fn new(now: Moment, rate: f64, capacity: f64) -> ByteBudget {
+        ByteBudget { rate, capacity, available: capacity, refilled_at: now }
     }
 
-    pub fn held(&mut self, now: Moment) -> f64 {
-        self.held = (self.held + self.rate * now.since(self.at).micros() / 1e6).min(self.most);
-        self.at = now;
-        self.held
+    /// Refills the bucket and returns the bytes available now; negative if more was spent than there was.
+    pub fn available(&mut self, now: Moment) -> f64 {
+        self.available =
+            (self.available + self.rate * now.since(self.refilled_at).micros() / 1e6).min(self.capacity);
+        self.refilled_at = now;
+        self.available
     }
 
-    /// Spends them, also where they are not there. A seed that a whole fleet asks at once is not to be silent for
-    /// minutes after it: no more is owed than what comes in in a second.
+    /// Takes the bytes, even if they are not available. The debt is limited to one second's refill, so that a seed
+    /// which a whole fleet contacts at once is not silent for minutes afterwards.
     pub fn spend(&mut self, bytes: usize) {
-        self.held = (self.held - bytes as f64).max(-self.rate);
+        self.available = (self.available - bytes as f64).max(-self.rate);
     }
 }
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -1,7 +1,8 @@
-//! The view of the fleet that each node keeps: who is there, in which life and state, by whose word. Membership after
-//! SWIM with the remedies of Lifeguard; `docs/view.md` says what was weighed and cites the sources. Pure: bytes and
-//! times in, bytes and times out, with seeded chance. `view` is the state machine, `wire` its words, `share` what the
-//! decisions may take from it.
+//! Fleet membership: the view that each node keeps of the other nodes, with their state, process generation and who
+//! reported it. The protocol follows SWIM with the remedies of Lifeguard; `docs/view.md` discusses the alternatives and
+//! cites the sources. The crate does no I/O: it takes bytes and times, returns bytes and times, and draws from a seeded
+//! random generator. `view` is the state machine, `wire` the message format, and `share` derives what the balancing
+//! decisions may take from a view.
 #![forbid(unsafe_code)]
 
 mod checksums;
--- a/crates/view/src/member.rs
+++ b/crates/view/src/member.rs
@@ -1,15 +1,17 @@
-//! The books on one member, and how long a suspicion of it lasts.
+//! What is known about one member, and how long a suspicion of it lasts.
 
 use crate::node_info::{Generation, Incarnation, Load, MemberState, NodeInfo};
 use yarrowfront::times::{Moment, Span};
 
-/// So many that suspect it independently make a suspicion as short as it gets (Lifeguard's K).
+/// The number of independent confirmations that make a suspicion as short as it gets (Lifeguard's K).
 pub const MAX_CONFIRMATIONS: usize = 3;
-/// The shortest suspicion, in periods, at the least and for each tenfold of members; and how much longer one without
-/// confirmation lasts. With 2.0 and 3.0 a thousand nodes knew a death in up to 3.4 s (docs/view.md). Two periods at the
-/// least were too few where a refutation has to come round a way that is cut: one of six live nodes was called dead.
+/// The shortest suspicion, in probe intervals, whatever the size of the fleet. Two intervals were too few where a
+/// refutation has to come round a cut link: one of six live nodes was declared dead.
 const MIN_SUSPICION_PERIODS: f64 = 4.0;
+/// The shortest suspicion, in probe intervals per factor of ten in members. With 2.0 here and 3.0 in
+/// `MAX_SUSPICION_FACTOR` a fleet of 1,000 nodes took up to 3.4 s to learn of a death (docs/view.md).
 const SUSPICION_PERIODS_PER_DECADE: f64 = 1.5;
+/// How much longer than the shortest one a suspicion without confirmation lasts.
 const MAX_SUSPICION_FACTOR: f64 = 2.5;
 
 #[derive(Clone, Debug)]
@@ -18,42 +20,44 @@
     pub incarnation: Incarnation,
     pub state: MemberState,
     pub info: NodeInfo,
-    /// The edition that the card came with.
+    /// The incarnation that `info` was announced with.
     pub info_incarnation: Incarnation,
-    /// Since when it stands so, and by whose word.
+    /// Since when the member is in this state, and the name of the node that reported it.
     pub state_since: Moment,
     pub reported_by: String,
-    /// When it was last heard itself, and what it then said of its load.
+    /// When a datagram last came from the member itself, and the load that it then reported.
     pub last_heard: Option<Moment>,
     pub load: Option<Load>,
-    /// Of asks and answers: how long they take, how many were sent, and how many were lost.
+    /// The smoothed round-trip time of probes.
     pub rtt: Option<Span>,
+    /// Direct probes sent, and those that were not answered directly.
     pub probes_sent: u64,
     pub probes_lost: u64,
-    /// When its suspicion is over, or it is forgotten.
+    /// When the suspicion ends in death, or a dead or departed member is forgotten.
     pub(crate) timer: Option<Moment>,
-    /// Who suspects it.
+    /// The nodes that suspect the member.
     pub(crate) suspected_by: Vec<String>,
-    /// Told last that it is not taken to be alive.
+    /// When this node last informed the member that it is not considered alive.
     pub(crate) last_accused: Option<Moment>,
 }
 
 impl Member {
-    /// What is believed of it, as it compares: the greater holds.
+    /// The precedence of this state of knowledge: the greater of two wins.
     pub fn rank(&self) -> (Generation, Incarnation, MemberState) {
         (self.generation, self.incarnation, self.state)
     }
 }
 
-/// How long a suspicion lasts from its beginning, with so many members and suspecters.
-pub(crate) fn suspicion_timeout(period: Span, members: usize, suspected_by: usize) -> Span {
-    let least = (SUSPICION_PERIODS_PER_DECADE * (members.max(10) as f64).log10()).max(MIN_SUSPICION_PERIODS);
-    let most = least * MAX_SUSPICION_FACTOR;
-    let others = MAX_CONFIRMATIONS.min(members.saturating_sub(2));
-    let part = match others {
+/// The duration of a suspicion, counted from its beginning, with so many members and suspecting nodes.
+pub(crate) fn suspicion_timeout(probe_interval: Span, members: usize, suspecters: usize) -> Span {
+    let shortest =
+        (SUSPICION_PERIODS_PER_DECADE * (members.max(10) as f64).log10()).max(MIN_SUSPICION_PERIODS);
+    let longest = shortest * MAX_SUSPICION_FACTOR;
+    let confirmations = MAX_CONFIRMATIONS.min(members.saturating_sub(2));
+    let part = match confirmations {
         0 => 1.0,
         // The first suspecter confirms nothing.
-        k => ((suspected_by.max(1) as f64).ln() / (k as f64 + 1.0).ln()).min(1.0),
+        k => ((suspecters.max(1) as f64).ln() / (k as f64 + 1.0).ln()).min(1.0),
     };
-    period.scaled((most - (most - least) * part).max(least))
+    probe_interval.scaled((longest - (longest - shortest) * part).max(shortest))
 }
--- a/crates/view/src/node_info.rs
+++ b/crates/view/src/node_info.rs
@@ -1,4 +1,4 @@
-//! What a node tells of itself.
+//! What a node announces about itself, and the states in which others see it.
 
 use minicbor::decode::{Decoder, Error};
 use minicbor::encode::{Encoder, Write};
@@ -6,18 +6,19 @@
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 
-/// A start number: a name that comes back under a greater one is another life. Unix microseconds at the start, or one
-/// more than the greatest that the node has heard of itself.
+/// The generation of a node's process: a greater one under the same name is a restarted node. It is the Unix time of
+/// the start in microseconds, or one more than the greatest generation that the node has heard of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct Generation(#[n(0)] pub u64);
 
-/// Counts what a node has said of itself in a life: raised to refute, and when its card changes. SWIM's incarnation.
+/// SWIM's incarnation number, within a generation. Only the node itself raises it: to refute a report, and when its
+/// `NodeInfo` changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct Incarnation(#[n(0)] pub u32);
 
-/// What is believed of a member; of two of one edition the later here holds.
+/// The state of a member. Of two reports with the same incarnation the variant that stands later here wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(index_only)]
 pub enum MemberState {
@@ -32,7 +33,7 @@
 }
 
 impl MemberState {
-    /// Whether it is taken to be there: a suspected one is, until its time is over.
+    /// Whether the member counts as present. A suspect does until its suspicion times out.
     pub fn is_present(self) -> bool {
         self <= MemberState::Suspect
     }
@@ -47,19 +48,20 @@
     }
 }
 
-/// What a node does, by its own word. A number, so that one of a newer build is passed on as it is.
+/// The lifecycle phase that a node announces. It is a number, so that an unknown phase of a newer build is passed on
+/// unchanged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct Phase(#[n(0)] pub u8);
 
 impl Phase {
-    /// It has no list yet, or its predecessor still has the connections.
+    /// The node has no backend list yet, or its predecessor still holds the connections.
     pub const JOINING: Phase = Phase(0);
     pub const SERVING: Phase = Phase(1);
-    /// Clients are sent away by the operators' word.
+    /// The operators drain the node: its clients are sent away.
     pub const DRAINING: Phase = Phase(2);
     pub const STOPPING: Phase = Phase(3);
-    /// The new half of an upgrade, while the old one finishes what it has in hand.
+    /// The new process of an upgrade, while the old one finishes its commands in flight.
     pub const UPGRADING: Phase = Phase(4);
 }
 
@@ -76,39 +78,39 @@
     }
 }
 
-/// What all are told of a node. It changes seldom, and by a new edition.
+/// What a node announces to the whole fleet about itself. It changes rarely, and each change raises the incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct NodeInfo {
-    /// Where it hears datagrams.
+    /// The address on which the node receives datagrams.
     #[cbor(n(0), with = "address_bytes")]
     pub address: SocketAddr,
     #[cbor(n(1), default)]
     pub site: String,
     #[cbor(n(2), default)]
     pub build: String,
-    /// Of its settings: equal where they are.
+    /// A digest of the node's settings: equal for equal settings.
     #[cbor(n(3), default)]
     pub settings_digest: u64,
     #[cbor(n(4), default)]
     pub phase: Phase,
-    /// Its place among the nodes that the settings state, and how many these are.
+    /// The node's slot among the nodes that its settings configure, and the number of slots.
     #[cbor(n(5), default)]
     pub slot: u32,
     #[cbor(n(6), default)]
     pub slots: u32,
 }
 
-/// What a node tells those whom it asks and answers; nobody passes it on.
+/// A node's current load. It is sent with acks only and is not gossiped further.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Load {
     #[cbor(n(0), default)]
     pub in_flight: u32,
-    /// Commands taken since the start.
+    /// Commands accepted since the start.
     #[cbor(n(1), default)]
     pub accepted: u64,
-    /// Backends on its list, the list's version, and how long ago discovery last said anything, in milliseconds.
+    /// Backends on the node's list, the version of the list, and the milliseconds since discovery last answered.
     #[cbor(n(2), default)]
     pub backend_count: u32,
     #[cbor(n(3), default)]
@@ -117,32 +119,32 @@
     pub list_age_ms: u64,
 }
 
-/// An address as bytes: 4 or 16 of the host, 2 of the port.
+/// Encodes a socket address as 4 or 16 bytes of IP address and 2 bytes of port.
 pub(crate) mod address_bytes {
     use super::*;
 
     pub fn encode<C, W: Write>(
-        at: &SocketAddr,
+        address: &SocketAddr,
         e: &mut Encoder<W>,
         _: &mut C,
     ) -> Result<(), minicbor::encode::Error<W::Error>> {
-        let mut bytes = match at.ip() {
+        let mut bytes = match address.ip() {
             IpAddr::V4(ip) => ip.octets().to_vec(),
             IpAddr::V6(ip) => ip.octets().to_vec(),
         };
-        bytes.extend(at.port().to_be_bytes());
+        bytes.extend(address.port().to_be_bytes());
         e.bytes(&bytes)?;
         Ok(())
     }
 
     pub fn decode<C>(d: &mut Decoder, _: &mut C) -> Result<SocketAddr, Error> {
         let bytes = d.bytes()?;
-        let bad = || Error::message("no address");
-        let (host, port) = bytes.split_last_chunk::<2>().ok_or_else(bad)?;
+        let malformed = || Error::message("malformed socket address");
+        let (host, port) = bytes.split_last_chunk::<2>().ok_or_else(malformed)?;
         let host = match host.len() {
-            4 => IpAddr::from(<[u8; 4]>::try_from(host).map_err(|_| bad())?),
-            16 => IpAddr::from(<[u8; 16]>::try_from(host).map_err(|_| bad())?),
-            _ => return Err(bad()),
+            4 => IpAddr::from(<[u8; 4]>::try_from(host).map_err(|_| malformed())?),
+            16 => IpAddr::from(<[u8; 16]>::try_from(host).map_err(|_| malformed())?),
+            _ => return Err(malformed()),
         };
         Ok(SocketAddr::new(host, u16::from_be_bytes(*port)))
     }
--- a/crates/view/src/share.rs
+++ b/crates/view/src/share.rs
@@ -1,13 +1,15 @@
-//! What the decisions may take from a view: how many nodes share what all share, and this node's place among them.
+//! What the balancing decisions may take from a view: among how many nodes the fleet-wide limits are divided, and this
+//! node's index among them.
 //!
-//! A view may be wrong, and a cold backend must not be pushed over for that. Of `S` places that the settings state a
-//! node that has one may count on `1/S`. It counts on less whenever it sees more nodes than places. It counts on more
-//! only while it sees a majority of the places without a break for longer than `sure`, and then leaves a half portion,
-//! `1/2S`, to each place that is missing. A node that has not seen a majority within `release`, has just begun, or was
-//! kept from its work keeps to that half portion; one without a place of its own takes nothing until it has been
-//! among a majority for `sure`. Majorities of one number of places meet in a node, so at most one side of any partition
-//! counts on more, and by the time it does (`sure` is at least four times `release`) whoever is not of it has let go:
-//! portions sum to one at most. `docs/view.md` has the argument whole, and a search shows it.
+//! A view may be wrong, and a cold backend must not be overloaded because of that. The settings configure `S` slots. A
+//! node that owns a slot may use a share of `1/S`. It uses less whenever it sees more nodes than slots. It uses more only
+//! while it has seen a majority of the slots without interruption for longer than `takeover_delay`, and even then it
+//! leaves a half share, `1/2S`, to each missing slot. A node keeps to the half share if it has not seen a majority within
+//! `release_after`, has just started, or was stalled. A node without a slot of its own takes nothing until it has been in
+//! a majority for `takeover_delay`. Two majorities of the same slots have a node in common, so at most one side of a
+//! partition uses more than its share. By the time it does (`takeover_delay` is at least four times `release_after`) the
+//! nodes outside have released theirs: the shares sum to at most one. `docs/view.md` has the full argument, and the
+//! search in `crates/fleet` checks it.
 
 use crate::config::Timing;
 use crate::node_info::MemberState;
@@ -15,31 +17,31 @@
 use std::collections::BTreeMap;
 use yarrowfront::times::{Moment, Span};
 
-/// One part of so many, for nodes that take nothing of what all share.
+/// The node count that stands for no share: a share of one millionth, which counts as nothing.
 pub const NO_SHARE: u32 = 1_000_000;
 
-/// Plain facts for the decisions: as one of so many nodes, at that place among them.
+/// A node's share: one of `nodes` equal parts, at position `index`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
     pub nodes: u32,
     pub index: u32,
-    /// Past this the facts are too old: `Sharer::without` holds.
+    /// After this time the share is stale and `ShareTracker::fallback` applies.
     pub valid_until: Moment,
     pub reason: ShareReason,
 }
 
-/// Why a node takes the portion that it takes.
+/// Why a node takes the share that it takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShareReason {
-    /// As the settings have it.
+    /// The share that the settings configure.
     Configured,
-    /// It has just begun, or come back to a majority.
+    /// The node has just started, or has just returned to a majority.
     Settling,
-    /// It does not see a majority of the places.
+    /// The node does not see a majority of the slots.
     NoMajority,
-    /// More nodes than places are there, or it has no place of its own.
+    /// There are more nodes than slots, or the node has no slot of its own.
     ExtraNodes,
-    /// Places have been missing for so long that the others share most of their portions.
+    /// Slots have been missing for so long that the other nodes divide most of their shares.
     SlotsMissing,
 }
 
@@ -55,23 +57,23 @@
     }
 }
 
-/// What a look at the view finds of the places.
+/// How the configured slots are occupied, according to a view.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SlotOccupancy {
-    /// Places whose one holder is taken to be alive, this node's own among them.
+    /// Slots with exactly one holder, which is alive. This node's own slot is included.
     pub live: u32,
-    /// Places that nobody has held for longer than `sure`.
+    /// Slots that no node has held for longer than `takeover_delay`.
     pub missing: u32,
-    /// Nodes without a place of their own that may be there.
+    /// Nodes without a slot of their own that may be running.
     pub extra_nodes: u32,
-    /// Whether this node has a place of its own.
+    /// Whether this node has a slot of its own.
     pub owns_slot: bool,
-    /// How many with a place come before this node's, of those that are not missing.
+    /// The number of slots before this node's that are not missing.
     pub preceding: u32,
 }
 
 impl SlotOccupancy {
-    /// Of so many places, at that moment.
+    /// Counts the occupancy of the configured slots.
     pub fn from_view(view: &View, slots: u32, now: Moment, takeover_delay: Span) -> SlotOccupancy {
         let mut held: BTreeMap<u32, (u32, bool, bool)> = BTreeMap::new();
         let mut extra_nodes = 0;
@@ -79,7 +81,7 @@
         let own = [(view.name(), mine, MemberState::Alive, Moment(0))];
         let others = view.members().map(|(name, m)| (name, &m.info, m.state, m.state_since));
         for (_, info, state, since) in own.into_iter().chain(others) {
-            // Gone, but not for long enough: it may be there.
+            // A node that has been gone for less than the delay may still be running.
             let gone = !state.is_present() && now.since(since) >= takeover_delay;
             if gone {
                 continue;
@@ -103,20 +105,22 @@
         }
     }
 
+    /// Whether this node sees more than half of the slots.
     pub fn has_majority(&self, slots: u32) -> bool {
         self.live * 2 > slots
     }
 }
 
-/// Keeps what it takes to know how long something has been so.
+/// Derives a node's share from its view and remembers for how long it has seen a majority.
 #[derive(Clone, Debug)]
 pub struct ShareTracker {
     timing: Timing,
     started_at: Moment,
-    /// Without a break since, and seen last.
+    /// Since when a majority has been seen without interruption, and when one was seen last.
     majority_since: Option<Moment>,
     majority_seen: Option<Moment>,
-    /// It has not yet been among a majority for `sure` since it was out of one, or began.
+    /// The node keeps to the half share: since it started, or last lost the majority, it has not yet been in one for
+    /// `takeover_delay`.
     holds_back: bool,
 }
 
@@ -125,7 +129,7 @@
         ShareTracker { timing, started_at: now, majority_since: None, majority_seen: None, holds_back: true }
     }
 
-    /// What holds while nothing is known: the half portion of a place, or none.
+    /// The share while nothing is known: the half share of a slot, or the whole if there is only one slot.
     pub fn fallback(slots: u32, index: u32, now: Moment) -> Share {
         let (slots, index) = (slots.max(1), index);
         let nodes = if slots == 1 { 1 } else { slots * 2 };
@@ -137,34 +141,34 @@
         }
     }
 
-    /// Looks at the view, for a node whose settings state so many places and that it has that one.
+    /// Computes the share of the node at slot `index` of the configured `slots` from its view.
     pub fn update(&mut self, now: Moment, view: &View, slots: u32, index: u32) -> Share {
-        let found = SlotOccupancy::from_view(view, slots.max(1), now, self.timing.takeover_delay);
-        let lately = |at: Moment| now.since(at) <= self.timing.release_after;
-        let heard = view.present_count() == 1 || view.last_answered().is_some_and(lately);
+        let occupancy = SlotOccupancy::from_view(view, slots.max(1), now, self.timing.takeover_delay);
+        let is_recent = |at: Moment| now.since(at) <= self.timing.release_after;
+        let heard = view.present_count() == 1 || view.last_answered().is_some_and(is_recent);
         self.resumed(view.running_since());
-        self.decide(now, &found, heard, slots.max(1), index)
+        self.decide(now, &occupancy, heard, slots.max(1), index)
     }
 
-    /// It began, or was kept from its work until then: what it saw of a majority before that counts for nothing, and
-    /// whoever took over from it meanwhile has to be seen first.
+    /// Tells the tracker that the node started, or resumed after a stall, at `since`. A majority seen before that no
+    /// longer counts, because other nodes may have taken over the share meanwhile and have to be seen first.
     pub fn resumed(&mut self, since: Moment) {
         if since > self.started_at {
             (self.started_at, self.majority_since, self.holds_back) = (since, None, true);
         }
     }
 
-    /// The rule itself.
+    /// Decides the share by the rule in the module documentation. `heard` is whether another node has answered recently.
     pub fn decide(
         &mut self,
         now: Moment,
-        found: &SlotOccupancy,
+        occupancy: &SlotOccupancy,
         heard: bool,
         slots: u32,
         index: u32,
     ) -> Share {
         let release = self.timing.release_after;
-        let majority = found.has_majority(slots) && (heard || slots == 1);
+        let majority = occupancy.has_majority(slots) && (heard || slots == 1);
         if !majority {
             self.majority_since = None;
         }
@@ -176,12 +180,13 @@
         let seen = self.majority_seen.is_some_and(|at| at >= self.started_at && now.since(at) < release);
         let valid_until = now + release;
         let half = Share { valid_until, ..ShareTracker::fallback(slots, index, now) };
-        // The only place's own node has the whole from its start on, as it has without a view: nothing is left beside it.
-        if !found.owns_slot && (slots == 1 || !settled(self.timing.takeover_delay)) {
+        // With a single slot its owner has the whole share from its start on, as it has without a view, so nothing is
+        // left for another node.
+        if !occupancy.owns_slot && (slots == 1 || !settled(self.timing.takeover_delay)) {
             return Share { nodes: NO_SHARE, index: 0, valid_until, reason: ShareReason::ExtraNodes };
         }
-        // Whoever comes back is seen to be there only when its news has gone round: until then the others may still
-        // have left it no more than a half.
+        // The other nodes notice a returning node only when its updates have spread. Until then they may still leave it
+        // no more than a half share.
         self.holds_back = !seen || self.holds_back && !settled(self.timing.takeover_delay);
         if self.holds_back {
             return Share {
@@ -189,26 +194,26 @@
                 ..half
             };
         }
-        let missing = if settled(self.timing.takeover_delay) { found.missing } else { 0 };
-        // All that are there share what the half portions of the missing leave.
-        let holders = u64::from(slots - missing + found.extra_nodes).max(1);
+        let missing = if settled(self.timing.takeover_delay) { occupancy.missing } else { 0 };
+        // The nodes present divide what the half shares of the missing slots leave.
+        let holders = u64::from(slots - missing + occupancy.extra_nodes).max(1);
         let (whole, left) = (u64::from(2 * slots), u64::from(2 * slots - missing));
         let nodes = (holders * whole).div_ceil(left) as u32;
         let reason = match () {
-            () if found.extra_nodes > 0 => ShareReason::ExtraNodes,
+            () if occupancy.extra_nodes > 0 => ShareReason::ExtraNodes,
             () if missing > 0 => ShareReason::SlotsMissing,
             () => ShareReason::Configured,
         };
         let index = if reason == ShareReason::Configured {
             index
         } else {
-            spread_index(found.preceding, holders as u32, nodes)
+            spread_index(occupancy.preceding, holders as u32, nodes)
         };
         Share { nodes, index, valid_until, reason }
     }
 }
 
-/// A place among `holders` as one among `nodes`, evenly apart.
+/// Maps a position among `holders` to one among `nodes`, evenly spaced.
 fn spread_index(slot: u32, holders: u32, nodes: u32) -> u32 {
     (u64::from(slot) * u64::from(nodes) / u64::from(holders.max(1))) as u32
 }
--- a/crates/view/src/view/merge.rs
+++ b/crates/view/src/view/merge.rs
@@ -1,7 +1,8 @@
-//! What is said of others is taken where it holds over what is believed; what is said of this node it knows better.
+//! Merging received updates: an update about another member is applied if it takes precedence over what is known, and a
+//! report about this node is refuted.
 
 use super::{ChangeKind, Rival, View};
-use crate::checksums as sums;
+use crate::checksums;
 use crate::member::{suspicion_timeout, Member};
 use crate::node_info::{Generation, Incarnation, MemberState};
 use crate::wire::{Datagram, Kind, MemberUpdate};
@@ -10,155 +11,168 @@
 use yarrowfront::times::Moment;
 
 impl View {
-    /// Whoever is not taken to be alive is told so, once a period: only its own word can change that.
-    pub(super) fn accuse(&mut self, now: Moment, datagram: &Datagram) {
-        let period = self.config.timing.probe_interval;
+    /// Informs a sender that is not considered alive, at most once per probe interval: only the sender itself can refute
+    /// that.
+    pub(super) fn notify_accused(&mut self, now: Moment, datagram: &Datagram) {
+        let interval = self.config.timing.probe_interval;
         let Some(member) = self.members.get_mut(&datagram.sender) else { return };
         let refuted = (datagram.generation, datagram.incarnation) > (member.generation, member.incarnation);
-        let lately = member.last_accused.is_some_and(|at| now.since(at) < period);
-        if member.state == MemberState::Alive || refuted || lately {
+        let recently_accused = member.last_accused.is_some_and(|at| now.since(at) < interval);
+        if member.state == MemberState::Alive || refuted || recently_accused {
             return;
         }
         member.last_accused = Some(now);
-        let (news, at) = (self.news(&datagram.sender, false), self.address(&datagram.sender));
-        self.tell(now, at.unwrap_or(datagram.address), news);
+        let (update, at) = (self.update_about(&datagram.sender, false), self.address(&datagram.sender));
+        self.send_update(now, at.unwrap_or(datagram.address), update);
     }
 
-    /// A datagram in this node's own name: a process beside it, or an echo.
-    pub(super) fn namesake(&mut self, now: Moment, datagram: &Datagram) {
+    /// Handles a datagram that bears this node's own name: it comes from another process, or is an echo.
+    pub(super) fn handle_own_name(&mut self, now: Moment, datagram: &Datagram) {
         if datagram.address == self.info.address {
             return;
         }
         if datagram.kind == Kind::Ack && self.pending_probes.remove(&datagram.probe_id).is_some() {
             if let Some(rival) = self.rival.as_mut().filter(|rival| rival.generation <= datagram.generation) {
-                rival.tries = 0;
+                rival.unanswered_probes = 0;
                 if !std::mem::replace(&mut rival.answered, true) {
                     let (name, generation) = (self.name.clone(), datagram.generation);
-                    self.note(now, &name, generation, ChangeKind::NameTaken, &datagram.address.to_string());
+                    self.record_change(
+                        now,
+                        &name,
+                        generation,
+                        ChangeKind::NameTaken,
+                        &datagram.address.to_string(),
+                    );
                 }
             }
         } else if datagram.generation > self.generation {
-            self.rivalled(datagram.address, datagram.generation);
+            self.note_rival(datagram.address, datagram.generation);
         } else if datagram.kind == Kind::Ping {
-            // The earlier of the two asks whether there is a later one.
-            self.answer(now, datagram.address, None, datagram.probe_id, true);
+            // The process with the earlier generation checks whether a later one exists.
+            self.send_ack(now, datagram.address, None, datagram.probe_id, true);
         }
     }
 
-    pub(super) fn rivalled(&mut self, address: SocketAddr, generation: Generation) {
+    /// Remembers another process with this node's name, which is then probed.
+    pub(super) fn note_rival(&mut self, address: SocketAddr, generation: Generation) {
         match &mut self.rival {
             Some(rival) => rival.generation = rival.generation.max(generation),
-            None => self.rival = Some(Rival { address, generation, tries: 0, answered: false }),
+            None => self.rival = Some(Rival { address, generation, unanswered_probes: 0, answered: false }),
         }
     }
 
-    /// Something is said of this node itself: it knows better.
-    pub(super) fn about_me(&mut self, now: Moment, news: &MemberUpdate) {
-        if news.generation < self.generation {
+    /// Handles an update about this node itself and refutes it if necessary.
+    pub(super) fn merge_about_self(&mut self, now: Moment, update: &MemberUpdate) {
+        if update.generation < self.generation {
             return;
         }
-        if news.generation == self.generation {
-            if (news.incarnation, news.state) > (self.incarnation, MemberState::Alive) {
-                if news.state == MemberState::Suspect {
-                    self.trouble_by(1);
+        if update.generation == self.generation {
+            if (update.incarnation, update.state) > (self.incarnation, MemberState::Alive) {
+                if update.state == MemberState::Suspect {
+                    self.adjust_local_health(1);
                 }
                 let info_incarnation = self.info_incarnation;
-                self.raise_incarnation(Incarnation(news.incarnation.0 + 1));
+                self.raise_incarnation(Incarnation(update.incarnation.0 + 1));
                 self.info_incarnation = info_incarnation;
-                self.announce(now);
+                self.announce_self(now);
             }
             return;
         }
-        let elsewhere = news.info.as_ref().map(|info| info.address).filter(|at| *at != self.info.address);
-        match elsewhere {
-            _ if !news.state.is_present() => self.raise_generation(now, news.generation),
-            Some(address) => self.rivalled(address, news.generation),
-            None if news.info.is_some() => self.raise_generation(now, news.generation),
-            // Whoever it is, it may be there: without an address it cannot be asked.
-            None => self.lacking = true,
+        let other_address =
+            update.info.as_ref().map(|info| info.address).filter(|at| *at != self.info.address);
+        match other_address {
+            _ if !update.state.is_present() => self.raise_generation(now, update.generation),
+            Some(address) => self.note_rival(address, update.generation),
+            None if update.info.is_some() => self.raise_generation(now, update.generation),
+            // Another process may be running, but it cannot be probed without an address.
+            None => self.lacks_info = true,
         }
     }
 
-    /// Takes what holds over what is believed, and passes it on.
-    pub(super) fn learn(&mut self, now: Moment, news: &MemberUpdate, teller: &str, spread: bool) {
-        if news.name == self.name {
-            return self.about_me(now, news);
+    /// Applies an update that takes precedence over what is known, and gossips it if `gossip_further` is set.
+    pub(super) fn merge(&mut self, now: Moment, update: &MemberUpdate, sender: &str, gossip_further: bool) {
+        if update.name == self.name {
+            return self.merge_about_self(now, update);
         }
-        let by = news.reported_by.as_deref().unwrap_or(teller);
-        if news.info.as_ref().is_some_and(|info| !self.config.allows(info.address)) {
+        let reporter = update.reported_by.as_deref().unwrap_or(sender);
+        if update.info.as_ref().is_some_and(|info| !self.config.allows(info.address)) {
             self.counters.outside_networks += 1;
             return;
         }
-        let Some(member) = self.members.get_mut(&news.name) else {
-            // What has been forgotten stays so: only somebody who is here is news.
-            if news.state.is_present() {
-                self.join(now, news, by);
-                if !spread {
-                    self.gossip.drop(&news.name);
+        let Some(member) = self.members.get_mut(&update.name) else {
+            // A forgotten member stays forgotten: only a present one is added.
+            if update.state.is_present() {
+                self.add_member(now, update, reporter);
+                if !gossip_further {
+                    self.gossip.remove(&update.name);
                 }
             }
             return;
         };
-        let mut state = news.state;
+        let mut state = update.state;
         if state == MemberState::Dead
             && member.state == MemberState::Alive
-            && news.generation == member.generation
+            && update.generation == member.generation
         {
-            // Word from a side that was cut off: whoever is alive here is to have the time to refute it.
+            // A report from the other side of a partition. A member that is alive here gets the time to refute it.
             state = MemberState::Suspect;
         }
-        let rank = (news.generation, news.incarnation, state);
+        let rank = (update.generation, update.incarnation, state);
         if rank <= member.rank() {
-            if rank == member.rank() && state == MemberState::Suspect && self.confirm(&news.name, by) {
-                self.confirmed(&news.name);
+            if rank == member.rank()
+                && state == MemberState::Suspect
+                && self.confirm_suspicion(&update.name, reporter)
+            {
+                self.gossip_confirmation(&update.name);
             }
             return;
         }
-        let (generation, incarnation, was) = (member.generation, member.incarnation, member.state);
-        let info_incarnation =
-            (news.generation, news.info_incarnation) == (member.generation, member.info_incarnation);
-        let same = news.info.as_ref().is_none_or(|info| *info == member.info);
-        match &news.info {
-            Some(info) => (member.info, member.info_incarnation) = (info.clone(), news.info_incarnation),
-            None if info_incarnation => {}
-            // It would be believed where it was before.
-            None if state.is_present() || news.generation != member.generation => {
-                self.lacking = true;
+        let (generation, incarnation, old_state) = (member.generation, member.incarnation, member.state);
+        let has_same_info =
+            (update.generation, update.info_incarnation) == (member.generation, member.info_incarnation);
+        let info_unchanged = update.info.as_ref().is_none_or(|info| *info == member.info);
+        match &update.info {
+            Some(info) => (member.info, member.info_incarnation) = (info.clone(), update.info_incarnation),
+            None if has_same_info => {}
+            // Without the current `NodeInfo` the member would be looked for at its old address.
+            None if state.is_present() || update.generation != member.generation => {
+                self.lacks_info = true;
                 return;
             }
             None => {}
         }
-        (member.generation, member.incarnation) = (news.generation, news.incarnation);
-        if news.generation > generation {
+        (member.generation, member.incarnation) = (update.generation, update.incarnation);
+        if update.generation > generation {
             (member.last_heard, member.load, member.rtt) = (None, None, None);
         }
-        if was.is_present() {
-            self.digest ^= sums::part(&news.name, generation, incarnation);
-            self.digest ^= sums::part(&news.name, news.generation, news.incarnation);
-        }
-        let by = by.to_owned();
-        if news.generation > generation && state == MemberState::Alive {
-            self.set_for(now, &news.name, MemberState::Alive, &by, ChangeKind::Restarted);
-        } else if state != was || state == MemberState::Suspect {
-            self.set(now, &news.name, state, &by);
-            if state != news.state {
-                // No more is owed to it than the shortest suspicion.
-                let over = now
+        if old_state.is_present() {
+            self.digest ^= checksums::member_hash(&update.name, generation, incarnation);
+            self.digest ^= checksums::member_hash(&update.name, update.generation, update.incarnation);
+        }
+        let reporter = reporter.to_owned();
+        if update.generation > generation && state == MemberState::Alive {
+            self.set_state_as(now, &update.name, MemberState::Alive, &reporter, ChangeKind::Restarted);
+        } else if state != old_state || state == MemberState::Suspect {
+            self.set_state(now, &update.name, state, &reporter);
+            if state != update.state {
+                // The shortest suspicion is enough, because another node has already declared the member dead.
+                let timeout = now
                     + suspicion_timeout(self.config.timing.probe_interval, self.present_count, usize::MAX);
-                self.set_timer(&news.name, Some(over));
+                self.set_timer(&update.name, Some(timeout));
             }
-        } else if !same {
-            self.note(now, &news.name, news.generation, ChangeKind::InfoChanged, &by);
+        } else if !info_unchanged {
+            self.record_change(now, &update.name, update.generation, ChangeKind::InfoChanged, &reporter);
         }
-        // Whoever is said to be dead is to hear of it in any case.
-        if spread || state != MemberState::Alive {
-            self.gossip.add(&news.name);
+        // A member that is reported as not alive has to learn of it in any case.
+        if gossip_further || state != MemberState::Alive {
+            self.gossip.add(&update.name);
         }
     }
 
-    pub(super) fn join(&mut self, now: Moment, news: &MemberUpdate, by: &str) {
-        let Some(info) = news.info.clone() else {
-            self.lacking = true;
+    /// Adds a new member, unless its `NodeInfo` is missing or the limit is reached.
+    pub(super) fn add_member(&mut self, now: Moment, update: &MemberUpdate, reporter: &str) {
+        let Some(info) = update.info.clone() else {
+            self.lacks_info = true;
             return;
         };
         if self.members.len() + 1 >= self.config.max_members {
@@ -166,13 +180,13 @@
             return;
         }
         let member = Member {
-            generation: news.generation,
-            incarnation: news.incarnation,
+            generation: update.generation,
+            incarnation: update.incarnation,
             state: MemberState::Alive,
             info,
-            info_incarnation: news.info_incarnation,
+            info_incarnation: update.info_incarnation,
             state_since: now,
-            reported_by: by.to_owned(),
+            reported_by: reporter.to_owned(),
             last_heard: None,
             load: None,
             rtt: None,
@@ -182,16 +196,16 @@
             suspected_by: Vec::new(),
             last_accused: None,
         };
-        self.members.insert(news.name.clone(), member);
+        self.members.insert(update.name.clone(), member);
         self.present_count += 1;
-        self.digest ^= sums::part(&news.name, news.generation, news.incarnation);
-        // Somewhere in the rest of this round.
-        let place = self.chance.random_range(self.turn..=self.order.len());
-        self.order.insert(place, news.name.clone());
-        self.note(now, &news.name, news.generation, ChangeKind::Joined, by);
-        if news.state == MemberState::Suspect {
-            self.set(now, &news.name, MemberState::Suspect, by);
-        }
-        self.gossip.add(&news.name);
+        self.digest ^= checksums::member_hash(&update.name, update.generation, update.incarnation);
+        // The new member is probed at a random position in the rest of this cycle.
+        let position = self.rng.random_range(self.probe_position..=self.probe_order.len());
+        self.probe_order.insert(position, update.name.clone());
+        self.record_change(now, &update.name, update.generation, ChangeKind::Joined, reporter);
+        if update.state == MemberState::Suspect {
+            self.set_state(now, &update.name, MemberState::Suspect, reporter);
+        }
+        self.gossip.add(&update.name);
     }
 }
--- a/crates/view/src/view/mod.rs
+++ b/crates/view/src/view/mod.rs
@@ -1,16 +1,16 @@
-//! The state machine: what is heard, what is due, what goes out, and what has changed.
+//! The membership state machine: it takes received datagrams and timeouts, and yields datagrams to send and changes.
 //!
-//! What it promises: an entry only ever grows by (life, edition, standing), so that all who hear the same believe the
-//! same; a node raises its own edition, or its life, above whatever is said of it; nobody is called dead but after a
-//! suspicion that it had the time to refute; memory and work are bounded whatever arrives.
+//! Invariants: the knowledge about a member only grows by (generation, incarnation, state), so that nodes with the same
+//! updates agree; a node raises its own incarnation, or its generation, above whatever is reported of it; no member is
+//! declared dead without a suspicion that it had the time to refute; memory and work are bounded whatever arrives.
 
 mod merge;
 mod probe;
 mod send;
 
-use crate::checksums as sums;
+use crate::checksums;
 use crate::config::ViewConfig;
-use crate::gossip::{ByteBudget, Gossip};
+use crate::gossip::{ByteBudget, GossipQueue};
 use crate::member::Member;
 use crate::node_info::{Generation, Incarnation, Load, MemberState, NodeInfo};
 use crate::wire::{Datagram, DecodeError, Kind};
@@ -20,65 +20,68 @@
 use std::net::SocketAddr;
 use yarrowfront::times::{Moment, Span};
 
-/// With more news than this waiting each is told a few times only, and the sums mend the rest.
-const CROWD: usize = 48;
-const FEW: u32 = 4;
-/// Others that are asked to ask, where a member has not answered.
-const RELAYS: usize = 3;
-/// Each news is told so many times for each doubling of the members: enough that nobody misses it but by a chance of
-/// one in thousands, which the sums then mend.
-const TELLINGS: f64 = 1.5;
-/// One's own troubles stretch its times by up to half as much more for each (Lifeguard's local health; with its bound
-/// of eight whole ones the smaller side of a partition took half a minute to know).
-const TROUBLE: u32 = 4;
-/// What is held for others at a time, and changes until they are fetched.
-const ASKS: usize = 512;
-const CHANGES: usize = 4096;
-/// Bytes that may be saved up for a burst, as when all start at once or two halves of a fleet meet: a thousand members
-/// were one again after 5.6 to 6 s with this, after 25 s with a quarter of it, and after 40 s with 64,000.
-const BURST: f64 = 1_000_000.0;
-/// Where more asks than this share are lost, whoever has not answered is asked in another round before it is suspected:
-/// at a loss of a fifth of all datagrams one in forty asks fails by chance, one in a thousand twice.
-const LOSSY: f64 = 0.15;
-/// And more than this are lost by a cut: at a fifth of all datagrams it is a third.
-const CUT: f64 = 0.45;
-/// Of an ask or an answer, what it has without news.
-const OWED: usize = 120;
-/// Asks of one's own rival until it is taken to be gone.
-const TRIES: u32 = 4;
-/// Tries of seeds and of the dead by all members together, a second.
-const TRIES_PER_S: f64 = 50.0;
-
-/// Something that has changed in the view.
+/// With more than this many updates queued each is sent only `CROWDED_TRANSMITS` times, and the checksums repair what
+/// is missed.
+const GOSSIP_CROWDED_LEN: usize = 48;
+const CROWDED_TRANSMITS: u32 = 4;
+/// The number of other members asked to probe a member that has not answered (SWIM's k).
+const INDIRECT_PROBES: usize = 3;
+/// How often an update is sent per doubling of the members: enough that a member misses it with a chance of one in
+/// thousands only, which the checksums then repair.
+const TRANSMITS_PER_DOUBLING: f64 = 1.5;
+/// The upper bound of the local health score (Lifeguard). Each point lengthens the probe interval and timeout by half.
+/// With Lifeguard's own bound, eight points of a whole interval each, the smaller side of a partition took half a minute
+/// to detect it.
+const MAX_LOCAL_HEALTH_SCORE: u32 = 4;
+/// The most probes that are tracked at a time, and the most changes kept until they are fetched.
+const MAX_PENDING_PROBES: usize = 512;
+const MAX_QUEUED_CHANGES: usize = 4096;
+/// The bytes that may be saved up for a burst, such as a simultaneous start or the end of a partition: 1,000 members
+/// agreed again after 5.6 to 6 s with this value, after 25 s with a quarter of it, and after 40 s with 64,000.
+const BURST_BYTES: f64 = 1_000_000.0;
+/// Above this share of lost probes a silent member is probed in another round before it is suspected: with a fifth of
+/// all datagrams lost one in forty probes fails by chance, and one in a thousand twice in a row.
+const LOSSY_PROBE_SHARE: f64 = 0.15;
+/// Above this share of lost probes the links are taken to be cut: with a fifth of all datagrams lost it is a third.
+const CUT_PROBE_SHARE: f64 = 0.45;
+/// The bytes of a probe or an ack without updates, which are not charged to the byte budget.
+const FREE_BYTES_PER_PROBE: usize = 120;
+/// The number of unanswered probes after which another process with this node's name is taken to be gone.
+const MAX_RIVAL_PROBES: u32 = 4;
+/// How often per second all members together try to reach seeds and dead members.
+const RECONNECTS_PER_S: f64 = 50.0;
+
+/// A change of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     pub at: Moment,
     pub name: String,
     pub generation: Generation,
     pub kind: ChangeKind,
-    /// Whose word it is: a member's name, or this node's own.
+    /// The node that reported the change: a member, or this node itself.
     pub reported_by: String,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
     Joined,
-    /// It is there under a new start.
+    /// The member runs under a new generation.
     Restarted,
-    /// It was suspected, dead or gone, and has refuted that.
+    /// The member was suspected, dead or had left, and has refuted that.
     Refuted,
     Suspected,
     Dead,
     Left,
     Forgotten,
-    /// It tells something else of itself.
+    /// The member's `NodeInfo` has changed.
     InfoChanged,
-    /// This node has raised its own edition or life above what was said of it.
+    /// This node has raised its own incarnation or generation above what was reported of it.
     SelfRefuted,
-    /// Another process has this node's name, and a later start.
+    /// Another process has this node's name and a later generation.
     NameTaken,
-    /// Nobody else is there any more, or somebody is there again.
+    /// No other member is present any more.
     Alone,
+    /// Another member is present again.
     NoLongerAlone,
 }
 
@@ -86,14 +89,14 @@
     pub fn as_str(self) -> &'static str {
         match self {
             ChangeKind::Joined => "joined",
-            ChangeKind::Restarted => "started again",
-            ChangeKind::Refuted => "alive after all",
+            ChangeKind::Restarted => "restarted",
+            ChangeKind::Refuted => "refuted the report and is alive",
             ChangeKind::Suspected => "suspected",
             ChangeKind::Dead => "dead",
             ChangeKind::Left => "left",
             ChangeKind::Forgotten => "forgotten",
-            ChangeKind::InfoChanged => "tells something else of itself",
-            ChangeKind::SelfRefuted => "this node refutes what was said of it",
+            ChangeKind::InfoChanged => "announced new information about itself",
+            ChangeKind::SelfRefuted => "this node refuted a report about itself",
             ChangeKind::NameTaken => "another process has this node's name",
             ChangeKind::Alone => "this node is alone",
             ChangeKind::NoLongerAlone => "this node is no longer alone",
@@ -107,59 +110,61 @@
     pub datagrams_received: u64,
     pub datagrams_sent: u64,
     pub bytes_sent: u64,
-    /// Dropped: from outside the networks, of another fleet, of another version, malformed, of an old life.
+    /// Dropped datagrams: from outside the allowed networks, of another fleet, of another version, malformed, and from an
+    /// old generation of their sender.
     pub outside_networks: u64,
     pub other_fleet: u64,
     pub other_version: u64,
     pub malformed: u64,
     pub old_generation: u64,
-    /// New members for whom there is no room.
+    /// New members that were ignored because `max_members` was reached.
     pub member_limit_reached: u64,
     pub changes: u64,
-    /// Times that this node was stopped or kept from its work for longer than half a period.
+    /// How often this node was stopped or stalled for longer than half a probe interval.
     pub stalls: u64,
 }
 
 #[derive(Clone)]
-enum Purpose {
-    /// The ask of this round.
-    Round,
-    /// Another one's ask, under its number there.
-    Relay { of: String, probe_id: u32, subject: String },
-    /// Whether another process answers to this node's name.
+enum ProbePurpose {
+    /// A probe of this node's current round.
+    Direct,
+    /// An indirect probe on behalf of another node, with that node's probe id.
+    Relay { requester: String, probe_id: u32, subject: String },
+    /// Checks whether another process with this node's name answers.
     Rival,
 }
 
 #[derive(Clone)]
 struct PendingProbe {
-    purpose: Purpose,
-    until: Moment,
-    sent: Moment,
+    purpose: ProbePurpose,
+    expires_at: Moment,
+    sent_at: Moment,
 }
 
-/// An ask of a round that is out.
+/// A direct probe of the current round that has not been answered yet.
 #[derive(Clone)]
-struct Round {
+struct RoundProbe {
     probe_id: u32,
     target: String,
     generation: Generation,
-    /// When others are asked to ask, if they have not been.
-    relay: Option<Moment>,
-    relays: usize,
-    nothings: usize,
-    /// It was asked in the round before, in vain.
-    again: bool,
+    /// When other members will be asked to probe the target; `None` once they have been asked.
+    indirect_at: Option<Moment>,
+    indirect_count: usize,
+    nacks: usize,
+    /// The target did not answer in the round before either.
+    is_retry: bool,
 }
 
+/// Another process with this node's name.
 #[derive(Clone)]
 struct Rival {
     address: SocketAddr,
     generation: Generation,
-    tries: u32,
+    unanswered_probes: u32,
     answered: bool,
 }
 
-/// Cloned by searches alone.
+/// A node's view of the fleet. It is cloned by the state-space search of `crates/fleet` only.
 #[derive(Clone)]
 pub struct View {
     pub config: ViewConfig,
@@ -170,40 +175,40 @@
     info: NodeInfo,
     load: Load,
     state: MemberState,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     members: BTreeMap<String, Member>,
     present_count: usize,
     digest: u64,
-    /// Members in the order in which they are asked, and how far this round of them is.
-    order: Vec<String>,
-    turn: usize,
-    rounds: Vec<Round>,
-    round_at: Moment,
+    /// Members in the order in which they are probed, and the position of the next one.
+    probe_order: Vec<String>,
+    probe_position: usize,
+    round_probes: Vec<RoundProbe>,
+    next_round_at: Moment,
     pending_probes: BTreeMap<u32, PendingProbe>,
-    last_ask: u32,
-    trouble: u32,
-    /// Of this node's own asks of late, the share that had no answer by themselves.
-    lossy: f64,
+    last_probe_id: u32,
+    local_health: u32,
+    /// A moving average of the share of this node's direct probes that were not answered directly.
+    lost_probe_share: f64,
     timers: BTreeSet<(Moment, String)>,
-    seeds_at: Moment,
+    next_seed_at: Moment,
     rival: Option<Rival>,
-    gossip: Gossip,
-    purse: ByteBudget,
-    differs: Option<Moment>,
-    exchange_at: Moment,
-    /// News has come that was of no use without a card.
-    lacking: bool,
-    out: VecDeque<(SocketAddr, Vec<u8>)>,
+    gossip: GossipQueue,
+    budget: ByteBudget,
+    differs_since: Option<Moment>,
+    next_exchange_at: Moment,
+    /// An update arrived that could not be applied because its `NodeInfo` is missing.
+    lacks_info: bool,
+    outbox: VecDeque<(SocketAddr, Vec<u8>)>,
     changes: VecDeque<Change>,
     counters: Counters,
-    alone: bool,
-    born: Moment,
-    stalled: Option<Moment>,
-    answered: Option<Moment>,
+    was_alone: bool,
+    started_at: Moment,
+    resumed_at: Option<Moment>,
+    last_answered: Option<Moment>,
 }
 
 impl View {
-    /// A node's view at its start: it knows itself, and where the seeds are.
+    /// The view of a starting node, which knows only itself and the seeds. `seed` seeds the random generator.
     pub fn new(
         now: Moment,
         config: ViewConfig,
@@ -212,9 +217,9 @@
         info: NodeInfo,
         seed: u64,
     ) -> View {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let first = Span(chance.random_range(0..=config.timing.probe_interval.0));
-        let purse = ByteBudget::new(now, f64::from(config.bytes_per_s), BURST);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let first_round_delay = Span(rng.random_range(0..=config.timing.probe_interval.0));
+        let budget = ByteBudget::new(now, f64::from(config.bytes_per_s), BURST_BYTES);
         let mut view = View {
             name: name.to_owned(),
             generation,
@@ -223,33 +228,33 @@
             info,
             load: Load::default(),
             state: MemberState::Alive,
-            chance,
+            rng,
             members: BTreeMap::new(),
             present_count: 1,
-            digest: sums::part(name, generation, Incarnation(0)),
-            order: Vec::new(),
-            turn: 0,
-            rounds: Vec::new(),
-            round_at: now + first,
+            digest: checksums::member_hash(name, generation, Incarnation(0)),
+            probe_order: Vec::new(),
+            probe_position: 0,
+            round_probes: Vec::new(),
+            next_round_at: now + first_round_delay,
             pending_probes: BTreeMap::new(),
-            last_ask: 0,
-            trouble: 0,
-            lossy: 0.0,
+            last_probe_id: 0,
+            local_health: 0,
+            lost_probe_share: 0.0,
             timers: BTreeSet::new(),
-            seeds_at: now,
+            next_seed_at: now,
             rival: None,
-            gossip: Gossip::default(),
-            purse,
-            differs: None,
-            exchange_at: now,
-            lacking: false,
-            out: VecDeque::new(),
+            gossip: GossipQueue::default(),
+            budget,
+            differs_since: None,
+            next_exchange_at: now,
+            lacks_info: false,
+            outbox: VecDeque::new(),
             changes: VecDeque::new(),
             counters: Counters::default(),
-            alone: true,
-            born: now,
-            stalled: None,
-            answered: None,
+            was_alone: true,
+            started_at: now,
+            resumed_at: None,
+            last_answered: None,
             config,
         };
         view.gossip.add(name);
@@ -276,7 +281,7 @@
         self.load
     }
 
-    /// All others that are known, the dead too until they are forgotten.
+    /// All other known members, including dead and departed ones until they are forgotten.
     pub fn members(&self) -> impl Iterator<Item = (&str, &Member)> {
         self.members.iter().map(|(name, member)| (name.as_str(), member))
     }
@@ -285,12 +290,12 @@
         self.members.get(name)
     }
 
-    /// How many are here, this node among them.
+    /// The number of members present, including this node.
     pub fn present_count(&self) -> usize {
         self.present_count
     }
 
-    /// Of all that are here, by name, life and edition: equal where two views are.
+    /// A digest over the name, generation and incarnation of all present members: equal where two views agree.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -299,52 +304,60 @@
         self.counters
     }
 
-    /// How much this node's own troubles stretch its times: 0 for not at all.
+    /// Lifeguard's local health score: 0 for healthy, and greater the more this node's timings are lengthened.
     pub fn local_health_score(&self) -> u32 {
-        self.trouble
+        self.local_health
     }
 
     pub fn is_alone(&self) -> bool {
         self.present_count == 1
     }
 
-    /// Where another process with this node's name and a later start is, if one has answered.
+    /// The address of another process with this node's name and a later generation, if one has answered.
     pub fn displaced_by(&self) -> Option<SocketAddr> {
         self.rival.as_ref().filter(|rival| rival.answered).map(|rival| rival.address)
     }
 
-    /// When it began, or went on after being kept from its work for longer than it may be out of touch.
+    /// When this node started, or resumed after a stall of more than `release_after`.
     pub fn running_since(&self) -> Moment {
-        self.stalled.map_or(self.born, |at| at.max(self.born))
+        self.resumed_at.map_or(self.started_at, |at| at.max(self.started_at))
     }
 
-    /// When an ask of this node's was last answered.
+    /// When a probe of this node was last answered.
     pub fn last_answered(&self) -> Option<Moment> {
-        self.answered
+        self.last_answered
     }
 
+    /// The oldest change that has not been fetched yet.
     pub fn next_change(&mut self) -> Option<Change> {
         self.changes.pop_front()
     }
 
-    /// The next datagram to send.
+    /// The next datagram to send, with its destination.
     pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        self.out.pop_front()
+        self.outbox.pop_front()
     }
 
-    /// When it wants to be called next.
+    /// When `handle_timeout` is to be called next.
     pub fn next_timeout(&self) -> Moment {
-        let relay = self.rounds.iter().filter_map(|round| round.relay).min();
+        let indirect = self.round_probes.iter().filter_map(|round| round.indirect_at).min();
         let timer = self.timers.first().map(|(at, _)| *at);
-        let probe_id = self.pending_probes.values().map(|asked| asked.until).min();
-        let soonest = [relay, timer, probe_id].into_iter().flatten().min();
-        let own = self.round_at.min(self.seeds_at);
+        let expiry = self.pending_probes.values().map(|probe| probe.expires_at).min();
+        let soonest = [indirect, timer, expiry].into_iter().flatten().min();
+        let own = self.next_round_at.min(self.next_seed_at);
         soonest.map_or(own, |at| at.min(own))
     }
 
-    fn note(&mut self, now: Moment, name: &str, generation: Generation, kind: ChangeKind, by: &str) {
+    fn record_change(
+        &mut self,
+        now: Moment,
+        name: &str,
+        generation: Generation,
+        kind: ChangeKind,
+        reporter: &str,
+    ) {
         self.counters.changes += 1;
-        if self.changes.len() >= CHANGES {
+        if self.changes.len() >= MAX_QUEUED_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back(Change {
@@ -352,18 +365,18 @@
             name: name.to_owned(),
             generation,
             kind,
-            reported_by: by.to_owned(),
+            reported_by: reporter.to_owned(),
         });
     }
 
-    /// Other terms, as the operators' file now says. What is known stays.
+    /// Applies a changed membership file. The knowledge about members stays.
     pub fn reconfigure(&mut self, now: Moment, config: ViewConfig) {
-        self.purse = ByteBudget::new(now, f64::from(config.bytes_per_s), BURST);
+        self.budget = ByteBudget::new(now, f64::from(config.bytes_per_s), BURST_BYTES);
         self.config = config;
-        self.seeds_at = now;
+        self.next_seed_at = now;
     }
 
-    /// What this node says of itself from now on.
+    /// Sets what this node announces about itself from now on.
     pub fn update_self(&mut self, info: &NodeInfo, load: Load) {
         self.load = load;
         if self.info != *info {
@@ -375,33 +388,33 @@
     }
 
     fn raise_incarnation(&mut self, incarnation: Incarnation) {
-        self.digest ^= sums::part(&self.name, self.generation, self.incarnation);
+        self.digest ^= checksums::member_hash(&self.name, self.generation, self.incarnation);
         self.incarnation = incarnation;
-        self.digest ^= sums::part(&self.name, self.generation, self.incarnation);
+        self.digest ^= checksums::member_hash(&self.name, self.generation, self.incarnation);
     }
 
-    /// Begins another life: the one that it was said to have is over, or was never its own.
+    /// Starts a new generation of this node above the given one, which has ended or was never its own.
     pub fn raise_generation(&mut self, now: Moment, above: Generation) {
-        self.digest ^= sums::part(&self.name, self.generation, self.incarnation);
+        self.digest ^= checksums::member_hash(&self.name, self.generation, self.incarnation);
         (self.generation, self.incarnation, self.info_incarnation) =
             (Generation(above.0.max(self.generation.0) + 1), Incarnation(0), Incarnation(0));
-        self.digest ^= sums::part(&self.name, self.generation, self.incarnation);
+        self.digest ^= checksums::member_hash(&self.name, self.generation, self.incarnation);
         (self.rival, self.state) = (None, MemberState::Alive);
-        self.announce(now);
+        self.announce_self(now);
     }
 
-    fn announce(&mut self, now: Moment) {
+    fn announce_self(&mut self, now: Moment) {
         let (name, generation) = (self.name.clone(), self.generation);
         self.gossip.add(&name);
-        self.note(now, &name, generation, ChangeKind::SelfRefuted, &name);
+        self.record_change(now, &name, generation, ChangeKind::SelfRefuted, &name);
     }
 
-    /// Goes, and says so to some of those that are here. Nothing is sent after that.
+    /// Leaves the fleet and informs some of the present members. Nothing is sent after that.
     pub fn leave(&mut self, now: Moment) {
         self.state = MemberState::Left;
         let name = self.name.clone();
         self.gossip.add(&name);
-        for other in self.some(2 * RELAYS, None) {
+        for other in self.random_members(2 * INDIRECT_PROBES, None) {
             self.send(now, &other, Kind::Updates, 0, None);
         }
     }
@@ -411,29 +424,31 @@
         self.config.address_overrides.get(name).copied().or_else(known)
     }
 
-    fn stretch(&self, span: Span) -> Span {
-        Span(span.0 * u64::from(self.trouble + 2) / 2)
+    /// Lengthens a timing by the local health score.
+    fn scale_by_health(&self, span: Span) -> Span {
+        Span(span.0 * u64::from(self.local_health + 2) / 2)
     }
 
-    fn trouble_by(&mut self, by: i32) {
-        self.trouble = self.trouble.saturating_add_signed(by).min(TROUBLE);
+    fn adjust_local_health(&mut self, change: i32) {
+        self.local_health = self.local_health.saturating_add_signed(change).min(MAX_LOCAL_HEALTH_SCORE);
     }
 
-    /// Kept from its work for long, a node has no word on who was silent: nothing is held against anybody.
-    fn wake(&mut self, now: Moment) {
+    /// Detects that this node was stalled. It cannot tell then which members were silent, so pending probes are dropped
+    /// and all member timers are extended by the stall.
+    fn detect_stall(&mut self, now: Moment) {
         let late = now.since(self.next_timeout());
         if late.0 <= self.config.timing.probe_interval.0 / 2 {
             return;
         }
         self.counters.stalls += 1;
         if late > self.config.timing.release_after {
-            self.stalled = Some(now);
+            self.resumed_at = Some(now);
         }
-        self.rounds.clear();
+        self.round_probes.clear();
         self.pending_probes.clear();
-        (self.round_at, self.seeds_at) = (now, self.seeds_at.max(now));
-        let periods = late.0 / self.config.timing.probe_interval.0.max(1);
-        self.trouble_by(periods.clamp(1, u64::from(TROUBLE)) as i32);
+        (self.next_round_at, self.next_seed_at) = (now, self.next_seed_at.max(now));
+        let missed_rounds = late.0 / self.config.timing.probe_interval.0.max(1);
+        self.adjust_local_health(missed_rounds.clamp(1, u64::from(MAX_LOCAL_HEALTH_SCORE)) as i32);
         let timers: Vec<String> = self.timers.iter().map(|(_, name)| name.clone()).collect();
         self.timers.clear();
         for name in timers {
@@ -444,6 +459,7 @@
         }
     }
 
+    /// Replaces the timer of a member.
     fn set_timer(&mut self, name: &str, at: Option<Moment>) {
         let Some(member) = self.members.get_mut(name) else { return };
         if let Some(before) = member.timer.take() {
@@ -455,93 +471,102 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Does everything that is due.
     pub fn handle_timeout(&mut self, now: Moment) {
-        self.wake(now);
+        self.detect_stall(now);
         if self.state == MemberState::Left {
-            (self.round_at, self.seeds_at) =
+            (self.next_round_at, self.next_seed_at) =
                 (now + self.config.timing.seed_interval, now + self.config.timing.seed_interval);
             return;
         }
-        let over = |(number, asked): (&u32, &PendingProbe)| (asked.until <= now).then_some(*number);
-        let over: Vec<u32> = self.pending_probes.iter().filter_map(over).collect();
-        for number in over {
-            if let Some(PendingProbe { purpose: Purpose::Relay { of, probe_id, .. }, .. }) =
-                self.pending_probes.remove(&number)
+        let expired = |(id, probe): (&u32, &PendingProbe)| (probe.expires_at <= now).then_some(*id);
+        let expired: Vec<u32> = self.pending_probes.iter().filter_map(expired).collect();
+        for id in expired {
+            if let Some(PendingProbe { purpose: ProbePurpose::Relay { requester, probe_id, .. }, .. }) =
+                self.pending_probes.remove(&id)
             {
-                self.send(now, &of, Kind::Nack, probe_id, None);
+                self.send(now, &requester, Kind::Nack, probe_id, None);
             }
         }
         while let Some((at, name)) = self.timers.first().filter(|(at, _)| *at <= now).cloned() {
             self.timers.remove(&(at, name.clone()));
-            self.timer(now, &name);
+            self.member_timeout(now, &name);
         }
-        for probe_id in 0..self.rounds.len() {
-            if self.rounds[probe_id].relay.is_some_and(|at| at <= now) {
-                self.relay(now, probe_id);
+        for index in 0..self.round_probes.len() {
+            if self.round_probes[index].indirect_at.is_some_and(|at| at <= now) {
+                self.probe_indirectly(now, index);
             }
         }
-        if self.seeds_at <= now {
-            self.try_again(now);
+        if self.next_seed_at <= now {
+            self.reconnect(now);
         }
-        if self.round_at <= now {
-            let again = self.end_round(now);
-            self.round_at = now + self.stretch(self.config.timing.probe_interval);
+        if self.next_round_at <= now {
+            let retries = self.end_round(now);
+            self.next_round_at = now + self.scale_by_health(self.config.timing.probe_interval);
             if self.displaced_by().is_none() {
-                self.begin_round(now, again);
+                self.begin_round(now, retries);
             }
         }
-        self.look_round(now);
+        self.check_alone(now);
     }
 
-    fn look_round(&mut self, now: Moment) {
-        if self.alone != self.is_alone() {
-            self.alone = self.is_alone();
+    /// Records a change when this node becomes alone or stops being alone.
+    fn check_alone(&mut self, now: Moment) {
+        if self.was_alone != self.is_alone() {
+            self.was_alone = self.is_alone();
             let (name, generation) = (self.name.clone(), self.generation);
-            let kind = if self.alone { ChangeKind::Alone } else { ChangeKind::NoLongerAlone };
-            self.note(now, &name, generation, kind, &name);
+            let kind = if self.was_alone { ChangeKind::Alone } else { ChangeKind::NoLongerAlone };
+            self.record_change(now, &name, generation, kind, &name);
         }
     }
 
-    /// A suspicion is over, or the time to forget has come.
-    fn timer(&mut self, now: Moment, name: &str) {
+    /// A member's timer has fired: its suspicion ends in death, or it is forgotten.
+    fn member_timeout(&mut self, now: Moment, name: &str) {
         let Some(member) = self.members.get_mut(name) else { return };
         member.timer = None;
         let generation = member.generation;
         match member.state {
             MemberState::Suspect => {
-                let by = self.name.clone();
-                self.set(now, name, MemberState::Dead, &by);
+                let reporter = self.name.clone();
+                self.set_state(now, name, MemberState::Dead, &reporter);
                 self.gossip.add(name);
             }
             MemberState::Dead | MemberState::Left => {
                 self.members.remove(name);
-                self.gossip.drop(name);
-                let by = self.name.clone();
-                self.note(now, name, generation, ChangeKind::Forgotten, &by);
+                self.gossip.remove(name);
+                let reporter = self.name.clone();
+                self.record_change(now, name, generation, ChangeKind::Forgotten, &reporter);
             }
             MemberState::Alive => {}
         }
     }
 
-    /// Sets what is believed of a member, in the same life and edition.
-    fn set(&mut self, now: Moment, name: &str, state: MemberState, by: &str) {
+    /// Sets a member's state within the same generation and incarnation.
+    fn set_state(&mut self, now: Moment, name: &str, state: MemberState, reporter: &str) {
         let kind = match state {
             MemberState::Alive => ChangeKind::Refuted,
             MemberState::Suspect => ChangeKind::Suspected,
             MemberState::Dead => ChangeKind::Dead,
             MemberState::Left => ChangeKind::Left,
         };
-        self.set_for(now, name, state, by, kind);
+        self.set_state_as(now, name, state, reporter, kind);
     }
 
-    fn set_for(&mut self, now: Moment, name: &str, state: MemberState, by: &str, kind: ChangeKind) {
+    /// As `set_state`, recorded as a change of the given kind.
+    fn set_state_as(
+        &mut self,
+        now: Moment,
+        name: &str,
+        state: MemberState,
+        reporter: &str,
+        kind: ChangeKind,
+    ) {
         let Some(member) = self.members.get_mut(name) else { return };
-        let (was, generation, incarnation) = (member.state, member.generation, member.incarnation);
-        (member.state, member.state_since, member.reported_by) = (state, now, by.to_owned());
+        let (old_state, generation, incarnation) = (member.state, member.generation, member.incarnation);
+        (member.state, member.state_since, member.reported_by) = (state, now, reporter.to_owned());
         member.suspected_by.clear();
-        if was.is_present() != state.is_present() {
-            self.digest ^= sums::part(name, generation, incarnation);
+        if old_state.is_present() != state.is_present() {
+            self.digest ^= checksums::member_hash(name, generation, incarnation);
             match state.is_present() {
                 true => self.present_count += 1,
                 false => self.present_count -= 1,
@@ -549,14 +574,14 @@
         }
         self.set_timer(name, (!state.is_present()).then(|| now + self.config.timing.forget_after));
         if state == MemberState::Suspect {
-            self.confirm(name, by);
+            self.confirm_suspicion(name, reporter);
         }
-        self.note(now, name, generation, kind, by);
+        self.record_change(now, name, generation, kind, reporter);
     }
 
-    /// A datagram that came from there.
+    /// Processes a datagram received from that address.
     pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
-        self.wake(now);
+        self.detect_stall(now);
         if !self.config.allows(from) {
             self.counters.outside_networks += 1;
             return;
@@ -582,14 +607,15 @@
         }
         self.counters.datagrams_received += 1;
         if self.state != MemberState::Left {
-            self.take(now, datagram);
-            self.look_round(now);
+            self.handle_datagram(now, datagram);
+            self.check_alone(now);
         }
     }
 
-    fn take(&mut self, now: Moment, datagram: Datagram) {
+    /// Merges the updates of a valid datagram and answers it.
+    fn handle_datagram(&mut self, now: Moment, datagram: Datagram) {
         if datagram.sender == self.name {
-            self.namesake(now, &datagram);
+            self.handle_own_name(now, &datagram);
             return;
         }
         let known = self
@@ -597,21 +623,22 @@
             .get(&datagram.sender)
             .map(|member| (member.generation, member.state, member.incarnation));
         if known.is_some_and(|(generation, _, _)| generation > datagram.generation) {
-            // An old life, or a second process of that name: it is to know that there is a later one.
+            // The sender is an old generation, or a second process of that name. It is informed of the later one.
             self.counters.old_generation += 1;
-            let news = self.news(&datagram.sender, true);
-            self.tell(now, datagram.address, news);
+            let update = self.update_about(&datagram.sender, true);
+            self.send_update(now, datagram.address, update);
             return;
         }
-        for news in datagram.updates.iter().flatten() {
-            // What is told to mend a view is no news to all: whoever lacks it finds out in the same way.
-            let spread = datagram.kind != Kind::Updates || news.name == datagram.sender;
-            self.learn(now, news, &datagram.sender, spread);
+        for update in datagram.updates.iter().flatten() {
+            // Updates that repair this view are not gossiped further: other nodes that miss them are repaired in the
+            // same way.
+            let gossip_further = datagram.kind != Kind::Updates || update.name == datagram.sender;
+            self.merge(now, update, &datagram.sender, gossip_further);
         }
-        let said = (datagram.generation, datagram.incarnation);
-        self.lacking |=
-            self.members.get(&datagram.sender).is_some_and(|m| (m.generation, m.incarnation) < said);
-        let stranger = match self
+        let announced = (datagram.generation, datagram.incarnation);
+        self.lacks_info |=
+            self.members.get(&datagram.sender).is_some_and(|m| (m.generation, m.incarnation) < announced);
+        let sender_is_unknown = match self
             .members
             .get_mut(&datagram.sender)
             .filter(|member| member.generation == datagram.generation)
@@ -623,37 +650,38 @@
             }
             None => true,
         };
-        self.accuse(now, &datagram);
-        let at = match stranger {
+        self.notify_accused(now, &datagram);
+        let at = match sender_is_unknown {
             true => datagram.address,
             false => self.address(&datagram.sender).unwrap_or(datagram.address),
         };
         match datagram.kind {
             Kind::Ping => {
-                let target = if stranger { None } else { Some(datagram.sender.as_str()) };
-                self.answer(now, at, target, datagram.probe_id, stranger);
+                let target = if sender_is_unknown { None } else { Some(datagram.sender.as_str()) };
+                self.send_ack(now, at, target, datagram.probe_id, sender_is_unknown);
             }
             Kind::Ack => {
-                self.answered_by(now, &datagram);
-                if stranger || datagram.wants_info == Some(true) {
-                    let own = self.news(&self.name.clone(), true);
-                    self.tell(now, at, own);
+                self.handle_ack(now, &datagram);
+                if sender_is_unknown || datagram.wants_info == Some(true) {
+                    let own = self.update_about(&self.name.clone(), true);
+                    self.send_update(now, at, own);
                 }
             }
-            Kind::PingReq => self.ask_for(now, &datagram),
+            Kind::PingReq => self.handle_ping_req(now, &datagram),
             Kind::Nack => {
-                if let Some(round) = self.rounds.iter_mut().find(|round| round.probe_id == datagram.probe_id)
+                if let Some(round) =
+                    self.round_probes.iter_mut().find(|round| round.probe_id == datagram.probe_id)
                 {
-                    round.nothings += 1;
+                    round.nacks += 1;
                 }
             }
-            Kind::Checksums => self.sums(now, at, &datagram),
+            Kind::Checksums => self.handle_checksums(now, at, &datagram),
             Kind::Updates => {}
         }
-        self.compare(now, at, &datagram);
+        self.compare_digest(now, at, &datagram);
     }
 
-    /// Of what is held, to be tested against its bounds: asks out, and news still to be told.
+    /// The number of tracked probes and of queued updates, which tests compare with their bounds.
     pub fn pending_counts(&self) -> (usize, usize) {
         (self.pending_probes.len(), self.gossip.len())
     }
--- a/crates/view/src/view/probe.rs
+++ b/crates/view/src/view/probe.rs
@@ -1,6 +1,10 @@
-//! Asks: one member a round, others where it does not answer, seeds and the dead now and then; and answers to them.
+//! Probing: one member per round, indirect probes where it does not answer, occasional probes of seeds and dead members,
+//! and the answers to probes.
 
-use super::{PendingProbe, Purpose, Round, View, ASKS, CROWD, CUT, LOSSY, RELAYS, TRIES, TRIES_PER_S};
+use super::{
+    PendingProbe, ProbePurpose, RoundProbe, View, CUT_PROBE_SHARE, GOSSIP_CROWDED_LEN, INDIRECT_PROBES,
+    LOSSY_PROBE_SHARE, MAX_PENDING_PROBES, MAX_RIVAL_PROBES, RECONNECTS_PER_S,
+};
 use crate::member::{suspicion_timeout, MAX_CONFIRMATIONS};
 use crate::node_info::MemberState;
 use crate::wire::{Datagram, Kind};
@@ -11,239 +15,253 @@
 use yarrowfront::times::{Moment, Span};
 
 impl View {
-    /// So many members that are here, by chance.
-    pub(super) fn some(&mut self, most: usize, but: Option<&str>) -> Vec<String> {
+    /// Up to `max` random present members, without the excepted one.
+    pub(super) fn random_members(&mut self, max: usize, except: Option<&str>) -> Vec<String> {
         let mut found: Vec<String> = Vec::new();
-        let mut tries = 4 * most + 8;
-        while found.len() < most.min(self.present_count - 1) && tries > 0 && !self.order.is_empty() {
-            tries -= 1;
-            let name = &self.order[self.chance.random_range(0..self.order.len())];
-            let here = self.members.get(name).is_some_and(|member| member.state.is_present());
-            if here && but != Some(name.as_str()) && !found.contains(name) {
+        let mut attempts = 4 * max + 8;
+        while found.len() < max.min(self.present_count - 1) && attempts > 0 && !self.probe_order.is_empty() {
+            attempts -= 1;
+            let name = &self.probe_order[self.rng.random_range(0..self.probe_order.len())];
+            let is_present = self.members.get(name).is_some_and(|member| member.state.is_present());
+            if is_present && except != Some(name.as_str()) && !found.contains(name) {
                 found.push(name.clone());
             }
         }
         found
     }
 
-    pub(super) fn number(&mut self, now: Moment, purpose: Purpose, span: Span) -> u32 {
-        self.last_ask = self.last_ask.wrapping_add(1).max(1);
-        if self.pending_probes.len() >= ASKS {
+    /// Assigns a probe id and tracks the probe until it expires. The oldest tracked probe is dropped at the limit.
+    pub(super) fn register_probe(&mut self, now: Moment, purpose: ProbePurpose, span: Span) -> u32 {
+        self.last_probe_id = self.last_probe_id.wrapping_add(1).max(1);
+        if self.pending_probes.len() >= MAX_PENDING_PROBES {
             self.pending_probes.pop_first();
         }
-        self.pending_probes.insert(self.last_ask, PendingProbe { purpose, until: now + span, sent: now });
-        self.last_ask
+        self.pending_probes
+            .insert(self.last_probe_id, PendingProbe { purpose, expires_at: now + span, sent_at: now });
+        self.last_probe_id
     }
 
-    /// The next one that is here, each once before any is asked again.
+    /// The next present member to probe. Each is probed once, in random order, before any is probed again.
     pub(super) fn next_target(&mut self) -> Option<String> {
         for _ in 0..2 {
-            while self.turn < self.order.len() {
-                let name = &self.order[self.turn];
-                self.turn += 1;
+            while self.probe_position < self.probe_order.len() {
+                let name = &self.probe_order[self.probe_position];
+                self.probe_position += 1;
                 if self.members.get(name).is_some_and(|member| member.state.is_present()) {
                     return Some(name.clone());
                 }
             }
-            self.turn = 0;
-            self.order =
+            self.probe_position = 0;
+            self.probe_order =
                 self.members.iter().filter(|(_, m)| m.state.is_present()).map(|(n, _)| n.clone()).collect();
-            self.order.shuffle(&mut self.chance);
+            self.probe_order.shuffle(&mut self.rng);
         }
         None
     }
 
-    /// Asks the next member, and those that did not answer on a lossy way.
-    pub(super) fn begin_round(&mut self, now: Moment, again: Vec<String>) {
-        let next = self.next_target().filter(|name| !again.contains(name));
-        let again = again.into_iter().map(|name| (name, true));
-        for (target, again) in again.chain(next.map(|name| (name, false))) {
-            self.begin_ask(now, target, again);
+    /// Starts a probe round: the next member, and the retries that a lossy network allows.
+    pub(super) fn begin_round(&mut self, now: Moment, retries: Vec<String>) {
+        let next = self.next_target().filter(|name| !retries.contains(name));
+        let retries = retries.into_iter().map(|name| (name, true));
+        for (target, is_retry) in retries.chain(next.map(|name| (name, false))) {
+            self.start_probe(now, target, is_retry);
         }
-        // One that is suspected is to hear of it, and to have another chance to be heard. Its silence then confirms
-        // nothing: hundreds that ask one member on a lossy way would soon find it silent three times by chance.
-        let suspected = |name: &&String| self.members[*name].state == MemberState::Suspect;
-        let timed = self.timers.iter().take(16).map(|(_, name)| name).filter(suspected).cloned();
-        let timed: Vec<String> = timed.collect();
-        if !timed.is_empty() {
-            let name = timed[self.chance.random_range(0..timed.len())].clone();
+        // A suspect is to learn of the suspicion and to get another chance to answer. If it stays silent here, that does
+        // not confirm the suspicion: hundreds of nodes probing one member over lossy links would soon find it silent
+        // three times by chance.
+        let is_suspect = |name: &&String| self.members[*name].state == MemberState::Suspect;
+        let suspects = self.timers.iter().take(16).map(|(_, name)| name).filter(is_suspect).cloned();
+        let suspects: Vec<String> = suspects.collect();
+        if !suspects.is_empty() {
+            let name = suspects[self.rng.random_range(0..suspects.len())].clone();
             self.send(now, &name, Kind::Ping, 0, Some(&name));
         }
     }
 
-    fn begin_ask(&mut self, now: Moment, target: String, again: bool) {
-        let period = self.stretch(self.config.timing.probe_interval);
-        let probe_id = self.number(now, Purpose::Round, Span(period.0 * 2));
-        let relay = Some(now + self.stretch(self.config.timing.probe_timeout));
+    fn start_probe(&mut self, now: Moment, target: String, is_retry: bool) {
+        let interval = self.scale_by_health(self.config.timing.probe_interval);
+        let probe_id = self.register_probe(now, ProbePurpose::Direct, Span(interval.0 * 2));
+        let indirect_at = Some(now + self.scale_by_health(self.config.timing.probe_timeout));
         let Some(member) = self.members.get_mut(&target) else { return };
         member.probes_sent += 1;
         let generation = member.generation;
-        self.rounds.push(Round {
+        self.round_probes.push(RoundProbe {
             probe_id,
             target: target.clone(),
             generation,
-            relay,
-            relays: 0,
-            nothings: 0,
-            again,
+            indirect_at,
+            indirect_count: 0,
+            nacks: 0,
+            is_retry,
         });
         self.send(now, &target, Kind::Ping, probe_id, Some(&target));
     }
 
-    /// One has not answered: others are asked to ask it, and it is asked once more.
-    pub(super) fn relay(&mut self, now: Moment, place: usize) {
-        let (probe_id, target) = (self.rounds[place].probe_id, self.rounds[place].target.clone());
-        // Where most asks fail it is the way that is cut, and one other is enough to tell.
-        let most = if self.lossy > CUT { 1 } else { RELAYS };
-        let relays = self.some(most, Some(&target));
-        (self.rounds[place].relay, self.rounds[place].relays) = (None, relays.len());
+    /// A probe timed out: asks other members to probe the target, and probes it once more directly.
+    pub(super) fn probe_indirectly(&mut self, now: Moment, round_index: usize) {
+        let (probe_id, target) =
+            (self.round_probes[round_index].probe_id, self.round_probes[round_index].target.clone());
+        // Where most probes fail the links are cut, and one relay is enough to find out.
+        let relay_count = if self.lost_probe_share > CUT_PROBE_SHARE { 1 } else { INDIRECT_PROBES };
+        let relays = self.random_members(relay_count, Some(&target));
+        (self.round_probes[round_index].indirect_at, self.round_probes[round_index].indirect_count) =
+            (None, relays.len());
         for name in relays {
             self.send(now, &name, Kind::PingReq, probe_id, Some(&target));
         }
         self.send(now, &target, Kind::Ping, probe_id, Some(&target));
     }
 
-    /// Whoever has not been heard by now is suspected; on a lossy way only after another round, for which they are
-    /// returned.
+    /// Ends the round: members that have not answered are suspected. Where many probes are lost they are returned instead,
+    /// to be probed in another round first.
     pub(super) fn end_round(&mut self, now: Moment) -> Vec<String> {
-        let (mut again, by) = (Vec::new(), self.name.clone());
-        for round in std::mem::take(&mut self.rounds) {
-            // Others that could not be heard either tell of troubles of one's own.
-            self.trouble_by(1 + round.relays.saturating_sub(round.nothings) as i32);
+        let (mut retries, reporter) = (Vec::new(), self.name.clone());
+        for round in std::mem::take(&mut self.round_probes) {
+            // Relays that have not answered either, not even with a nack, indicate trouble at this node.
+            self.adjust_local_health(1 + round.indirect_count.saturating_sub(round.nacks) as i32);
             let Some(member) = self.members.get_mut(&round.target) else { continue };
             member.probes_lost += 1;
-            self.lossy += 0.05 * (1.0 - self.lossy);
-            if member.state == MemberState::Alive && self.lossy > LOSSY && !round.again {
-                again.push(round.target);
+            self.lost_probe_share += 0.05 * (1.0 - self.lost_probe_share);
+            if member.state == MemberState::Alive
+                && self.lost_probe_share > LOSSY_PROBE_SHARE
+                && !round.is_retry
+            {
+                retries.push(round.target);
             } else if member.state == MemberState::Alive && member.generation == round.generation {
-                self.set(now, &round.target, MemberState::Suspect, &by);
+                self.set_state(now, &round.target, MemberState::Suspect, &reporter);
                 self.gossip.add(&round.target);
-            } else if member.state == MemberState::Suspect && self.confirm(&round.target, &by) {
-                self.confirmed(&round.target);
+            } else if member.state == MemberState::Suspect && self.confirm_suspicion(&round.target, &reporter)
+            {
+                self.gossip_confirmation(&round.target);
             }
         }
-        again
+        retries
     }
 
-    /// One more suspects it: the suspicion becomes shorter.
-    pub(super) fn confirm(&mut self, name: &str, by: &str) -> bool {
-        let (period, here) = (self.config.timing.probe_interval, self.present_count);
+    /// Records another node's suspicion, which shortens the timeout. Returns false if it adds nothing.
+    pub(super) fn confirm_suspicion(&mut self, name: &str, by: &str) -> bool {
+        let (interval, members) = (self.config.timing.probe_interval, self.present_count);
         let Some(member) = self.members.get_mut(name) else { return false };
         if member.suspected_by.len() > MAX_CONFIRMATIONS || member.suspected_by.iter().any(|one| one == by) {
             return false;
         }
         member.suspected_by.push(by.to_owned());
-        let over = member.state_since + suspicion_timeout(period, here, member.suspected_by.len());
-        self.set_timer(name, Some(over));
+        let timeout = member.state_since + suspicion_timeout(interval, members, member.suspected_by.len());
+        self.set_timer(name, Some(timeout));
         true
     }
 
-    /// A confirmation is news too, but the first to be spared when there is much else.
-    pub(super) fn confirmed(&mut self, name: &str) {
-        if self.gossip.len() <= CROWD {
+    /// Gossips the confirmation of a suspicion, unless many other updates are queued.
+    pub(super) fn gossip_confirmation(&mut self, name: &str) {
+        if self.gossip.len() <= GOSSIP_CROWDED_LEN {
             self.gossip.add(name);
         }
     }
 
-    /// Tries the seeds and one of the dead, as often as all together may: so two halves that have forgotten each
-    /// other meet again.
-    pub(super) fn try_again(&mut self, now: Moment) {
+    /// Tries to reach the seeds and one dead member, at a rate shared by all members. Two halves of a fleet that have
+    /// forgotten each other find each other again in this way.
+    pub(super) fn reconnect(&mut self, now: Moment) {
         let timing = &self.config.timing;
-        let pause = timing.seed_interval.0.max((self.present_count as f64 / TRIES_PER_S * 1e6) as u64);
-        self.seeds_at = now + Span(self.chance.random_range(pause / 2..=pause * 3 / 2));
+        let pause = timing.seed_interval.0.max((self.present_count as f64 / RECONNECTS_PER_S * 1e6) as u64);
+        self.next_seed_at = now + Span(self.rng.random_range(pause / 2..=pause * 3 / 2));
         if let Some(mut rival) = self.rival.take() {
-            rival.tries += 1;
-            if rival.tries > TRIES {
+            rival.unanswered_probes += 1;
+            if rival.unanswered_probes > MAX_RIVAL_PROBES {
                 self.raise_generation(now, rival.generation);
             } else {
                 let (at, name) = (rival.address, self.name.clone());
                 self.rival = Some(rival);
-                let probe_id = self.number(now, Purpose::Rival, self.config.timing.seed_interval);
+                let probe_id =
+                    self.register_probe(now, ProbePurpose::Rival, self.config.timing.seed_interval);
                 self.send_to(now, at, Some(&name), Kind::Ping, probe_id, None);
             }
         }
-        let here: BTreeSet<SocketAddr> = self
+        let present: BTreeSet<SocketAddr> = self
             .members
             .iter()
             .filter(|(_, m)| m.state.is_present())
             .filter_map(|(n, _)| self.address(n))
             .collect();
-        let away = |at: &&SocketAddr| !here.contains(at) && **at != self.info.address;
-        let mut seeds: Vec<SocketAddr> = self.config.seeds.iter().filter(away).copied().collect();
-        seeds.shuffle(&mut self.chance);
-        for at in seeds.into_iter().take(RELAYS) {
+        let is_absent = |at: &&SocketAddr| !present.contains(at) && **at != self.info.address;
+        let mut seeds: Vec<SocketAddr> = self.config.seeds.iter().filter(is_absent).copied().collect();
+        seeds.shuffle(&mut self.rng);
+        for at in seeds.into_iter().take(INDIRECT_PROBES) {
             self.send_to(now, at, None, Kind::Ping, 0, None);
         }
         let dead: Vec<&String> =
             self.members.iter().filter(|(_, m)| !m.state.is_present()).map(|(n, _)| n).collect();
         if !dead.is_empty() {
-            let name = dead[self.chance.random_range(0..dead.len())].clone();
+            let name = dead[self.rng.random_range(0..dead.len())].clone();
             self.send(now, &name, Kind::Ping, 0, Some(&name));
         }
     }
 
-    pub(super) fn answer(
+    /// Answers a probe. A sender that is not known is asked for its `NodeInfo`.
+    pub(super) fn send_ack(
         &mut self,
         now: Moment,
         at: SocketAddr,
         to: Option<&str>,
         probe_id: u32,
-        stranger: bool,
+        sender_is_unknown: bool,
     ) {
-        let mut datagram = self.datagram(Kind::Ack, probe_id, None);
-        datagram.wants_info = stranger.then_some(true);
-        let budget = self.afford(now);
-        self.fill(&mut datagram, to, budget);
-        self.push(now, at, datagram);
+        let mut datagram = self.new_datagram(Kind::Ack, probe_id, None);
+        datagram.wants_info = sender_is_unknown.then_some(true);
+        let budget = self.update_budget(now);
+        self.piggyback(&mut datagram, to, budget);
+        self.enqueue(now, at, datagram);
     }
 
-    pub(super) fn answered_by(&mut self, now: Moment, datagram: &Datagram) {
-        let Some(asked) = self.pending_probes.get(&datagram.probe_id) else { return };
-        match &asked.purpose {
-            Purpose::Round => {
-                let found = self.rounds.iter().position(|round| round.probe_id == datagram.probe_id);
-                let Some(round) = found.map(|place| &self.rounds[place]) else { return };
+    /// Matches an ack with the tracked probe: it ends a direct or indirect probe, or is passed on to the requester.
+    pub(super) fn handle_ack(&mut self, now: Moment, datagram: &Datagram) {
+        let Some(probe) = self.pending_probes.get(&datagram.probe_id) else { return };
+        match &probe.purpose {
+            ProbePurpose::Direct => {
+                let found = self.round_probes.iter().position(|round| round.probe_id == datagram.probe_id);
+                let Some(round) = found.map(|index| &self.round_probes[index]) else { return };
                 let direct = datagram.sender == round.target && datagram.generation >= round.generation;
                 if !direct && datagram.target.as_deref() != Some(round.target.as_str()) {
                     return;
                 }
-                let round = self.rounds.swap_remove(found.unwrap_or_default());
-                let trip = now.since(asked.sent);
-                self.answered = Some(now);
-                self.lossy += 0.05 * (f64::from(u8::from(round.relay.is_none())) - self.lossy);
+                let round = self.round_probes.swap_remove(found.unwrap_or_default());
+                let rtt = now.since(probe.sent_at);
+                self.last_answered = Some(now);
+                self.lost_probe_share +=
+                    0.05 * (f64::from(u8::from(round.indirect_at.is_none())) - self.lost_probe_share);
                 if let Some(member) = self.members.get_mut(&round.target) {
-                    if direct && round.relay.is_some() {
-                        let before = member.rtt.unwrap_or(trip);
-                        member.rtt = Some(Span((before.0 * 7 + trip.0) / 8));
+                    if direct && round.indirect_at.is_some() {
+                        let before = member.rtt.unwrap_or(rtt);
+                        member.rtt = Some(Span((before.0 * 7 + rtt.0) / 8));
                     } else {
                         member.probes_lost += 1;
                     }
                 }
-                self.trouble_by(-1);
+                self.adjust_local_health(-1);
                 self.pending_probes.remove(&datagram.probe_id);
             }
-            Purpose::Relay { of, probe_id, subject } => {
+            ProbePurpose::Relay { requester, probe_id, subject } => {
                 if *subject != datagram.sender {
                     return;
                 }
-                let (of, probe_id, subject) = (of.clone(), *probe_id, subject.clone());
+                let (requester, probe_id, subject) = (requester.clone(), *probe_id, subject.clone());
                 self.pending_probes.remove(&datagram.probe_id);
-                self.send(now, &of, Kind::Ack, probe_id, Some(&subject));
+                self.send(now, &requester, Kind::Ack, probe_id, Some(&subject));
             }
-            Purpose::Rival => {}
+            ProbePurpose::Rival => {}
         }
     }
 
-    pub(super) fn ask_for(&mut self, now: Moment, datagram: &Datagram) {
+    /// Probes a member on behalf of another node.
+    pub(super) fn handle_ping_req(&mut self, now: Moment, datagram: &Datagram) {
         let Some(subject) = datagram.target.clone().filter(|name| self.members.contains_key(name)) else {
             return;
         };
-        let purpose = Purpose::Relay {
-            of: datagram.sender.clone(),
+        let purpose = ProbePurpose::Relay {
+            requester: datagram.sender.clone(),
             probe_id: datagram.probe_id,
             subject: subject.clone(),
         };
-        let probe_id = self.number(now, purpose, self.config.timing.probe_timeout);
+        let probe_id = self.register_probe(now, purpose, self.config.timing.probe_timeout);
         self.send(now, &subject, Kind::Ping, probe_id, Some(&subject));
     }
 }
--- a/crates/view/src/wire.rs
+++ b/crates/view/src/wire.rs
@@ -1,44 +1,45 @@
-//! The words between nodes: one CBOR map a datagram, of at most 1,200 bytes. Keys that a build does not know are skipped,
-//! and a key that is not there has its least value, so that two builds live side by side.
+//! The message format between nodes: one CBOR map per datagram, of at most 1,200 bytes. Unknown keys are skipped and
+//! missing keys take their default, so that different builds interoperate.
 
 use crate::node_info::{address_bytes, Generation, Incarnation, Load, MemberState, NodeInfo};
 use minicbor::{Decode, Encode};
 use std::net::SocketAddr;
 
-/// Of the words below. Datagrams of another one are counted and dropped.
+/// The version of this message format. Datagrams of another version are counted and dropped.
 pub const VERSION: u8 = 1;
-/// The largest datagram, in bytes: it passes every way unbroken.
+/// The largest datagram, which passes every network path without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// The longest name, site, build or fleet, in bytes.
+/// The longest node name, site, build or fleet name.
 pub const MAX_TEXT_BYTES: usize = 64;
-/// Lives and editions from here on are no honest ones: a start in the year 5000, and a refutation each millisecond for
-/// three weeks.
+/// Generations and incarnations from these limits on are rejected as implausible: they would mean a start in the year
+/// 5000, or a refutation every millisecond for three weeks.
 const GENERATION_LIMIT: u64 = 100_000_000_000_000_000;
 const INCARNATION_LIMIT: u32 = 1 << 31;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum Kind {
-    /// Are you there? Answered with the same number.
+    /// A probe, answered by an `Ack` with the same probe id.
     #[n(0)]
     Ping,
     #[n(1)]
     Ack,
-    /// Ask another one for me.
+    /// A request to probe another member on behalf of the sender (indirect probe).
     #[n(2)]
     PingReq,
-    /// I have asked for you, and nobody has answered me: the way between the two of us is good.
+    /// The answer to a `PingReq` whose target did not reply. It shows that the path between requester and relay works.
     #[n(3)]
     Nack,
-    /// News alone, owed no answer.
+    /// Member updates without a probe. It is not answered.
     #[n(4)]
     Updates,
-    /// Sums of all that I hold to be here, to find what one of us has missed; answered by news.
+    /// Checksums over the members that the sender considers present (anti-entropy). Answered with updates for the
+    /// buckets that differ.
     #[n(5)]
     Checksums,
 }
 
-/// One thing about a member.
+/// One update about a member.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct MemberUpdate {
@@ -50,10 +51,11 @@
     pub incarnation: Incarnation,
     #[n(3)]
     pub state: MemberState,
-    /// Who says so first hand, of a suspicion or a death.
+    /// The node that made the observation, for a suspicion or a death.
     #[n(4)]
     pub reported_by: Option<String>,
-    /// The edition that its card came with: without the card the news is of use to those who have that one.
+    /// The incarnation that the member's `NodeInfo` was announced with. An update without `info` is usable by nodes that
+    /// already have that one.
     #[n(5)]
     pub info_incarnation: Incarnation,
     #[n(6)]
@@ -69,7 +71,7 @@
     pub fleet: String,
     #[n(2)]
     pub kind: Kind,
-    /// The number of an ask, given back with its answer.
+    /// The number of a probe, repeated in its ack. Zero for a datagram that expects no tracked ack.
     #[n(3)]
     pub probe_id: u32,
     #[n(4)]
@@ -80,10 +82,10 @@
     pub incarnation: Incarnation,
     #[cbor(n(7), with = "address_bytes")]
     pub address: SocketAddr,
-    /// Who is asked, or is to be asked.
+    /// The name of the member that is probed, or is to be probed.
     #[n(8)]
     pub target: Option<String>,
-    /// Of all that the sender holds to be here, and how many these are.
+    /// The digest over all members that the sender considers present, and their number.
     #[cbor(n(9), default)]
     pub digest: u64,
     #[cbor(n(10), default)]
@@ -92,9 +94,10 @@
     pub load: Option<Load>,
     #[cbor(n(12), with = "minicbor::bytes", default)]
     pub checksums: Option<Vec<u8>>,
-    /// Of sums: owed news alone, no sums; and with cards.
+    /// With checksums: the receiver answers with updates only, not with checksums of its own.
     #[n(13)]
     pub is_final: Option<bool>,
+    /// The sender lacks `NodeInfo`s and asks for updates that include them.
     #[n(14)]
     pub wants_info: Option<bool>,
     #[n(15)]
@@ -111,24 +114,24 @@
             && self.incarnation.0 < INCARNATION_LIMIT
     }
 
-    /// Its size in a datagram, in bytes.
+    /// The encoded size in bytes.
     pub(crate) fn encoded_len(&self) -> usize {
         minicbor::to_vec(self).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
     }
 }
 
 impl Datagram {
-    /// Its size as it is, in bytes.
+    /// The encoded size in bytes, as the datagram is now.
     pub(crate) fn encoded_len(&self) -> usize {
         minicbor::to_vec(self).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
     }
 
-    /// Its bytes; none if they are more than a datagram has.
+    /// The encoded datagram, or `None` if it exceeds the largest size.
     pub fn to_bytes(&self) -> Option<Vec<u8>> {
         minicbor::to_vec(self).ok().filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)
     }
 
-    /// What these bytes say, or why they say nothing. The work is bounded by their number.
+    /// Decodes and checks a datagram. The work is bounded by the number of bytes.
     pub fn from_bytes(bytes: &[u8]) -> Result<Datagram, DecodeError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DecodeError::Malformed);
@@ -137,12 +140,12 @@
         if datagram.version != VERSION {
             return Err(DecodeError::OtherVersion);
         }
-        let named = (1..=MAX_TEXT_BYTES).contains(&datagram.sender.len());
-        let target = datagram.target.as_ref().is_none_or(|target| target.len() <= MAX_TEXT_BYTES);
-        let news = datagram.updates.iter().flatten().all(MemberUpdate::is_valid);
-        match named
-            && target
-            && news
+        let has_valid_sender = (1..=MAX_TEXT_BYTES).contains(&datagram.sender.len());
+        let has_valid_target = datagram.target.as_ref().is_none_or(|target| target.len() <= MAX_TEXT_BYTES);
+        let has_valid_updates = datagram.updates.iter().flatten().all(MemberUpdate::is_valid);
+        match has_valid_sender
+            && has_valid_target
+            && has_valid_updates
             && datagram.generation.0 < GENERATION_LIMIT
             && datagram.incarnation.0 < INCARNATION_LIMIT
         {
@@ -152,7 +155,7 @@
     }
 }
 
-/// Why bytes are no datagram of ours.
+/// Why bytes could not be decoded as a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
     Malformed,
--- a/crates/view/tests/codec.rs
+++ b/crates/view/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Datagrams: whatever bytes come, the work is bounded, and two builds understand each other.
+//! Encoding of datagrams: the work is bounded whatever bytes arrive, and different builds understand each other.
 
 use minicbor::Encoder;
 use proptest::prelude::*;
@@ -34,7 +34,7 @@
     )
 }
 
-fn news() -> impl Strategy<Value = MemberUpdate> {
+fn update() -> impl Strategy<Value = MemberUpdate> {
     let state = prop_oneof![
         Just(MemberState::Alive),
         Just(MemberState::Suspect),
@@ -64,7 +64,7 @@
         ..Load::default()
     });
     let sums = prop::option::of(prop::collection::vec(any::<u8>(), 0..64));
-    let rest = (prop::option::of(load), sums, prop::option::of(prop::collection::vec(news(), 0..5)));
+    let rest = (prop::option::of(load), sums, prop::option::of(prop::collection::vec(update(), 0..5)));
     (kind, any::<u32>(), text(), 0..1u64 << 50, at(), prop::option::of(text()), any::<u64>(), rest).prop_map(
         |(kind, probe_id, sender, generation, address, target, digest, (load, checksums, updates))| {
             Datagram {
@@ -106,28 +106,28 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// What is written is read as it was, or was too large for a datagram.
+    /// Decoding an encoded datagram yields the same datagram, unless it was too large to be encoded.
     #[test]
-    fn round_trip(datagram in datagram()) {
+    fn encoding_round_trips(datagram in datagram()) {
         if let Some(bytes) = datagram.to_bytes() {
             prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             prop_assert_eq!(Datagram::from_bytes(&bytes), Ok(datagram));
         }
     }
 
-    /// Nobody's bytes stop a node, nor does what they say, true or not, make it hold more than its bounds.
+    /// No input makes a node panic or keep more than its bounds, be it random bytes or valid datagrams with false content.
     #[test]
-    fn any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..1500), said in prop::collection::vec(datagram(), 1..8)) {
+    fn arbitrary_input_is_bounded(bytes in prop::collection::vec(any::<u8>(), 0..1500), datagrams in prop::collection::vec(datagram(), 1..8)) {
         let mut view = view();
         let from = "127.0.0.9:1".parse().expect("an address");
         view.receive(Moment(1000), from, &bytes);
-        for datagram in said {
+        for datagram in datagrams {
             let Some(mut bytes) = datagram.to_bytes() else { continue };
             view.receive(Moment(2000), from, &bytes);
-            let place = bytes.len() / 2;
-            bytes[place] ^= 0x55;
+            let middle = bytes.len() / 2;
+            bytes[middle] ^= 0x55;
             view.receive(Moment(3000), from, &bytes);
-            bytes.truncate(place);
+            bytes.truncate(middle);
             view.receive(Moment(4000), from, &bytes);
         }
         view.handle_timeout(view.next_timeout());
@@ -138,10 +138,10 @@
     }
 }
 
-/// A newer build's further keys are skipped, at any depth, and a phase of its own is passed on as a number; an older
-/// build's missing ones have no value. Another version of the words is told apart from noise.
+/// Keys added by a newer build are skipped at any depth, its new phases are passed on as numbers, and keys missing from
+/// an older build take their default. Another version of the format is distinguished from malformed bytes.
 #[test]
-fn other_builds() {
+fn other_builds_are_understood() {
     let bytes = |version: u8, newer: bool| {
         let mut e = Encoder::new(Vec::new());
         e.map(if newer { 13 } else { 11 }).expect("written");
@@ -168,8 +168,8 @@
     };
     for newer in [false, true] {
         let read = Datagram::from_bytes(&bytes(VERSION, newer));
-        let told = read.map(|d| (d.probe_id, d.sender, d.updates));
-        assert_eq!(told, Ok((77, "other".to_owned(), None)), "newer: {newer}");
+        let decoded = read.map(|d| (d.probe_id, d.sender, d.updates));
+        assert_eq!(decoded, Ok((77, "other".to_owned(), None)), "newer: {newer}");
     }
     assert_eq!(Datagram::from_bytes(&bytes(VERSION + 1, false)), Err(DecodeError::OtherVersion));
     assert_eq!(Datagram::from_bytes(b"GET / HTTP/1.1"), Err(DecodeError::Malformed));
--- a/crates/view/tests/view.rs
+++ b/crates/view/tests/view.rs
@@ -1,4 +1,4 @@
-//! The state machine by hand: one node, and what is said to it.
+//! The membership state machine of a single node, driven by hand-made datagrams and timeouts.
 
 use std::net::SocketAddr;
 use yarrowfront::times::{Moment, Span};
@@ -28,7 +28,7 @@
     View::new(Moment(0), ViewConfig::with_defaults("f", at(1)), "me", Generation(50), info(1), 1)
 }
 
-fn news(name: &str, host: u8, generation: u64, incarnation: u32, state: MemberState) -> MemberUpdate {
+fn update(name: &str, host: u8, generation: u64, incarnation: u32, state: MemberState) -> MemberUpdate {
     let (generation, incarnation) = (Generation(generation), Incarnation(incarnation));
     MemberUpdate {
         name: name.into(),
@@ -41,7 +41,7 @@
     }
 }
 
-fn said(from: &str, host: u8, generation: u64, kind: Kind, news: Vec<MemberUpdate>) -> Datagram {
+fn datagram_from(from: &str, host: u8, generation: u64, kind: Kind, updates: Vec<MemberUpdate>) -> Datagram {
     Datagram {
         version: VERSION,
         fleet: "f".into(),
@@ -58,162 +58,167 @@
         checksums: None,
         is_final: None,
         wants_info: None,
-        updates: Some(news),
+        updates: Some(updates),
     }
 }
 
-fn tell(view: &mut View, now: u64, news: Vec<MemberUpdate>) {
-    let told = said("teller", 9, 1, Kind::Updates, news);
-    view.receive(Moment(now), at(9), &told.to_bytes().expect("small"));
+fn receive_updates(view: &mut View, now: u64, updates: Vec<MemberUpdate>) {
+    let datagram = datagram_from("teller", 9, 1, Kind::Updates, updates);
+    view.receive(Moment(now), at(9), &datagram.to_bytes().expect("small"));
 }
 
-fn sent(view: &mut View) -> Vec<(SocketAddr, Datagram)> {
+fn sent_datagrams(view: &mut View) -> Vec<(SocketAddr, Datagram)> {
     std::iter::from_fn(|| view.next_datagram())
-        .map(|(at, b)| (at, Datagram::from_bytes(&b).expect("our words")))
+        .map(|(at, b)| (at, Datagram::from_bytes(&b).expect("a valid datagram")))
         .collect()
 }
 
-/// Plays on alone, with nobody answering, until then.
-fn alone_until(view: &mut View, end: u64) {
+/// Runs all timeouts up to `end` (in microseconds) while no other node answers.
+fn run_unanswered_until(view: &mut View, end: u64) {
     while view.next_timeout() <= Moment(end) {
         let next = view.next_timeout();
         view.handle_timeout(next);
     }
 }
 
-/// Which word holds over which: the later life, then the later edition, then the worse.
+/// The later generation takes precedence, then the later incarnation, then the worse state.
 #[test]
-fn what_holds() {
+fn precedence_of_updates() {
     use MemberState::{Alive, Dead, Left, Suspect};
-    type Said = (u64, u32, MemberState);
-    let cases: [(&str, Said, Said, Said); 10] = [
+    type Report = (u64, u32, MemberState);
+    let cases: [(&str, Report, Report, Report); 10] = [
         ("a death", (7, 0, Suspect), (7, 0, Dead), (7, 0, Dead)),
-        ("a death that nobody here suspected", (7, 0, Alive), (7, 0, Dead), (7, 0, Suspect)),
-        ("an old life's death", (8, 0, Alive), (7, 9, Dead), (8, 0, Alive)),
-        ("an old life's leaving", (8, 0, Alive), (7, 9, Left), (8, 0, Alive)),
+        ("a death that was not suspected here", (7, 0, Alive), (7, 0, Dead), (7, 0, Suspect)),
+        ("a death of an old generation", (8, 0, Alive), (7, 9, Dead), (8, 0, Alive)),
+        ("a departure of an old generation", (8, 0, Alive), (7, 9, Left), (8, 0, Alive)),
         ("a refutation", (7, 0, Suspect), (7, 1, Alive), (7, 1, Alive)),
-        ("too old a refutation", (7, 1, Suspect), (7, 1, Alive), (7, 1, Suspect)),
+        ("a refutation with an old incarnation", (7, 1, Suspect), (7, 1, Alive), (7, 1, Suspect)),
         ("a refuted death", (7, 0, Dead), (7, 1, Alive), (7, 1, Alive)),
         ("an old suspicion", (7, 2, Alive), (7, 1, Suspect), (7, 2, Alive)),
-        ("a new life", (7, 3, Dead), (8, 0, Alive), (8, 0, Alive)),
+        ("a new generation", (7, 3, Dead), (8, 0, Alive), (8, 0, Alive)),
         ("a suspicion after a death", (7, 0, Dead), (7, 0, Suspect), (7, 0, Dead)),
     ];
-    for (what, before, then, after) in cases {
+    for (case, before, received, after) in cases {
         let mut view = view();
-        // Nobody is dead who was not suspected.
+        // A member is declared dead only after it was suspected.
         let suspected = if before.2 == Dead { Suspect } else { Alive };
-        let all = [(before.0, before.1, Alive), (before.0, before.1, suspected), before, then];
+        let all = [(before.0, before.1, Alive), (before.0, before.1, suspected), before, received];
         for (now, (generation, incarnation, state)) in (1000..).step_by(1000).zip(all) {
-            tell(&mut view, now, vec![news("x", 2, generation, incarnation, state)]);
+            receive_updates(&mut view, now, vec![update("x", 2, generation, incarnation, state)]);
         }
         let is = view.member("x").map(|m| (m.generation.0, m.incarnation.0, m.state));
-        assert_eq!(is, Some(after), "{what}");
+        assert_eq!(is, Some(after), "{case}");
     }
 }
 
-/// Whatever is said of it, a node says something that holds over that; its edition and its life never go back.
+/// A node outranks whatever is reported about it; its incarnation and generation never decrease.
 #[test]
-fn refutes_what_is_said_of_it() {
+fn node_refutes_reports_about_itself() {
     use MemberState::{Alive, Dead, Left, Suspect};
     let cases = [
-        ("suspected", news("me", 1, 50, 0, Suspect), (50, 1)),
-        ("dead later", news("me", 1, 50, 7, Dead), (50, 8)),
-        ("left", news("me", 1, 50, 0, Left), (50, 1)),
-        ("an old life of it", news("me", 1, 49, 7, Dead), (50, 0)),
-        ("a later life that ended: the clock went back", news("me", 1, 90, 3, Dead), (91, 0)),
-        ("a later life here", news("me", 1, 90, 3, Alive), (91, 0)),
+        ("suspected", update("me", 1, 50, 0, Suspect), (50, 1)),
+        ("dead later", update("me", 1, 50, 7, Dead), (50, 8)),
+        ("left", update("me", 1, 50, 0, Left), (50, 1)),
+        ("an old generation of it", update("me", 1, 49, 7, Dead), (50, 0)),
+        ("a later generation that ended: the clock went back", update("me", 1, 90, 3, Dead), (91, 0)),
+        ("a later generation at this address", update("me", 1, 90, 3, Alive), (91, 0)),
         (
-            "a later life nobody knows where",
-            MemberUpdate { info: None, ..news("me", 1, 90, 3, Alive) },
+            "a later generation at an unknown address",
+            MemberUpdate { info: None, ..update("me", 1, 90, 3, Alive) },
             (50, 0),
         ),
     ];
-    for (what, news, then) in cases {
+    for (case, report, expected) in cases {
         let mut view = view();
-        tell(&mut view, 1000, vec![news]);
-        assert_eq!((view.generation().0, view.incarnation().0), then, "{what}");
+        receive_updates(&mut view, 1000, vec![report]);
+        assert_eq!((view.generation().0, view.incarnation().0), expected, "{case}");
     }
 }
 
-/// A silent member is asked, asked through others, suspected and called dead in that order; while this node was itself
-/// kept from its work nobody is. What has been forgotten does not come back by an old word.
+/// A silent member is probed directly, then indirectly, then suspected, declared dead and forgotten. No member is
+/// suspected because this node itself was stalled. A forgotten member does not come back through an old update.
 #[test]
-fn a_silent_member() {
+fn silent_member_is_suspected_declared_dead_and_forgotten() {
     let mut view = view();
-    tell(
+    receive_updates(
         &mut view,
         1000,
-        vec![news("x", 2, 7, 0, MemberState::Alive), news("y", 3, 7, 0, MemberState::Alive)],
+        vec![update("x", 2, 7, 0, MemberState::Alive), update("y", 3, 7, 0, MemberState::Alive)],
     );
-    alone_until(&mut view, 300_000);
-    let asked: Vec<_> = sent(&mut view).into_iter().filter(|(_, d)| d.kind == Kind::Ping).collect();
-    assert!(asked.iter().any(|(_, d)| d.target.is_some()), "{asked:?}");
-    alone_until(&mut view, 1_000_000);
-    let through = sent(&mut view).iter().filter(|(_, d)| d.kind == Kind::PingReq).count();
-    assert!(through > 0, "others are asked to ask");
+    run_unanswered_until(&mut view, 300_000);
+    let probes: Vec<_> =
+        sent_datagrams(&mut view).into_iter().filter(|(_, d)| d.kind == Kind::Ping).collect();
+    assert!(probes.iter().any(|(_, d)| d.target.is_some()), "{probes:?}");
+    run_unanswered_until(&mut view, 1_000_000);
+    let indirect = sent_datagrams(&mut view).iter().filter(|(_, d)| d.kind == Kind::PingReq).count();
+    assert!(indirect > 0, "no indirect probe was requested");
     assert_eq!(view.member("x").map(|m| m.state), Some(MemberState::Suspect));
     let mut stopped =
         View::new(Moment(0), ViewConfig::with_defaults("f", at(1)), "me", Generation(50), info(1), 1);
-    tell(&mut stopped, 1000, vec![news("x", 2, 7, 0, MemberState::Alive)]);
+    receive_updates(&mut stopped, 1000, vec![update("x", 2, 7, 0, MemberState::Alive)]);
     stopped.handle_timeout(Moment(10_000_000));
     let after = stopped.member("x").map(|m| m.state);
     assert_eq!(
         (after, stopped.counters().stalls),
         (Some(MemberState::Alive), 1),
-        "its own stop is nobody's fault"
+        "a stall of this node must not be held against members"
     );
-    alone_until(&mut view, 60_000_000);
+    run_unanswered_until(&mut view, 60_000_000);
     assert_eq!(view.member("x").map(|m| m.state), Some(MemberState::Dead));
     assert!(view.is_alone());
-    alone_until(&mut view, 700_000_000);
-    assert!(view.member("x").is_none(), "forgotten");
-    tell(&mut view, 700_000_100, vec![news("x", 2, 7, 0, MemberState::Dead)]);
-    assert!(view.member("x").is_none(), "an old word of the dead is no news");
+    run_unanswered_until(&mut view, 700_000_000);
+    assert!(view.member("x").is_none(), "the dead member must be forgotten");
+    receive_updates(&mut view, 700_000_100, vec![update("x", 2, 7, 0, MemberState::Dead)]);
+    assert!(view.member("x").is_none(), "an old death report must not add a member");
 }
 
-/// A member that hears that it is suspected says so at once, by any datagram; whoever calls it dead is told.
+/// A member that is not considered alive learns of it with the answer to any datagram that it sends.
 #[test]
-fn accused_are_told() {
+fn suspected_member_is_informed() {
     let mut view = view();
-    tell(
+    receive_updates(
         &mut view,
         1000,
-        vec![news("x", 2, 7, 0, MemberState::Alive), news("x", 2, 7, 0, MemberState::Dead)],
+        vec![update("x", 2, 7, 0, MemberState::Alive), update("x", 2, 7, 0, MemberState::Dead)],
     );
-    sent(&mut view);
-    let ask = said("x", 2, 7, Kind::Ping, Vec::new());
-    view.receive(Moment(2000), at(2), &ask.to_bytes().expect("small"));
-    let told: Vec<MemberUpdate> =
-        sent(&mut view).into_iter().flat_map(|(_, d)| d.updates.unwrap_or_default()).collect();
-    assert!(told.iter().any(|n| n.name == "x" && n.state == MemberState::Suspect), "{told:?}");
+    sent_datagrams(&mut view);
+    let ping = datagram_from("x", 2, 7, Kind::Ping, Vec::new());
+    view.receive(Moment(2000), at(2), &ping.to_bytes().expect("small"));
+    let received: Vec<MemberUpdate> =
+        sent_datagrams(&mut view).into_iter().flat_map(|(_, d)| d.updates.unwrap_or_default()).collect();
+    assert!(received.iter().any(|n| n.name == "x" && n.state == MemberState::Suspect), "{received:?}");
 }
 
-/// A second process of the same name: the earlier one gives way while the later one answers, and takes its name back
-/// when it does not.
+/// Of two processes with one name the earlier one yields while the later one answers, and takes the name back when it no
+/// longer does.
 #[test]
-fn one_name_at_two_addresses() {
+fn earlier_process_yields_its_name_and_takes_it_back() {
     let mut view = view();
-    tell(&mut view, 1000, vec![news("me", 5, 90, 0, MemberState::Alive)]);
-    assert_eq!(view.generation(), Generation(50), "not before it was asked");
-    alone_until(&mut view, 2_000_000);
-    let asked: Vec<_> = sent(&mut view).into_iter().filter(|(to, _)| *to == at(5)).collect();
-    let (_, ask) = asked.last().expect("the other one is asked");
-    let answer = Datagram { probe_id: ask.probe_id, ..said("me", 5, 90, Kind::Ack, Vec::new()) };
+    receive_updates(&mut view, 1000, vec![update("me", 5, 90, 0, MemberState::Alive)]);
+    assert_eq!(view.generation(), Generation(50), "the other process must be probed first");
+    run_unanswered_until(&mut view, 2_000_000);
+    let probes: Vec<_> = sent_datagrams(&mut view).into_iter().filter(|(to, _)| *to == at(5)).collect();
+    let (_, ping) = probes.last().expect("a probe of the other process");
+    let answer = Datagram { probe_id: ping.probe_id, ..datagram_from("me", 5, 90, Kind::Ack, Vec::new()) };
     let next = view.next_timeout();
     view.receive(next, at(5), &answer.to_bytes().expect("small"));
     assert_eq!(view.displaced_by(), Some(at(5)));
     let changes: Vec<ChangeKind> = std::iter::from_fn(|| view.next_change()).map(|c| c.kind).collect();
     assert!(changes.contains(&ChangeKind::NameTaken), "{changes:?}");
-    alone_until(&mut view, 60_000_000);
-    assert_eq!((view.displaced_by(), view.generation()), (None, Generation(91)), "it answers no more");
+    run_unanswered_until(&mut view, 60_000_000);
+    assert_eq!(
+        (view.displaced_by(), view.generation()),
+        (None, Generation(91)),
+        "the other process no longer answers"
+    );
 }
 
-/// What comes from elsewhere, in another fleet's name, or in no words of ours is counted and dropped; there is room for
-/// so many members only, and a flood of asks is answered within a bound.
+/// Datagrams from outside the networks, of another fleet or version, and malformed ones are counted and dropped. The number
+/// of members is limited, and a flood of probe requests is handled within a bound.
 #[test]
-fn strangers_and_floods() {
+fn foreign_datagrams_are_dropped_and_floods_bounded() {
     let mut view = view();
-    let good = said("x", 2, 7, Kind::Ping, vec![news("x", 2, 7, 0, MemberState::Alive)]);
+    let good = datagram_from("x", 2, 7, Kind::Ping, vec![update("x", 2, 7, 0, MemberState::Alive)]);
     let bytes = |datagram: &Datagram| datagram.to_bytes().expect("small");
     view.receive(Moment(1), SocketAddr::from(([10, 0, 0, 1], 7946)), &bytes(&good));
     view.receive(Moment(2), at(2), &bytes(&Datagram { fleet: "g".into(), ..good.clone() }));
@@ -230,14 +235,15 @@
         counts.datagrams_received,
     ];
     assert_eq!(dropped, [2, 1, 1, 1, 0]);
-    assert_eq!(view.next_datagram(), None, "nothing is owed to them");
+    assert_eq!(view.next_datagram(), None, "dropped datagrams must not be answered");
     let config = ViewConfig { max_members: 20, ..ViewConfig::with_defaults("f", at(1)) };
     let mut small = View::new(Moment(0), config, "me", Generation(50), info(1), 1);
     for host in 2..60 {
         let name = format!("x{host}");
-        let first = said(&name, host, 7, Kind::PingReq, vec![news(&name, host, 7, 0, MemberState::Alive)]);
-        for ask in 0..40 {
-            let next = Datagram { probe_id: ask, target: Some("x2".into()), ..first.clone() };
+        let first =
+            datagram_from(&name, host, 7, Kind::PingReq, vec![update(&name, host, 7, 0, MemberState::Alive)]);
+        for probe_id in 0..40 {
+            let next = Datagram { probe_id, target: Some("x2".into()), ..first.clone() };
             small.receive(Moment(1000), at(host), &bytes(&next));
         }
     }
@@ -249,9 +255,9 @@
     );
 }
 
-/// The operators' file: what is wrong in it is named, with its line or its key.
+/// An error in the membership file names the line or the key.
 #[test]
-fn bad_files() {
+fn config_errors_name_the_key_or_line() {
     let good = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\nnetworks = [\"127.0.0.0/8\"]\n";
     assert!(ViewConfig::from_toml(good).is_ok());
     let cases = [
@@ -271,9 +277,9 @@
     }
 }
 
-/// A node's card changes by a new edition; its load does not.
+/// A changed `NodeInfo` raises the incarnation; a changed load does not.
 #[test]
-fn cards_and_loads() {
+fn changed_info_raises_the_incarnation() {
     let mut view = view();
     view.update_self(&info(1), Load { in_flight: 4, ..Load::default() });
     assert_eq!(view.incarnation(), Incarnation(0));
@@ -281,78 +287,81 @@
     assert_eq!(view.incarnation(), Incarnation(1));
 }
 
-/// The rule of portions: more than its own only for a settled majority, less whenever in doubt.
+/// A node takes more than its own share only in a settled majority, and less whenever in doubt.
 #[test]
-fn portions() {
+fn share_rule() {
     let timing = ViewConfig::with_defaults("f", at(1)).timing;
     let (fresh, long) = (Span(1_000_000), Span(timing.takeover_delay.0 * 3));
-    let seen = |seen, missing, extra| SlotOccupancy {
-        live: seen,
+    let occupancy = |live, missing, extra_nodes| SlotOccupancy {
+        live,
         missing,
-        extra_nodes: extra,
+        extra_nodes,
         owns_slot: true,
         preceding: 0,
     };
     let cases = [
-        ("all there", seen(10, 0, 0), true, long, (10, ShareReason::Configured)),
-        ("just begun", seen(10, 0, 0), true, fresh, (20, ShareReason::Settling)),
-        ("three missing", seen(7, 3, 0), true, long, (9, ShareReason::SlotsMissing)),
-        ("four missing", seen(6, 4, 0), true, long, (8, ShareReason::SlotsMissing)),
-        ("half is no majority", seen(5, 5, 0), true, long, (20, ShareReason::NoMajority)),
-        ("nobody answers", seen(10, 0, 0), false, long, (20, ShareReason::NoMajority)),
-        ("two too many", seen(10, 0, 2), true, long, (12, ShareReason::ExtraNodes)),
+        ("all slots are held", occupancy(10, 0, 0), true, long, (10, ShareReason::Configured)),
+        ("just started", occupancy(10, 0, 0), true, fresh, (20, ShareReason::Settling)),
+        ("three slots missing", occupancy(7, 3, 0), true, long, (9, ShareReason::SlotsMissing)),
+        ("four slots missing", occupancy(6, 4, 0), true, long, (8, ShareReason::SlotsMissing)),
+        ("half of the slots is no majority", occupancy(5, 5, 0), true, long, (20, ShareReason::NoMajority)),
+        ("no node answers", occupancy(10, 0, 0), false, long, (20, ShareReason::NoMajority)),
+        ("two extra nodes", occupancy(10, 0, 2), true, long, (12, ShareReason::ExtraNodes)),
         (
-            "no place of its own",
-            SlotOccupancy { owns_slot: false, ..seen(10, 0, 1) },
+            "no slot of its own",
+            SlotOccupancy { owns_slot: false, ..occupancy(10, 0, 1) },
             true,
             fresh,
             (NO_SHARE, ShareReason::ExtraNodes),
         ),
         (
-            "none, but settled",
-            SlotOccupancy { owns_slot: false, ..seen(10, 0, 1) },
+            "no slot of its own, but settled",
+            SlotOccupancy { owns_slot: false, ..occupancy(10, 0, 1) },
             true,
             long,
             (11, ShareReason::ExtraNodes),
         ),
     ];
-    for (what, found, heard, after, (nodes, why)) in cases {
+    for (case, found, heard, after, (nodes, reason)) in cases {
         let start = Moment(1_000_000);
-        let mut sharer = ShareTracker::new(start, timing);
+        let mut tracker = ShareTracker::new(start, timing);
         let mut share = None;
         for step in 0..=after.0 / 100_000 {
-            share = Some(sharer.decide(start + Span(step * 100_000), &found, heard, 10, 3));
+            share = Some(tracker.decide(start + Span(step * 100_000), &found, heard, 10, 3));
         }
-        let share: Share = share.expect("a look");
-        assert_eq!((share.nodes, share.reason), (nodes, why), "{what}");
+        let share: Share = share.expect("at least one decision");
+        assert_eq!((share.nodes, share.reason), (nodes, reason), "{case}");
     }
-    // Of a fleet of one place another node takes nothing, however long it has seen it: found by a walk of the search, in
-    // which the one with the place started again.
-    let mut beside = ShareTracker::new(Moment(0), timing);
+    // In a fleet with one slot another node takes no share, however long it has seen the holder. A random walk of the
+    // search found this fault, with a restart of the node that holds the slot.
+    let mut without_slot = ShareTracker::new(Moment(0), timing);
     let found = SlotOccupancy { live: 1, missing: 0, extra_nodes: 1, owns_slot: false, preceding: 0 };
-    let looks = (0..200u64).map(|i| beside.decide(Moment(i * 100_000), &found, true, 1, 1).nodes);
-    assert_eq!(looks.last(), Some(NO_SHARE));
-    // Touch lost for a moment is no loss; for longer it is, and then all begins again.
-    let mut sharer = ShareTracker::new(Moment(0), timing);
-    let mut look = |at: u64, there: bool| {
-        let found = if there { seen(7, 3, 0) } else { seen(2, 3, 0) };
-        sharer.decide(Moment(at), &found, true, 10, 0).nodes
+    let decisions = (0..200u64).map(|i| without_slot.decide(Moment(i * 100_000), &found, true, 1, 1).nodes);
+    assert_eq!(decisions.last(), Some(NO_SHARE));
+    // A majority that is lost for a moment only does not count as lost. Lost for longer, the delay starts again.
+    let mut tracker = ShareTracker::new(Moment(0), timing);
+    let mut decide = |at: u64, has_majority: bool| {
+        let found = if has_majority { occupancy(7, 3, 0) } else { occupancy(2, 3, 0) };
+        tracker.decide(Moment(at), &found, true, 10, 0).nodes
     };
-    let steps = (0..200u64).map(|i| look(i * 100_000, true)).last();
-    assert_eq!(steps, Some(9));
-    assert_eq!([look(20_100_000, false), look(21_000_000, true), look(26_000_000, false)], [10, 10, 20]);
-    // Back among a majority it keeps to the half for as long as the others may not have seen it.
-    assert_eq!([look(26_100_000, true), look(41_000_000, true), look(41_200_000, true)], [20, 20, 9]);
-    // Stopped for long and awake again it has seen nobody yet, and the others may have taken over from it: an answer
-    // that comes before its first look must not have it at its stated portion.
-    sharer.resumed(Moment(80_000_000));
-    let share = sharer.decide(Moment(80_100_000), &seen(10, 0, 0), true, 10, 0);
+    let settled = (0..200u64).map(|i| decide(i * 100_000, true)).last();
+    assert_eq!(settled, Some(9));
+    assert_eq!(
+        [decide(20_100_000, false), decide(21_000_000, true), decide(26_000_000, false)],
+        [10, 10, 20]
+    );
+    // Back in a majority the node keeps to the half share for as long as the others may not have seen it.
+    assert_eq!([decide(26_100_000, true), decide(41_000_000, true), decide(41_200_000, true)], [20, 20, 9]);
+    // After a long stall the node has not seen any other node yet, and the others may have taken over its share. An answer
+    // that arrives before its first decision must not bring back its configured share.
+    tracker.resumed(Moment(80_000_000));
+    let share = tracker.decide(Moment(80_100_000), &occupancy(10, 0, 0), true, 10, 0);
     assert_eq!((share.nodes, share.reason), (20, ShareReason::Settling));
 }
 
-/// Networks by their first bits, in either version.
+/// A network contains the addresses of its own IP version that share its prefix.
 #[test]
-fn networks() {
+fn network_matching() {
     let cases = [
         ("10.2.0.0/16", "10.2.9.9", true),
         ("10.2.0.0/16", "10.3.0.0", false),
