--- a/crates/rollout-run/src/ask.rs
+++ b/crates/rollout-run/src/admin_client.rs
@@ -1,8 +1,8 @@
 //! Calls at nodes' second addresses, several at a time.
 
+use rollout::controller::Came;
 use rollout::journal::Deed;
-use rollout::lead::Came;
-use rollout::seen::{Here, Told};
+use rollout::node_report::{Here, Told};
 use serde_json::{json, Value};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
--- a/crates/rollout-run/src/main.rs
+++ b/crates/rollout-run/src/main.rs
@@ -1,7 +1,7 @@
 //! `yarrowfront-rollout`: leads a rolling change of a fleet in stages, by a plan.
 #![forbid(unsafe_code)]
 
-mod ask;
+mod admin_client;
 mod measure;
 mod processes;
 mod report;
--- a/crates/rollout-run/src/measure.rs
+++ b/crates/rollout-run/src/measure.rs
@@ -2,8 +2,8 @@
 //! and what it cost until then; beside plainer ways.
 
 use rayon::prelude::*;
-use rollout::lead::Phase;
-use rollout::play::{plain, plan, End, Harm, Law, Plain, Play};
+use rollout::controller::Phase;
+use rollout::simulation::{plain, plan, End, Harm, Law, Plain, Play};
 use std::path::Path;
 use yarrowfront_fleet::plot::Line;
 
--- a/crates/rollout-run/src/processes.rs
+++ b/crates/rollout-run/src/processes.rs
@@ -1,9 +1,9 @@
 //! Another program at a node: a command of the plan starts it beside the old one, which hands over and is ended.
 
-use crate::ask::glance;
-use rollout::lead::Came;
+use crate::admin_client::glance;
+use rollout::controller::Came;
+use rollout::node_report::{Here, Told};
 use rollout::plan::{Node, Program};
-use rollout::seen::{Here, Told};
 use std::fs::File;
 use std::io::Read;
 use std::net::SocketAddr;
--- a/crates/rollout-run/src/run.rs
+++ b/crates/rollout-run/src/run.rs
@@ -1,13 +1,13 @@
 //! The controller: asks, has the state machine decide, writes down, does.
 
-use crate::ask::{self, Leader, Texts};
+use crate::admin_client::{self as ask, Leader, Texts};
 use crate::processes::{replace, said_by};
 use crate::report::{page, Figure};
-use rollout::compare::{differences, side_by_side, Turn};
+use rollout::controller::{Came, Lead, Phase};
 use rollout::journal::{line, read, Deed, Order, Record};
-use rollout::lead::{Came, Lead, Phase};
+use rollout::node_report::Told;
 use rollout::plan::{Change, NodeId, Plan, Program};
-use rollout::seen::Told;
+use rollout::settings_diff::{differences, side_by_side, Turn};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
--- a/crates/rollout/src/lead.rs
+++ b/crates/rollout/src/controller.rs
@@ -6,8 +6,8 @@
 //! stands in that way somebody is asked.
 
 use crate::journal::{Deed, Order, Record};
+use crate::node_report::{Here, Second, Told};
 use crate::plan::{Change, NodeId, Plan};
-use crate::seen::{Here, Second, Told};
 use crate::verdict::{Answer, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 use yarrowfront::times::{Moment, Span};
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -2,11 +2,11 @@
 //! themselves, and what to do next. `docs/rollout.md` tells why it is as it is.
 #![forbid(unsafe_code)]
 
-pub mod compare;
+pub mod controller;
 pub mod evidence;
 pub mod journal;
-pub mod lead;
+pub mod node_report;
 pub mod plan;
-pub mod play;
-pub mod seen;
+pub mod settings_diff;
+pub mod simulation;
 pub mod verdict;
--- a/crates/rollout/src/play.rs
+++ b/crates/rollout/src/simulation.rs
@@ -1,10 +1,10 @@
 //! A fleet on a virtual clock: nodes that serve by a law, take changes and are lost, around the real `Lead`. For the
 //! figures of `docs/rollout.md` and the search of small worlds.
 
+use crate::controller::{Came, Lead, Phase};
 use crate::journal::{Deed, Record};
-use crate::lead::{Came, Lead, Phase};
+use crate::node_report::{Here, OnTrial, Second, Tally, Told};
 use crate::plan::{NodeId, Plan};
-use crate::seen::{Here, OnTrial, Second, Tally, Told};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Binomial, Distribution, Normal, Poisson};
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -3,8 +3,8 @@
 //! stage is called no worse only where each measure says so at the stated odds; too little seen is neither.
 
 use crate::evidence::{Band, Bet, Spread};
+use crate::node_report::{Second, Tally};
 use crate::plan::{Margins, NodeId, Odds, Plan};
-use crate::seen::{Second, Tally};
 use std::collections::BTreeMap;
 
 /// Of a margin: so much is no evidence of harm. Single nodes differ a little for good, by the backends that they happen
--- a/crates/rollout/tests/parts.rs
+++ b/crates/rollout/tests/parts.rs
@@ -3,11 +3,11 @@
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rollout::compare::{differences, side_by_side, Turn};
 use rollout::evidence::{Bet, Spread};
 use rollout::journal::{line, read, Deed, Record};
 use rollout::plan::{NodeId, Plan};
-use rollout::play::plan;
+use rollout::settings_diff::{differences, side_by_side, Turn};
+use rollout::simulation::plan;
 use serde_json::{json, Value};
 
 const GOOD: &str = "name = \"p\"\nfolder = \"f\"\n[change]\nsettings = \"s.json\"\n\
--- a/crates/rollout/tests/plays.rs
+++ b/crates/rollout/tests/plays.rs
@@ -1,10 +1,10 @@
 //! Rolling changes on the virtual clock: what is found and what is not, and walks through small worlds.
 
+use rollout::controller::{Came, Hold, Lead, Phase};
 use rollout::journal::{Deed, Order, Record};
-use rollout::lead::{Came, Hold, Lead, Phase};
+use rollout::node_report::{Here, OnTrial, Told};
 use rollout::plan::NodeId;
-use rollout::play::{plan, Harm, Law, Play};
-use rollout::seen::{Here, OnTrial, Told};
+use rollout::simulation::{plan, Harm, Law, Play};
 use yarrowfront::times::Moment;
 
 const SOON: &str = "[seconds]\nsettle = 2.0\nwatch = 10.0\nlongest = 400.0\nword = 12.0\nsilent = 4.0\n";
