--- a/crates/rollout-run/src/main.rs
+++ b/crates/rollout-run/src/main.rs
@@ -1,4 +1,4 @@
-//! `yarrowfront-rollout`: leads a rolling change of a fleet in stages, by a plan.
+//! `yarrowfront-rollout`: carries out a rolling change of a fleet in stages, according to a plan.
 #![forbid(unsafe_code)]
 
 mod admin_client;
@@ -18,43 +18,43 @@
 #[derive(Parser)]
 #[command(
     version,
-    about = "Leads a rolling change of yarrowfront's nodes in stages, stopped when a stage does worse"
+    about = "Carries out a rolling change of yarrowfront nodes in stages and rolls it back if a stage does worse"
 )]
 struct Arguments {
     #[command(subcommand)]
-    what: Command,
+    command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Looks whether the plan can be led now, and what it changes. Ends with 1 where something stands against it.
+    /// Checks whether the plan can be carried out now, and shows what it changes. Exits with 1 if there is an obstacle.
     Check { plan: PathBuf },
-    /// Leads it, or goes on with it, to one version everywhere. Ends with 2 where that is the former one.
+    /// Carries out the plan, or continues it, until all nodes have one version. Exits with 2 if that is the former one.
     Run {
         plan: PathBuf,
-        /// Goes on also where another controller's change is on trial; that one has no say any more.
+        /// Continues even if another controller's change is on trial, and takes the lead from that controller.
         #[arg(long)]
         take_over: bool,
-        #[arg(long, hide = true)]
-        deaf: bool,
-        #[arg(long, hide = true)]
-        end_at: Option<u64>,
-        #[arg(long, hide = true)]
-        torn: bool,
+        #[arg(long = "deaf", hide = true)]
+        ignore_verdict: bool,
+        #[arg(long = "end-at", value_name = "END_AT", hide = true)]
+        abort_at_record: Option<u64>,
+        #[arg(long = "torn", hide = true)]
+        truncate_last: bool,
     },
-    /// What was decided so far, and what each node has.
+    /// Shows the decisions so far and the version of each node.
     Status { plan: PathBuf },
-    /// Changes nothing more until it is told to go on.
+    /// Pauses the change until it is resumed.
     Pause { plan: PathBuf },
-    /// Goes on, from a pause or from a stage that was not known within its time.
+    /// Resumes from a pause, or watches an undecided stage for longer.
     Resume { plan: PathBuf },
-    /// Lets the stage that is watched pass, on your word.
+    /// Passes the stage that is being watched.
     Accept { plan: PathBuf },
-    /// Takes all back.
+    /// Rolls back all nodes.
     Back { plan: PathBuf },
-    /// Writes the page and its plots once more.
+    /// Writes the report and its plots again.
     Report { plan: PathBuf },
-    /// Error rates on the virtual clock, beside plainer ways.
+    /// Measures error rates on the virtual clock and compares them with simpler strategies.
     Measure {
         #[arg(long, value_delimiter = ',', default_values_t = [6, 60, 300])]
         nodes: Vec<usize>,
@@ -62,7 +62,7 @@
         runs: usize,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// A file for a plot of what was lost.
+        /// A file for a plot of the payoff lost.
         #[arg(long)]
         plot: Option<PathBuf>,
     },
@@ -74,81 +74,83 @@
 }
 
 fn check(plan: &Plan) -> Result<ExitCode, String> {
-    let (former, new) = run::texts(plan, Path::new(&plan.folder))?;
-    let looks = run::look(plan, &mut BTreeMap::new());
-    let (against, lines) = run::check(plan, &looks, &former, &new);
-    lines.iter().for_each(|line| println!("{line}"));
-    for (place, stage) in plan.staged().iter().enumerate() {
+    let (former, new) = run::load_settings(plan, Path::new(&plan.folder))?;
+    let polls = run::poll_all(plan, &mut BTreeMap::new());
+    let (obstacles, differences) = run::check(plan, &polls, &former, &new);
+    differences.iter().for_each(|line| println!("{line}"));
+    for (index, stage) in plan.stage_nodes().iter().enumerate() {
         let names: Vec<&str> = stage.iter().map(|id| plan.node(*id).name.as_str()).collect();
-        println!("stage {}: {}", place + 1, names.join(" "));
+        println!("stage {}: {}", index + 1, names.join(" "));
     }
-    against.iter().for_each(|why| println!("AGAINST IT: {why}"));
-    Ok(if against.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    obstacles.iter().for_each(|why| println!("OBSTACLE: {why}"));
+    Ok(if obstacles.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn records(plan: &Plan) -> Result<Vec<(u64, rollout::journal::Record)>, String> {
-    let path = run::journal_of(Path::new(&plan.folder));
+    let path = run::journal_path(Path::new(&plan.folder));
     let bytes = std::fs::read(&path).map_err(|e| format!("{}: {e}", path.display()))?;
     rollout::journal::read(&bytes).map(|(records, _)| records)
 }
 
 fn status(plan: &Plan) -> Result<ExitCode, String> {
-    print!("{}", report::told(&records(plan).unwrap_or_default()));
-    for ((told, at), node) in run::look(plan, &mut BTreeMap::new()).iter().zip(&plan.nodes) {
-        match told.here() {
-            Some(here) => println!(
+    print!("{}", report::describe_all(&records(plan).unwrap_or_default()));
+    for ((poll, at), node) in run::poll_all(plan, &mut BTreeMap::new()).iter().zip(&plan.nodes) {
+        match poll.report() {
+            Some(report) => println!(
                 "{:<16} {at:<21} {:<10} build {} settings {}{} term {}",
                 node.name,
-                here.state,
-                here.build,
-                here.settings,
-                if here.trial.is_some() { " on trial" } else { "" },
-                here.term
+                report.state,
+                report.build,
+                report.settings_digest,
+                if report.trial.is_some() { " on trial" } else { "" },
+                report.term
             ),
-            None => println!("{:<16} {at:<21} {told:?}", node.name),
+            None => println!("{:<16} {at:<21} {poll:?}", node.name),
         }
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// Tells a controller that runs, and waits for what it says.
-fn tell(plan: &Plan, word: &str) -> Result<ExitCode, String> {
+/// Sends an order to the running controller and waits for its reply.
+fn send_order(plan: &Plan, word: &str) -> Result<ExitCode, String> {
     let folder = Path::new(&plan.folder);
-    let (order, said) = (folder.join("order"), folder.join("said"));
-    let _ = std::fs::remove_file(&said);
-    run::put(&order, word.as_bytes())?;
+    let (order, reply) = (folder.join("order"), folder.join("said"));
+    let _ = std::fs::remove_file(&reply);
+    run::write_file(&order, word.as_bytes())?;
     for _ in 0..100 {
-        if let Ok(said) = std::fs::read_to_string(&said) {
-            println!("{said}");
-            return Ok(if said == "taken" { ExitCode::SUCCESS } else { ExitCode::FAILURE });
+        if let Ok(reply) = std::fs::read_to_string(&reply) {
+            println!("{reply}");
+            return Ok(if reply == "taken" { ExitCode::SUCCESS } else { ExitCode::FAILURE });
         }
         sleep(Duration::from_millis(100));
     }
     let _ = std::fs::remove_file(&order);
-    Err("no controller of this plan runs here".to_owned())
+    Err("no controller of this plan is running here".to_owned())
 }
 
 fn main() -> ExitCode {
     tracing_subscriber::fmt().with_writer(std::io::stderr).with_target(false).init();
-    let done = match Arguments::parse().what {
+    let done = match Arguments::parse().command {
         Command::Check { plan: path } => plan(&path).and_then(|plan| check(&plan)),
-        Command::Run { plan: path, take_over, deaf, end_at, torn } => plan(&path).and_then(|plan| {
-            let options = run::Options { take_over, deaf, end_at, torn };
-            run::run(plan, options).map(|ended| match ended {
-                run::Ended::Done => ExitCode::SUCCESS,
-                run::Ended::TakenBack => ExitCode::from(2),
-            })
-        }),
+        Command::Run { plan: path, take_over, ignore_verdict, abort_at_record, truncate_last } => plan(&path)
+            .and_then(|plan| {
+                let options = run::Options { take_over, ignore_verdict, abort_at_record, truncate_last };
+                run::run(plan, options).map(|ended| match ended {
+                    run::Outcome::Done => ExitCode::SUCCESS,
+                    run::Outcome::RolledBack => ExitCode::from(2),
+                })
+            }),
         Command::Status { plan: path } => plan(&path).and_then(|plan| status(&plan)),
-        Command::Pause { plan: path } => plan(&path).and_then(|plan| tell(&plan, "pause")),
-        Command::Resume { plan: path } => plan(&path).and_then(|plan| tell(&plan, "resume")),
-        Command::Accept { plan: path } => plan(&path).and_then(|plan| tell(&plan, "accept")),
-        Command::Back { plan: path } => plan(&path).and_then(|plan| tell(&plan, "back")),
+        Command::Pause { plan: path } => plan(&path).and_then(|plan| send_order(&plan, "pause")),
+        Command::Resume { plan: path } => plan(&path).and_then(|plan| send_order(&plan, "resume")),
+        Command::Accept { plan: path } => plan(&path).and_then(|plan| send_order(&plan, "accept")),
+        Command::Back { plan: path } => plan(&path).and_then(|plan| send_order(&plan, "back")),
         Command::Report { plan: path } => plan(&path).and_then(|plan| {
             let folder = Path::new(&plan.folder);
-            let figures = std::fs::read_to_string(folder.join("figures")).unwrap_or_default();
-            let figures: Vec<report::Figure> = figures.lines().filter_map(report::Figure::read).collect();
-            report::page(folder, &plan.name, &records(&plan)?, &figures)?;
+            let samples = std::fs::read_to_string(folder.join("figures")).unwrap_or_default();
+            let samples: Vec<report::MeasureSample> =
+                samples.lines().filter_map(report::MeasureSample::parse).collect();
+            report::write_report(folder, &plan.name, &records(&plan)?, &samples)?;
             println!("{}", folder.join("report.md").display());
             Ok(ExitCode::SUCCESS)
         }),
--- a/crates/rollout-run/src/processes.rs
+++ b/crates/rollout-run/src/processes.rs
@@ -1,8 +1,9 @@
-//! Another program at a node: a command of the plan starts it beside the old one, which hands over and is ended.
+//! Replaces the program of a node: a command of the plan starts the other program beside the running one, which hands over
+//! its connections and is then ended.
 
-use crate::admin_client::glance;
-use rollout::controller::Came;
-use rollout::node_report::{Here, Told};
+use crate::admin_client::poll_without_seconds;
+use rollout::controller::ActionOutcome;
+use rollout::node_report::{NodeReport, PollOutcome};
 use rollout::plan::{Node, Program};
 use std::fs::File;
 use std::io::Read;
@@ -14,28 +15,29 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Of what a command has written so much is told.
-const TOLD: u64 = 2000;
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+/// The most bytes read of a command's output.
+const MAX_OUTPUT_BYTES: u64 = 2000;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A command of the plan with its words filled in; its words to a file, so that it needs nobody to read them.
-fn begin(words: &[String], fill: &[(&str, String)], log: &Path) -> Result<Child, String> {
-    let filled =
-        |word: &String| fill.iter().fold(word.clone(), |word, (key, value)| word.replace(key, value));
-    let words: Vec<String> = words.iter().map(filled).collect();
-    let (first, rest) = words.split_first().ok_or("an empty command")?;
+/// Starts a command of the plan with its placeholders filled in. Its output goes to a file, so that it does not depend on
+/// a reader.
+fn spawn_command(command: &[String], placeholders: &[(&str, String)], log: &Path) -> Result<Child, String> {
+    let fill_in =
+        |word: &String| placeholders.iter().fold(word.clone(), |word, (key, value)| word.replace(key, value));
+    let arguments: Vec<String> = command.iter().map(fill_in).collect();
+    let (program, rest) = arguments.split_first().ok_or("an empty command")?;
     let file = File::create(log).map_err(|e| format!("{}: {e}", log.display()))?;
-    let other = file.try_clone().map_err(|e| e.to_string())?;
-    let mut command = Command::new(first);
-    command.args(rest).stdin(Stdio::null()).stdout(file).stderr(other);
-    // What it starts lives on when this process ends.
+    let stderr = file.try_clone().map_err(|e| e.to_string())?;
+    let mut command = Command::new(program);
+    command.args(rest).stdin(Stdio::null()).stdout(file).stderr(stderr);
+    // The started process survives the end of this one.
     command.process_group(0);
-    command.spawn().map_err(|e| format!("{first}: {e}"))
+    command.spawn().map_err(|e| format!("{program}: {e}"))
 }
 
-fn last_words(log: &Path) -> String {
+fn last_line(log: &Path) -> String {
     let mut text = String::new();
-    let read = File::open(log).and_then(|file| file.take(TOLD).read_to_string(&mut text));
+    let read = File::open(log).and_then(|file| file.take(MAX_OUTPUT_BYTES).read_to_string(&mut text));
     let line = text.lines().last().unwrap_or_default();
     if read.is_ok() {
         line.to_owned()
@@ -44,109 +46,124 @@
     }
 }
 
-/// What a command of the plan writes before it ends, in that time.
-pub fn said_by(words: &[String], most: Duration) -> Result<String, String> {
-    static ASKED: AtomicU32 = AtomicU32::new(0);
-    let number = ASKED.fetch_add(1, Relaxed);
+/// Runs a command of the plan and returns the last line of its output.
+pub fn output_of(command: &[String], timeout: Duration) -> Result<String, String> {
+    static RUNS: AtomicU32 = AtomicU32::new(0);
+    let number = RUNS.fetch_add(1, Relaxed);
     let log = std::env::temp_dir().join(format!("yarrowfront-words-{}-{number}", std::process::id()));
-    let until = Instant::now() + most;
-    let mut child = begin(words, &[], &log)?;
+    let deadline = Instant::now() + timeout;
+    let mut child = spawn_command(command, &[], &log)?;
     let status = loop {
         match child.try_wait().map_err(|e| e.to_string())? {
             Some(status) => break Ok(status),
-            None if Instant::now() >= until => {
+            None if Instant::now() >= deadline => {
                 let _ = (child.kill(), child.wait());
-                break Err(format!("it goes on after {} s", most.as_secs()));
+                break Err(format!("the command is still running after {} s", timeout.as_secs()));
             }
-            None => sleep(LOOK_AGAIN),
+            None => sleep(POLL_INTERVAL),
         }
     };
-    let said = last_words(&log);
+    let output = last_line(&log);
     let _ = std::fs::remove_file(&log);
     match status? {
-        status if status.success() => Ok(said),
-        status => Err(format!("it has ended with {status}: {said}")),
+        status if status.success() => Ok(output),
+        status => Err(format!("the command has ended with {status}: {output}")),
     }
 }
 
-fn serving(at: SocketAddr, build: &str) -> Option<Box<Here>> {
-    match glance(at) {
-        Told::Here(here) if here.serves() && here.build == build => Some(here),
+fn poll_serving(at: SocketAddr, build: &str) -> Option<Box<NodeReport>> {
+    match poll_without_seconds(at) {
+        PollOutcome::Report(report) if report.is_serving() && report.build == build => Some(report),
         _ => None,
     }
 }
 
-/// Has the node's other program serve, and its present one gone.
-pub fn replace(node: &Node, program: &Program, forward: bool, folder: &Path, most: Duration) -> Came {
-    let (words, build) = match forward {
-        true => (&program.start, &program.build),
-        false => (&program.start_former, &program.former),
+/// Replaces the running program of a node by the new one, or by the former one if `forward` is false.
+pub fn replace(
+    node: &Node,
+    program: &Program,
+    forward: bool,
+    folder: &Path,
+    timeout: Duration,
+) -> ActionOutcome {
+    let (command, build) = match forward {
+        true => (&program.start_command, &program.new_build),
+        false => (&program.start_former_command, &program.former_build),
     };
-    let Some(other) = node.other_admin else { return Came::Refused("it has no other address".to_owned()) };
-    let until = Instant::now() + most;
-    let (free, old) = match (glance(node.admin), glance(other)) {
-        // A controller before this one has come so far, or a process serves already that is to stay.
-        (Told::Here(a), Told::Here(b)) => match (a.build == *build, b.build == *build) {
-            (true, false) => return finish(program, &b, other, until),
-            (false, true) => return finish(program, &a, node.admin, until),
-            _ => return Came::Refused("two processes of the node run already".to_owned()),
+    let Some(other) = node.other_admin else {
+        return ActionOutcome::Refused("the node has no other_admin address".to_owned());
+    };
+    let deadline = Instant::now() + timeout;
+    let (free_address, old) = match (poll_without_seconds(node.admin), poll_without_seconds(other)) {
+        // An earlier controller has started the process already, or the right one is serving already.
+        (PollOutcome::Report(a), PollOutcome::Report(b)) => match (a.build == *build, b.build == *build) {
+            (true, false) => return end_process(program, &b, other, deadline),
+            (false, true) => return end_process(program, &a, node.admin, deadline),
+            _ => return ActionOutcome::Refused("two processes of the node are running already".to_owned()),
         },
-        (Told::Here(here), Told::Gone) => (other, Some((here, node.admin))),
-        (Told::Gone, Told::Here(here)) => (node.admin, Some((here, other))),
-        (Told::Gone, Told::Gone) => (node.admin, None),
-        _ => return Came::Unknown("a process of the node does not answer".to_owned()),
+        (PollOutcome::Report(report), PollOutcome::Gone) => (other, Some((report, node.admin))),
+        (PollOutcome::Gone, PollOutcome::Report(report)) => (node.admin, Some((report, other))),
+        (PollOutcome::Gone, PollOutcome::Gone) => (node.admin, None),
+        _ => return ActionOutcome::Unknown("a process of the node does not answer".to_owned()),
     };
-    let fill = [("{name}", node.name.clone()), ("{site}", node.site.clone()), ("{admin}", free.to_string())];
+    let placeholders =
+        [("{name}", node.name.clone()), ("{site}", node.site.clone()), ("{admin}", free_address.to_string())];
     let log = folder.join(format!("{}-{}.log", node.name, if forward { "start" } else { "start-former" }));
-    let mut child = match begin(words, &fill, &log) {
+    let mut child = match spawn_command(command, &placeholders, &log) {
         Ok(child) => child,
-        Err(why) => return Came::Refused(why),
+        Err(why) => return ActionOutcome::Refused(why),
     };
     loop {
-        if let Some(new) = serving(free, build) {
-            // It may be a child of this process until then; whoever it belongs to after that, it is not waited for.
+        if let Some(new) = poll_serving(free_address, build) {
+            // The start command may still run as a child of this process. A thread reaps it, and nothing waits for it.
             std::thread::spawn(move || child.wait());
             return match old {
-                Some((old, at)) if old.life != new.life => finish(program, &old, at, until),
-                _ => Came::Done,
+                Some((old, at)) if old.generation != new.generation => {
+                    end_process(program, &old, at, deadline)
+                }
+                _ => ActionOutcome::Done,
             };
         }
         let ended = child.try_wait().ok().flatten();
         if let Some(status) = ended.filter(|status| !status.success()) {
-            return Came::Refused(format!("the start has ended with {status}: {}", last_words(&log)));
+            return ActionOutcome::Refused(format!(
+                "the start command has ended with {status}: {}",
+                last_line(&log)
+            ));
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             let _ = (child.kill(), child.wait());
-            return Came::Refused(format!(
-                "it is not ready within {} s: {}",
-                most.as_secs(),
-                last_words(&log)
+            return ActionOutcome::Refused(format!(
+                "the process is not ready within {} s: {}",
+                timeout.as_secs(),
+                last_line(&log)
             ));
         }
-        sleep(LOOK_AGAIN);
+        sleep(POLL_INTERVAL);
     }
 }
 
-/// Ends the older process, and waits until it is gone.
-fn finish(program: &Program, old: &Here, at: SocketAddr, until: Instant) -> Came {
-    let fill = [("{admin}", at.to_string()), ("{pid}", old.pid.to_string()), ("{name}", old.name.clone())];
+/// Ends the older process and waits until it is gone.
+fn end_process(program: &Program, old: &NodeReport, at: SocketAddr, deadline: Instant) -> ActionOutcome {
+    let placeholders =
+        [("{admin}", at.to_string()), ("{pid}", old.pid.to_string()), ("{name}", old.name.clone())];
     let log = std::env::temp_dir().join(format!("yarrowfront-end-{}-{}", std::process::id(), old.pid));
-    let ended =
-        begin(&program.end, &fill, &log).and_then(|mut child| child.wait().map_err(|e| e.to_string()));
-    let said = last_words(&log);
+    let ended = spawn_command(&program.end_command, &placeholders, &log)
+        .and_then(|mut child| child.wait().map_err(|e| e.to_string()));
+    let output = last_line(&log);
     let _ = std::fs::remove_file(&log);
     match ended {
         Ok(status) if !status.success() => {
-            return Came::Refused(format!("the end has ended with {status}: {said}"))
+            return ActionOutcome::Refused(format!("the end command has ended with {status}: {output}"))
         }
-        Err(why) => return Came::Refused(why),
+        Err(why) => return ActionOutcome::Refused(why),
         Ok(_) => {}
     }
-    while Instant::now() < until {
-        if glance(at) == Told::Gone {
-            return Came::Done;
+    while Instant::now() < deadline {
+        if poll_without_seconds(at) == PollOutcome::Gone {
+            return ActionOutcome::Done;
         }
-        sleep(LOOK_AGAIN);
+        sleep(POLL_INTERVAL);
     }
-    Came::Refused("the older process does not end".to_owned())
+    ActionOutcome::Refused("the older process does not end".to_owned())
 }
--- a/crates/rollout-run/src/report.rs
+++ b/crates/rollout-run/src/report.rs
@@ -1,97 +1,124 @@
-//! The page at the end, and its plots.
+//! The report of a rolling change, and its plots.
 
 use rollout::journal::Record;
 use std::fmt::Write as _;
 use std::path::Path;
 use yarrowfront_fleet::plot::{lines, Line};
 
-/// How much was lost by each way, over the size of the fleet, in commands' worth; both in tenfolds.
-pub fn lost(path: &Path, ways: &[Line]) -> Result<(), String> {
-    let tenfolds = |(nodes, lost): &(f64, f64)| (nodes.log10(), lost.max(1.0).log10());
-    let ways: Vec<Line> =
-        ways.iter().map(|(name, points)| (name.clone(), points.iter().map(tenfolds).collect())).collect();
-    let label = |tenfolds: &f64| format!("{:.0}", 10f64.powf(*tenfolds));
-    lines(path, "payoff lost to a change that costs 2 points, by nodes", &ways, label, label)
+/// Plots the payoff lost by each strategy, in units of commands, over the size of the fleet. Both axes are logarithmic.
+pub fn plot_payoff_lost(path: &Path, lines_by_strategy: &[Line]) -> Result<(), String> {
+    let decades = |(nodes, lost): &(f64, f64)| (nodes.log10(), lost.max(1.0).log10());
+    let lines_by_strategy: Vec<Line> = lines_by_strategy
+        .iter()
+        .map(|(name, points)| (name.clone(), points.iter().map(decades).collect()))
+        .collect();
+    let label = |decades: &f64| format!("{:.0}", 10f64.powf(*decades));
+    lines(
+        path,
+        "payoff lost to a change that costs 2 points, by number of nodes",
+        &lines_by_strategy,
+        label,
+        label,
+    )
 }
 
-/// One look's figures of one measure.
+/// One sample of a measure. The file `figures` holds one sample per line as a JSON array.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figure {
+pub struct MeasureSample {
     pub at: f64,
     pub stage: usize,
     pub name: String,
     pub mean: f64,
-    pub half: Option<f64>,
+    pub half_width: Option<f64>,
     pub margin: f64,
     pub commands: (f64, f64),
-    pub fortunes: (f64, f64),
+    pub capitals: (f64, f64),
 }
 
-impl Figure {
-    pub fn line(&self) -> String {
-        let Figure { at, stage, name, mean, half, margin, commands, fortunes } = self;
+impl MeasureSample {
+    pub fn to_line(&self) -> String {
+        let MeasureSample { at, stage, name, mean, half_width, margin, commands, capitals } = self;
         serde_json::json!([
-            at, stage, name, mean, half, margin, commands.0, commands.1, fortunes.0, fortunes.1
+            at, stage, name, mean, half_width, margin, commands.0, commands.1, capitals.0, capitals.1
         ])
         .to_string()
     }
 
-    pub fn read(line: &str) -> Option<Figure> {
+    pub fn parse(line: &str) -> Option<MeasureSample> {
         type Line = (f64, usize, String, f64, Option<f64>, f64, f64, f64, f64, f64);
-        let (at, stage, name, mean, half, margin, c, u, worse, fine): Line =
+        let (at, stage, name, mean, half_width, margin, c, u, harm, no_harm): Line =
             serde_json::from_str(line).ok()?;
-        Some(Figure { at, stage, name, mean, half, margin, commands: (c, u), fortunes: (worse, fine) })
+        Some(MeasureSample {
+            at,
+            stage,
+            name,
+            mean,
+            half_width,
+            margin,
+            commands: (c, u),
+            capitals: (harm, no_harm),
+        })
     }
 }
 
-pub fn said(record: &Record) -> String {
+/// A record as text, for the log and the report.
+pub fn describe(record: &Record) -> String {
     match record {
         Record::Begin { leg, former, new, .. } => format!("leg {leg}: from {former} to {new}"),
-        Record::Leads { term, by } => format!("{by} leads in term {term}"),
+        Record::Leadership { term, leader } => format!("controller {leader} leads in term {term}"),
         Record::Stage { stage, nodes } => format!("stage {}: {}", stage + 1, nodes.join(", ")),
-        Record::Deed { node, deed } => format!("{node} {}", deed.word()),
-        Record::Came { node, deed, why: None } => format!("{node} {}: done", deed.word()),
-        Record::Came { node, deed, why: Some(why) } => format!("{node} {}: {why}", deed.word()),
-        Record::Hold { why, asks: true } => format!("HOLDS AND ASKS: {why}"),
-        Record::Hold { why, .. } => format!("holds: {why}"),
-        Record::GoesOn => "goes on".to_owned(),
-        Record::Passed { stage, by } => format!("stage {} has passed by {by}", stage + 1),
-        Record::Ordered { order } => format!("an operator says: {order:?}").to_lowercase(),
-        Record::Back { why } => format!("GOES BACK: {why}"),
-        Record::Confirming => "what is on trial becomes what holds".to_owned(),
-        Record::Done => "DONE: all nodes have the new".to_owned(),
-        Record::TakenBack => "TAKEN BACK: all nodes have the former".to_owned(),
+        Record::ActionStarted { node, action } => format!("{node}: {}", action.as_str()),
+        Record::ActionFinished { node, action, error: None } => format!("{node}: {}: done", action.as_str()),
+        Record::ActionFinished { node, action, error: Some(error) } => {
+            format!("{node}: {}: {error}", action.as_str())
+        }
+        Record::Hold { reason, needs_operator: true } => format!("HOLDS AND ASKS: {reason}"),
+        Record::Hold { reason, .. } => format!("holds: {reason}"),
+        Record::Resumed => "goes on".to_owned(),
+        Record::Passed { stage, grounds } => format!("stage {} has passed by {grounds}", stage + 1),
+        Record::Ordered { order } => format!("operator order: {order:?}").to_lowercase(),
+        Record::RollbackStarted { reason } => format!("GOES BACK: {reason}"),
+        Record::Confirming => "all stages have passed; trials are being confirmed".to_owned(),
+        Record::Done => "DONE: all nodes have the new version".to_owned(),
+        Record::RolledBack => "TAKEN BACK: all nodes have the former version".to_owned(),
     }
 }
 
-/// A line a record, with its seconds since the first.
-pub fn told(records: &[(u64, Record)]) -> String {
+/// The records as text, one per line, with the seconds since the first. Renewals of trials are left out.
+pub fn describe_all(records: &[(u64, Record)]) -> String {
     let start = records.first().map_or(0, |(at, _)| *at);
-    let keep = |record: &Record| matches!(record, Record::Deed { deed: rollout::journal::Deed::Keep, .. });
+    let is_renewal = |record: &Record| {
+        matches!(record, Record::ActionStarted { action: rollout::journal::Action::RenewTrial, .. })
+    };
     let mut text = String::new();
-    for (at, record) in records.iter().filter(|(_, record)| !keep(record)) {
-        let _ = writeln!(text, "{:8.1} s  {}", (at.saturating_sub(start)) as f64 / 1e6, said(record));
+    for (at, record) in records.iter().filter(|(_, record)| !is_renewal(record)) {
+        let _ = writeln!(text, "{:8.1} s  {}", (at.saturating_sub(start)) as f64 / 1e6, describe(record));
     }
     text
 }
 
-/// The page and its plots, into the plan's folder.
-pub fn page(folder: &Path, name: &str, records: &[(u64, Record)], figures: &[Figure]) -> Result<(), String> {
+/// Writes the report and its plots into the plan's directory.
+pub fn write_report(
+    folder: &Path,
+    name: &str,
+    records: &[(u64, Record)],
+    samples: &[MeasureSample],
+) -> Result<(), String> {
     let mut page =
-        format!("# {name}\n\nDecisions, in seconds since the beginning:\n\n```\n{}```\n", told(records));
-    let mut last: Vec<&Figure> = Vec::new();
-    for figure in figures {
-        last.retain(|known| (known.stage, &known.name) != (figure.stage, &figure.name));
-        last.push(figure);
+        format!("# {name}\n\nDecisions, in seconds since the start:\n\n```\n{}```\n", describe_all(records));
+    let mut last: Vec<&MeasureSample> = Vec::new();
+    for sample in samples {
+        last.retain(|known| (known.stage, &known.name) != (sample.stage, &sample.name));
+        last.push(sample);
     }
-    last.sort_by_key(|figure| figure.stage);
-    page.push_str("\nChanged against unchanged nodes, in points, with a band that holds at all times at 95%; the commands of \
-        a stage on either side; and how many times what a bettor against \"no harm\" and one against \"harm beyond the margin\" \
-        began with they have (stopped at the stated odds, passed at 20).\n\n\
+    last.sort_by_key(|sample| sample.stage);
+    page.push_str("\nChanged against unchanged nodes, in points, with a 95% confidence band that is valid at all times; the commands of \
+        a stage on either side; and the capital, as a multiple of the initial one, of the bettors against \"no harm\" and \
+        against \"harm beyond the margin\" (stopped at the configured odds, passed at 20).\n\n\
         | stage | measure | worse by | band | margin | commands changed | unchanged | harm | no harm |\n\
         | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for f in &last {
-        let band = f.half.map_or("too few".to_owned(), |half| format!("+-{:.2}", half * 100.0));
+        let band = f.half_width.map_or("too few".to_owned(), |half| format!("+-{:.2}", half * 100.0));
         let _ = writeln!(
             page,
             "| {} | {} | {:+.2} | {band} | {:.2} | {:.0} | {:.0} | {:.3} | {:.3} |",
@@ -101,36 +128,36 @@
             f.margin * 100.0,
             f.commands.0,
             f.commands.1,
-            f.fortunes.0,
-            f.fortunes.1
+            f.capitals.0,
+            f.capitals.1
         );
     }
-    let mut names: Vec<&str> = figures.iter().map(|figure| figure.name.as_str()).collect();
+    let mut names: Vec<&str> = samples.iter().map(|sample| sample.name.as_str()).collect();
     names.sort_unstable();
     names.dedup();
-    for (place, measure) in names.into_iter().enumerate() {
-        let of: Vec<&Figure> = figures.iter().filter(|figure| figure.name == measure).collect();
-        let file = format!("measure-{place}.svg");
-        bands(&folder.join(&file), measure, &of)?;
+    for (index, measure) in names.into_iter().enumerate() {
+        let samples: Vec<&MeasureSample> = samples.iter().filter(|sample| sample.name == measure).collect();
+        let file = format!("measure-{index}.svg");
+        plot_measure(&folder.join(&file), measure, &samples)?;
         let _ = writeln!(page, "\n![{measure}]({file})");
     }
     let path = folder.join("report.md");
     std::fs::write(&path, page).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// A measure over time, with its band and its margin.
-fn bands(path: &Path, title: &str, figures: &[&Figure]) -> Result<(), String> {
-    let start = figures.first().map_or(0.0, |f| f.at);
-    let line = |name: &str, of: &dyn Fn(&Figure) -> Option<f64>| -> Line {
-        let points = figures.iter().filter_map(|f| Some((f.at - start, of(f)? * 100.0)));
+/// Plots a measure over time with its confidence band and its margin.
+fn plot_measure(path: &Path, title: &str, samples: &[&MeasureSample]) -> Result<(), String> {
+    let start = samples.first().map_or(0.0, |f| f.at);
+    let line = |name: &str, of: &dyn Fn(&MeasureSample) -> Option<f64>| -> Line {
+        let points = samples.iter().filter_map(|f| Some((f.at - start, of(f)? * 100.0)));
         (name.to_owned(), points.collect())
     };
-    let ways = [
-        line("changed less unchanged", &|f| Some(f.mean)),
-        line("its band, above", &|f| Some(f.mean + f.half?)),
-        line("its band, below", &|f| Some(f.mean - f.half?)),
+    let plot_lines = [
+        line("changed minus unchanged", &|f| Some(f.mean)),
+        line("upper band", &|f| Some(f.mean + f.half_width?)),
+        line("lower band", &|f| Some(f.mean - f.half_width?)),
         line("margin", &|f| Some(f.margin)),
     ];
     let label = |value: &f64| format!("{value:.1}");
-    lines(path, &format!("{title}: points, by seconds"), &ways, label, label)
+    lines(path, &format!("{title}: points, by seconds"), &plot_lines, label, label)
 }
--- a/crates/rollout-run/src/run.rs
+++ b/crates/rollout-run/src/run.rs
@@ -1,13 +1,14 @@
-//! The controller: asks, has the state machine decide, writes down, does.
+//! The controller process: it polls the nodes, lets the state machine decide, writes the decisions to the journal and carries
+//! them out.
 
-use crate::admin_client::{self as ask, Leader, Texts};
-use crate::processes::{replace, said_by};
-use crate::report::{page, Figure};
-use rollout::controller::{Came, Lead, Phase};
-use rollout::journal::{line, read, Deed, Order, Record};
-use rollout::node_report::Told;
+use crate::admin_client::{self, Leader, SettingsChange};
+use crate::processes::{output_of, replace};
+use crate::report::{write_report, MeasureSample};
+use rollout::controller::{ActionOutcome, Controller, Phase};
+use rollout::journal::{line, read, Action, OperatorOrder, Record};
+use rollout::node_report::PollOutcome;
 use rollout::plan::{Change, NodeId, Plan, Program};
-use rollout::settings_diff::{differences, side_by_side, Turn};
+use rollout::settings_diff::{differences, side_by_side, RuleChange};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -19,37 +20,37 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use yarrowfront::times::Moment;
 
-/// Between two looks at all nodes: a stage is judged by whole seconds.
+/// The time between two polls of all nodes. Less than a second, because stages are judged by whole seconds.
 const TICK: Duration = Duration::from_millis(400);
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Options {
-    /// Goes on where another controller's change is on trial.
+    /// Continues even if another controller's change is on trial.
     pub take_over: bool,
-    /// Verdicts are written down and not listened to: shows what they are worth.
-    pub deaf: bool,
-    /// Ends without a word at that record, in the middle of it where it is torn: for tests of what comes after.
-    pub end_at: Option<u64>,
-    pub torn: bool,
+    /// Records verdicts without acting on them, for tests that show what they contribute.
+    pub ignore_verdict: bool,
+    /// Aborts the process at this record, for tests of recovery. With `truncate_last` only half of the record is written.
+    pub abort_at_record: Option<u64>,
+    pub truncate_last: bool,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum Outcome {
     Done,
-    TakenBack,
+    RolledBack,
 }
 
 pub fn now() -> Moment {
     Moment(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64)
 }
 
-pub fn journal_of(folder: &Path) -> PathBuf {
+pub fn journal_path(folder: &Path) -> PathBuf {
     folder.join("journal")
 }
 
-/// Puts a file in place whole.
-pub fn put(path: &Path, bytes: &[u8]) -> Result<(), String> {
+/// Replaces a file atomically.
+pub fn write_file(path: &Path, bytes: &[u8]) -> Result<(), String> {
     let new = path.with_extension("new");
     let written = File::create(&new).and_then(|mut file| {
         file.write_all(bytes)?;
@@ -68,20 +69,20 @@
 
 impl Journal {
     fn open(folder: &Path, options: Options) -> Result<Journal, String> {
-        let path = journal_of(folder);
+        let path = journal_path(folder);
         let fail = |e: std::io::Error| format!("{}: {e}", path.display());
         let bytes = match std::fs::read(&path) {
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => Vec::new(),
             other => other.map_err(fail)?,
         };
-        let (records, good) = read(&bytes).map_err(|why| format!("{}: {why}", path.display()))?;
+        let (records, valid_len) = read(&bytes).map_err(|why| format!("{}: {why}", path.display()))?;
         let file = OpenOptions::new().create(true).append(true).open(&path).map_err(fail)?;
-        // A record that was cut off was never acted upon.
-        file.set_len(good as u64).map_err(fail)?;
+        // A truncated record was never acted upon.
+        file.set_len(valid_len as u64).map_err(fail)?;
         Ok(Journal { file, written: 0, options, records })
     }
 
-    /// Has these on disk before it returns.
+    /// Appends the records and syncs them to disk before it returns.
     fn write(&mut self, records: &[Record]) -> Result<(), String> {
         if records.is_empty() {
             return Ok(());
@@ -90,49 +91,52 @@
         for record in records {
             let line = line(at, record);
             self.written += 1;
-            let last = self.options.end_at == Some(self.written);
-            let part = if last && self.options.torn { &line[..line.len() / 2] } else { &line[..] };
+            let last = self.options.abort_at_record == Some(self.written);
+            let part = if last && self.options.truncate_last { &line[..line.len() / 2] } else { &line[..] };
             self.file.write_all(part).map_err(|e| e.to_string())?;
             if last {
                 let _ = self.file.sync_data();
                 std::process::abort();
             }
             match record {
-                Record::Deed { deed: Deed::Keep, .. } => tracing::debug!("{}", crate::report::said(record)),
-                _ => tracing::info!("{}", crate::report::said(record)),
+                Record::ActionStarted { action: Action::RenewTrial, .. } => {
+                    tracing::debug!("{}", crate::report::describe(record))
+                }
+                _ => tracing::info!("{}", crate::report::describe(record)),
             }
             self.records.push((at, record.clone()));
         }
-        self.file.sync_data().map_err(|e| format!("the journal: {e}"))
+        self.file.sync_data().map_err(|e| format!("journal: {e}"))
     }
 
     /// The records of one leg.
-    fn leg(&self, leg: u8) -> Vec<Record> {
-        let mut at = None;
-        let mut of = Vec::new();
+    fn records_of_leg(&self, leg: u8) -> Vec<Record> {
+        let mut current = None;
+        let mut records = Vec::new();
         for (_, record) in &self.records {
             if let Record::Begin { leg, .. } = record {
-                at = Some(*leg);
+                current = Some(*leg);
             }
-            if at == Some(leg) {
-                of.push(record.clone());
+            if current == Some(leg) {
+                records.push(record.clone());
             }
         }
-        of
+        records
     }
 }
 
-/// What one leg changes, and how.
+/// How the nodes are changed in a leg.
 #[derive(Clone)]
-enum How {
-    Settings(Texts),
+enum LegChange {
+    Settings(SettingsChange),
     Program(Program),
 }
 
+/// One leg: the change from one version to another on all nodes.
 struct Leg {
     former: String,
     new: String,
-    how: How,
+    change: LegChange,
 }
 
 struct Run {
@@ -140,51 +144,52 @@
     folder: PathBuf,
     journal: Journal,
     leader: Leader,
-    /// Up to which second each process has told.
-    told: BTreeMap<SocketAddr, u64>,
-    figures: File,
-    drawn: Vec<Figure>,
+    /// The last second that each process has reported.
+    last_seconds: BTreeMap<SocketAddr, u64>,
+    samples_file: File,
+    samples: Vec<MeasureSample>,
 }
 
-/// Asks all nodes at once.
-pub fn look(plan: &Plan, told: &mut BTreeMap<SocketAddr, u64>) -> Vec<(Told, SocketAddr)> {
-    let after = |at: &SocketAddr| told.get(at).copied().unwrap_or(0);
-    let looks: Vec<(Told, SocketAddr)> = scope(|scope| {
-        let asked: Vec<_> = plan
+/// Polls all nodes in parallel.
+pub fn poll_all(plan: &Plan, last_seconds: &mut BTreeMap<SocketAddr, u64>) -> Vec<(PollOutcome, SocketAddr)> {
+    let after = |at: &SocketAddr| last_seconds.get(at).copied().unwrap_or(0);
+    let polls: Vec<(PollOutcome, SocketAddr)> = scope(|scope| {
+        let pollers: Vec<_> = plan
             .nodes
             .iter()
             .map(|node| {
-                let places: Vec<(SocketAddr, u64)> = [Some(node.admin), node.other_admin]
+                let addresses: Vec<(SocketAddr, u64)> = [Some(node.admin), node.other_admin]
                     .into_iter()
                     .flatten()
                     .map(|at| (at, after(&at)))
                     .collect();
                 scope.spawn(move || {
-                    let told = places.into_iter().map(|(at, after)| (ask::look(at, after), at));
-                    let before = |one: &(Told, SocketAddr), other: &(Told, SocketAddr)| {
-                        ask::rank(&other.0) <= ask::rank(&one.0)
-                    };
-                    let one = told.reduce(|one, other| if before(&one, &other) { one } else { other });
-                    one.unwrap_or((Told::Silent, node.admin))
+                    let polls = addresses.into_iter().map(|(at, after)| (admin_client::poll(at, after), at));
+                    let is_preferred =
+                        |one: &(PollOutcome, SocketAddr), other: &(PollOutcome, SocketAddr)| {
+                            admin_client::rank(&other.0) <= admin_client::rank(&one.0)
+                        };
+                    let one = polls.reduce(|one, other| if is_preferred(&one, &other) { one } else { other });
+                    one.unwrap_or((PollOutcome::Silent, node.admin))
                 })
             })
             .collect();
-        asked
+        pollers
             .into_iter()
             .zip(&plan.nodes)
-            .map(|(look, node)| look.join().unwrap_or((Told::Silent, node.admin)))
+            .map(|(poller, node)| poller.join().unwrap_or((PollOutcome::Silent, node.admin)))
             .collect()
     });
-    for (look, at) in &looks {
-        if let Some(last) = look.here().and_then(|here| here.seconds.last()) {
-            told.insert(*at, last.at);
+    for (poll, at) in &polls {
+        if let Some(last) = poll.report().and_then(|report| report.seconds.last()) {
+            last_seconds.insert(*at, last.unix_second);
         }
     }
-    looks
+    polls
 }
 
-/// The settings that a plan brings, and those that hold now, by the nodes' own word where no run has begun.
-pub fn texts(plan: &Plan, folder: &Path) -> Result<(Value, Value), String> {
+/// The former and the new settings of a plan. Before the first run the former ones are asked of the nodes.
+pub fn load_settings(plan: &Plan, folder: &Path) -> Result<(Value, Value), String> {
     let Change::Settings(path) = &plan.change else { return Ok((Value::Null, Value::Null)) };
     let json = |path: &Path| -> Result<Value, String> {
         let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -194,287 +199,325 @@
     if former.exists() && new.exists() {
         return Ok((json(&former)?, json(&new)?));
     }
-    let first = plan.nodes.iter().find_map(|node| ask::settings(node.admin).ok());
-    Ok((first.ok_or("no node tells its settings")?, json(Path::new(path))?))
+    let first = plan.nodes.iter().find_map(|node| admin_client::settings(node.admin).ok());
+    Ok((first.ok_or("no node reports its settings")?, json(Path::new(path))?))
 }
 
-/// What stands against a plan by what nodes told, and the differences that it brings.
+/// The obstacles to a plan according to the nodes' reports, and the differences that it makes.
 pub fn check(
     plan: &Plan,
-    looks: &[(Told, SocketAddr)],
+    polls: &[(PollOutcome, SocketAddr)],
     former: &Value,
     new: &Value,
 ) -> (Vec<String>, Vec<String>) {
-    let (mut against, mut lines) = (Vec::new(), Vec::new());
-    let mut known: BTreeMap<String, Vec<&str>> = BTreeMap::new();
-    for ((told, at), node) in looks.iter().zip(&plan.nodes) {
-        match told {
-            Told::Here(here) => {
-                if here.name != node.name {
-                    against.push(format!("{}: at {at} is {}", node.name, here.name));
+    let (mut obstacles, mut differences_found) = (Vec::new(), Vec::new());
+    let mut nodes_by_version: BTreeMap<String, Vec<&str>> = BTreeMap::new();
+    for ((poll, at), node) in polls.iter().zip(&plan.nodes) {
+        match poll {
+            PollOutcome::Report(report) => {
+                if report.name != node.name {
+                    obstacles.push(format!("{}: the node at {at} is {}", node.name, report.name));
                 }
-                if !here.serves() {
-                    against.push(format!("{} is {}", node.name, here.state));
+                if !report.is_serving() {
+                    obstacles.push(format!("{} is {}", node.name, report.state));
                 }
-                if let Some(trial) = &here.trial {
-                    against
-                        .push(format!("{}: on trial by {}, after {}", node.name, here.leader, trial.former));
+                if let Some(trial) = &report.trial {
+                    obstacles.push(format!(
+                        "{}: a trial by {} is in progress, from {}",
+                        node.name, report.leader, trial.former
+                    ));
                 }
-                let what =
-                    if matches!(plan.change, Change::Settings(_)) { &here.settings } else { &here.build };
-                known.entry(what.clone()).or_default().push(&node.name);
-            }
-            Told::Silent => {
-                against.push(format!("{} does not answer as a node that takes part at {at}", node.name))
+                let version = if matches!(plan.change, Change::Settings(_)) {
+                    &report.settings_digest
+                } else {
+                    &report.build
+                };
+                nodes_by_version.entry(version.clone()).or_default().push(&node.name);
             }
-            Told::Gone => against.push(format!("{}: nobody listens at {at}", node.name)),
+            PollOutcome::Silent => obstacles.push(format!(
+                "{} does not answer as a node with rolling changes enabled at {at}",
+                node.name
+            )),
+            PollOutcome::Gone => obstacles.push(format!("{}: nobody listens at {at}", node.name)),
         }
     }
     match &plan.change {
         Change::Settings(_) => {
-            if known.len() > 1 {
-                let of = |(digest, names): (&String, &Vec<&str>)| format!("{digest} at {}", names.join(" "));
-                against.push(format!(
-                    "nodes go by different settings: {}",
-                    known.iter().map(of).collect::<Vec<_>>().join("; ")
+            if nodes_by_version.len() > 1 {
+                let describe =
+                    |(digest, names): (&String, &Vec<&str>)| format!("{digest} at {}", names.join(" "));
+                obstacles.push(format!(
+                    "nodes use different settings: {}",
+                    nodes_by_version.iter().map(describe).collect::<Vec<_>>().join("; ")
                 ));
             }
             for difference in differences(former, new) {
-                let turn = format!("{:?}", difference.turn).to_lowercase();
-                lines.push(format!(
-                    "{turn}: {} from {} to {}",
+                let effect = format!("{:?}", difference.effect).to_lowercase();
+                differences_found.push(format!(
+                    "{effect}: {} from {} to {}",
                     difference.path, difference.from, difference.to
                 ));
-                if difference.turn == Turn::Loosening && !plan.loosening {
-                    against.push(format!("{} loosens a rule: say `loosening = true`", difference.path));
+                if difference.effect == RuleChange::Loosening && !plan.allows_loosening {
+                    obstacles.push(format!(
+                        "{} loosens a rule, which requires `loosening = true`",
+                        difference.path
+                    ));
                 }
             }
-            if lines.is_empty() {
-                against.push("the new settings are the former ones".to_owned());
+            if differences_found.is_empty() {
+                obstacles.push("the new settings do not differ from the former ones".to_owned());
             }
-            for (node, (told, at)) in plan.nodes.iter().zip(looks) {
-                if told.here().is_some() {
-                    if let Err(why) = ask::weigh(*at, new) {
-                        against.push(format!("{} does not take the settings: {why}", node.name));
+            for (node, (poll, at)) in plan.nodes.iter().zip(polls) {
+                if poll.report().is_some() {
+                    if let Err(why) = admin_client::validate_settings(*at, new) {
+                        obstacles.push(format!("{} rejects the settings: {why}", node.name));
                     }
                 }
             }
         }
         Change::Program(program) => {
-            lines.push(format!("program: from {} to {}", program.former, program.build));
-            for (build, names) in known.iter().filter(|(build, _)| **build != program.former) {
-                against.push(format!("{} run {build} and not {}", names.join(" "), program.former));
+            differences_found
+                .push(format!("program: from {} to {}", program.former_build, program.new_build));
+            for (build, names) in nodes_by_version.iter().filter(|(build, _)| **build != program.former_build)
+            {
+                obstacles.push(format!("{} run {build} and not {}", names.join(" "), program.former_build));
             }
-            // Two builds that do not understand each other must not be found out at night.
-            match said_by(&program.words, Duration::from_micros(plan.times.command.0)) {
-                Ok(words) => {
-                    lines.push(format!("the new program speaks {words}"));
-                    for here in
-                        looks.iter().filter_map(|(told, _)| told.here()).filter(|here| here.words != words)
+            // Incompatible builds have to be detected before the change starts.
+            match output_of(&program.versions_command, Duration::from_micros(plan.timing.command_timeout.0)) {
+                Ok(versions) => {
+                    differences_found.push(format!("the new program speaks {versions}"));
+                    for report in polls
+                        .iter()
+                        .filter_map(|(poll, _)| poll.report())
+                        .filter(|report| report.protocol_versions != versions)
                     {
-                        against.push(format!(
+                        obstacles.push(format!(
                             "{} speaks other words than the new program: {}",
-                            here.name, here.words
+                            report.name, report.protocol_versions
                         ));
                     }
                 }
-                Err(why) => against.push(format!("change.program.words: {why}")),
+                Err(why) => obstacles.push(format!("change.program.words: {why}")),
             }
         }
     }
-    (against, lines)
+    (obstacles, differences_found)
 }
 
-/// Leads the plan to its end: all nodes on the new, or all on the former.
-pub fn run(plan: Plan, options: Options) -> Result<Ended, String> {
+/// Carries out the plan until all nodes have the new version, or all have the former one.
+pub fn run(plan: Plan, options: Options) -> Result<Outcome, String> {
     let folder = PathBuf::from(&plan.folder);
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let lock = File::create(folder.join("lock")).map_err(|e| e.to_string())?;
-    lock.try_lock().map_err(|_| "another controller leads this plan here".to_owned())?;
+    lock.try_lock().map_err(|_| "another controller of this plan is running here".to_owned())?;
     let journal = Journal::open(&folder, options)?;
-    let begun = !journal.records.is_empty();
-    let (former, new) = texts(&plan, &folder)?;
-    let mut told = BTreeMap::new();
-    let looks = look(&plan, &mut told);
-    let here = || looks.iter().filter_map(|(told, _)| told.here());
-    // Whoever goes on finds what it left: nodes on trial, some gone, two versions.
-    let own = |leader: &str| {
-        let leads = |record: &Record| matches!(record, Record::Leads { by, .. } if by == leader);
+    let has_begun = !journal.records.is_empty();
+    let (former, new) = load_settings(&plan, &folder)?;
+    let mut last_seconds = BTreeMap::new();
+    let polls = poll_all(&plan, &mut last_seconds);
+    let reports = || polls.iter().filter_map(|(poll, _)| poll.report());
+    // A controller that continues finds the state it left: nodes on trial, nodes that are gone, two versions.
+    let is_own_leader = |leader: &str| {
+        let leads = |record: &Record| matches!(record, Record::Leadership { leader: by, .. } if by == leader);
         journal.records.iter().any(|(_, record)| leads(record))
     };
-    let strange = here().find(|here| here.trial.is_some() && !own(&here.leader));
-    if let Some(here) = strange.filter(|_| !options.take_over) {
-        return Err(format!("{}: on trial by {}; a change is going on", here.name, here.leader));
+    let foreign_trial = reports().find(|report| report.trial.is_some() && !is_own_leader(&report.leader));
+    if let Some(report) = foreign_trial.filter(|_| !options.take_over) {
+        return Err(format!("{}: a trial by {} is in progress", report.name, report.leader));
     }
-    if !begun && !options.take_over {
-        let (against, _) = check(&plan, &looks, &former, &new);
-        if let Some(why) = against.into_iter().next() {
+    if !has_begun && !options.take_over {
+        let (obstacles, _) = check(&plan, &polls, &former, &new);
+        if let Some(why) = obstacles.into_iter().next() {
             return Err(why);
         }
     }
-    let folder_of = |name: &str| folder.join(name);
+    let path_of = |name: &str| folder.join(name);
     if matches!(plan.change, Change::Settings(_)) {
-        put(&folder_of("former.json"), former.to_string().as_bytes())?;
-        put(&folder_of("new.json"), new.to_string().as_bytes())?;
+        write_file(&path_of("former.json"), former.to_string().as_bytes())?;
+        write_file(&path_of("new.json"), new.to_string().as_bytes())?;
     }
-    let terms = here().map(|here| here.term);
-    let led = journal.records.iter().filter_map(|(_, record)| match record {
-        Record::Leads { term, .. } => Some(*term),
+    let node_terms = reports().map(|report| report.term);
+    let journal_terms = journal.records.iter().filter_map(|(_, record)| match record {
+        Record::Leadership { term, .. } => Some(*term),
         _ => None,
     });
-    let term = terms.chain(led).max().unwrap_or(0) + 1;
-    let leader = Leader { term, by: format!("{}-{}-{}", plan.name, std::process::id(), now().0) };
-    let figures =
-        OpenOptions::new().create(true).append(true).open(folder_of("figures")).map_err(|e| e.to_string())?;
-    let drawn = std::fs::read_to_string(folder_of("figures")).unwrap_or_default();
-    let drawn = drawn.lines().filter_map(Figure::read).collect();
-    let mut run = Run { plan, folder, journal, leader, told, figures, drawn };
-    run.journal.write(&[Record::Leads { term, by: run.leader.by.clone() }])?;
-    for (told, at) in &looks {
-        if told.here().is_some() {
-            if let Came::Refused(why) = ask::lead(*at, &run.leader) {
+    let term = node_terms.chain(journal_terms).max().unwrap_or(0) + 1;
+    let leader = Leader { term, name: format!("{}-{}-{}", plan.name, std::process::id(), now().0) };
+    let samples_file =
+        OpenOptions::new().create(true).append(true).open(path_of("figures")).map_err(|e| e.to_string())?;
+    let samples = std::fs::read_to_string(path_of("figures")).unwrap_or_default();
+    let samples = samples.lines().filter_map(MeasureSample::parse).collect();
+    let mut run = Run { plan, folder, journal, leader, last_seconds, samples_file, samples };
+    run.journal.write(&[Record::Leadership { term, leader: run.leader.name.clone() }])?;
+    for (poll, at) in &polls {
+        if poll.report().is_some() {
+            if let ActionOutcome::Refused(why) = admin_client::announce_leader(*at, &run.leader) {
                 return Err(format!("{at}: {why}"));
             }
         }
     }
-    let legs = run.legs(&former, &new, &looks)?;
-    let mut ended = Ended::Done;
-    for (place, leg) in legs.iter().enumerate() {
-        ended = run.leg(place as u8, leg, options.deaf)?;
-        if ended == Ended::TakenBack {
+    let legs = run.legs(&former, &new, &polls)?;
+    let mut outcome = Outcome::Done;
+    for (index, leg) in legs.iter().enumerate() {
+        outcome = run.run_leg(index as u8, leg, options.ignore_verdict)?;
+        if outcome == Outcome::RolledBack {
             break;
         }
     }
-    page(&run.folder, &run.plan.name, &run.journal.records, &run.drawn)?;
-    Ok(ended)
+    write_report(&run.folder, &run.plan.name, &run.journal.records, &run.samples)?;
+    Ok(outcome)
 }
 
 impl Run {
-    /// First what holds while both stand side by side, and then, where a rule is loosened, the rest.
-    fn legs(&self, former: &Value, new: &Value, looks: &[(Told, SocketAddr)]) -> Result<Vec<Leg>, String> {
+    /// The legs of the change: first to the settings that may be in use side by side with the former ones, and then, if a
+    /// rule is loosened, to the new ones.
+    fn legs(
+        &self,
+        former: &Value,
+        new: &Value,
+        polls: &[(PollOutcome, SocketAddr)],
+    ) -> Result<Vec<Leg>, String> {
         if let Change::Program(program) = &self.plan.change {
-            let (former, new) = (program.former.clone(), program.build.clone());
-            return Ok(vec![Leg { former, new, how: How::Program(program.clone()) }]);
+            let (former, new) = (program.former_build.clone(), program.new_build.clone());
+            return Ok(vec![Leg { former, new, change: LegChange::Program(program.clone()) }]);
         }
-        let both = side_by_side(former, new);
-        let mut steps = vec![(former, &both), (&both, new)];
+        let combined = side_by_side(former, new);
+        let mut steps = vec![(former, &combined), (&combined, new)];
         steps.retain(|(from, to)| from != to);
         let digest = |settings: &Value| {
-            let here = looks.iter().filter(|(told, _)| told.here().is_some());
-            let mut answers = here.map(|(_, at)| ask::weigh(*at, settings));
-            answers.find(Result::is_ok).unwrap_or_else(|| Err("no node weighs the settings".to_owned()))
+            let report = polls.iter().filter(|(poll, _)| poll.report().is_some());
+            let mut answers = report.map(|(_, at)| admin_client::validate_settings(*at, settings));
+            answers.find(Result::is_ok).unwrap_or_else(|| Err("no node validates the settings".to_owned()))
         };
-        let word_ms = self.plan.times.word.0 / 1000;
+        let trial_lease_ms = self.plan.timing.trial_lease.0 / 1000;
         let leg = |(from, to): (&Value, &Value)| -> Result<Leg, String> {
             let digests = (digest(from)?, digest(to)?);
-            let texts = Texts { former: from.clone(), new: to.clone(), digests: digests.clone(), word_ms };
-            Ok(Leg { former: digests.0, new: digests.1, how: How::Settings(texts) })
+            let change = SettingsChange {
+                former: from.clone(),
+                new: to.clone(),
+                digests: digests.clone(),
+                trial_lease_ms,
+            };
+            Ok(Leg { former: digests.0, new: digests.1, change: LegChange::Settings(change) })
         };
         steps.into_iter().map(leg).collect()
     }
 
-    fn leg(&mut self, place: u8, leg: &Leg, deaf: bool) -> Result<Ended, String> {
-        let before = self.journal.leg(place);
-        let mut lead = Lead::new(self.plan.clone(), &leg.former, &leg.new);
-        lead.deaf = deaf;
-        if before.is_empty() {
+    /// Carries out one leg.
+    fn run_leg(&mut self, index: u8, leg: &Leg, ignore_verdict: bool) -> Result<Outcome, String> {
+        let earlier_records = self.journal.records_of_leg(index);
+        let mut controller = Controller::new(self.plan.clone(), &leg.former, &leg.new);
+        controller.ignore_verdict = ignore_verdict;
+        if earlier_records.is_empty() {
             let (plan, former, new) = (self.plan.name.clone(), leg.former.clone(), leg.new.clone());
-            self.journal.write(&[Record::Begin { leg: place, plan, former, new }])?;
+            self.journal.write(&[Record::Begin { leg: index, plan, former, new }])?;
         }
-        lead.resume(before.iter());
-        let (came, results) = mpsc::channel::<(NodeId, Deed, Came)>();
-        let mut drawn = Instant::now();
-        while !lead.over() {
+        controller.resume(earlier_records.iter());
+        let (result_sender, results) = mpsc::channel::<(NodeId, Action, ActionOutcome)>();
+        let mut sampled_at = Instant::now();
+        while !controller.is_finished() {
             let tick = Instant::now();
-            // What came of deeds goes first: what is asked after that shows it, and a look of before does not.
-            while let Ok((id, deed, what)) = results.try_recv() {
-                lead.came(now(), id, deed, what);
+            // Outcomes of actions are taken first: a poll after them shows their effect, and an earlier poll does not.
+            while let Ok((id, action, outcome)) = results.try_recv() {
+                controller.action_finished(now(), id, action, outcome);
             }
-            let looks = look(&self.plan, &mut self.told);
-            for (told, _) in &looks {
-                if let Some(here) = told.here().filter(|here| here.term > self.leader.term) {
-                    return Err(format!("{} is led by {} in term {}", here.name, here.leader, here.term));
+            let polls = poll_all(&self.plan, &mut self.last_seconds);
+            for (poll, _) in &polls {
+                if let Some(report) = poll.report().filter(|report| report.term > self.leader.term) {
+                    return Err(format!(
+                        "{} is led by {} in term {}",
+                        report.name, report.leader, report.term
+                    ));
                 }
             }
-            let places: Vec<SocketAddr> = looks.iter().map(|(_, at)| *at).collect();
-            let led: Vec<bool> = looks.iter().map(|(told, _)| self.leads(told)).collect();
-            lead.look(now(), looks.into_iter().map(|(told, _)| told).collect());
-            self.orders(&mut lead);
-            let records = lead.next(now());
+            let addresses: Vec<SocketAddr> = polls.iter().map(|(_, at)| *at).collect();
+            let led: Vec<bool> = polls.iter().map(|(poll, _)| self.is_led(poll)).collect();
+            controller.observe(now(), polls.into_iter().map(|(poll, _)| poll).collect());
+            self.take_order(&mut controller);
+            let records = controller.next_records(now());
             self.journal.write(&records)?;
             for record in records {
-                let Record::Deed { node, deed } = record else { continue };
-                let Some(id) = self.plan.ids().find(|id| self.plan.node(*id).name == node) else { continue };
-                let (came, at, led) = (came.clone(), places[id.0], led[id.0]);
-                let (leader, how, node) = (self.leader.clone(), leg.how.clone(), self.plan.node(id).clone());
-                let most = Duration::from_micros(self.plan.times.command.0);
+                let Record::ActionStarted { node, action } = record else { continue };
+                let Some(id) = self.plan.node_ids().find(|id| self.plan.node(*id).name == node) else {
+                    continue;
+                };
+                let (result_sender, at, is_led) = (result_sender.clone(), addresses[id.0], led[id.0]);
+                let (leader, change, node) =
+                    (self.leader.clone(), leg.change.clone(), self.plan.node(id).clone());
+                let timeout = Duration::from_micros(self.plan.timing.command_timeout.0);
                 let folder = self.folder.clone();
-                // A start takes its time, and other nodes' trials have to be kept meanwhile.
+                // Starting a process takes time, and the trials of other nodes have to be renewed meanwhile.
                 spawn(move || {
-                    let first = if led { Came::Done } else { ask::lead(at, &leader) };
-                    let what = match (first, &how) {
-                        (Came::Done, How::Settings(texts)) => ask::settle(at, &leader, deed, texts),
-                        (Came::Done, How::Program(program)) => {
-                            replace(&node, program, deed == Deed::Change, &folder, most)
+                    let first =
+                        if is_led { ActionOutcome::Done } else { admin_client::announce_leader(at, &leader) };
+                    let outcome = match (first, &change) {
+                        (ActionOutcome::Done, LegChange::Settings(change)) => {
+                            admin_client::execute(at, &leader, action, change)
+                        }
+                        (ActionOutcome::Done, LegChange::Program(program)) => {
+                            replace(&node, program, action == Action::Apply, &folder, timeout)
                         }
                         (other, _) => other,
                     };
-                    let _ = came.send((id, deed, what));
+                    let _ = result_sender.send((id, action, outcome));
                 });
             }
-            if drawn.elapsed() >= Duration::from_secs(1) && lead.phase == Phase::Forward {
-                drawn = Instant::now();
-                self.draw(&lead)?;
+            if sampled_at.elapsed() >= Duration::from_secs(1) && controller.phase == Phase::Advancing {
+                sampled_at = Instant::now();
+                self.record_samples(&controller)?;
             }
             sleep(TICK.saturating_sub(tick.elapsed()));
         }
-        Ok(if lead.phase == Phase::Done { Ended::Done } else { Ended::TakenBack })
+        Ok(if controller.phase == Phase::Done { Outcome::Done } else { Outcome::RolledBack })
     }
 
-    fn leads(&self, told: &Told) -> bool {
-        told.here().is_some_and(|here| here.term == self.leader.term && here.leader == self.leader.by)
+    /// Whether the node has accepted this controller as its leader.
+    fn is_led(&self, poll: &PollOutcome) -> bool {
+        poll.report()
+            .is_some_and(|report| report.term == self.leader.term && report.leader == self.leader.name)
     }
 
-    /// What an operator has put into the folder.
-    fn orders(&mut self, lead: &mut Lead) {
+    /// Takes an operator's order from the plan's directory and writes the reply.
+    fn take_order(&mut self, controller: &mut Controller) {
         let path = self.folder.join("order");
         let Ok(word) = std::fs::read_to_string(&path) else { return };
-        let said = match order(word.trim()) {
-            Some(order) => lead.order(now(), order),
-            None => Err(format!("no order: {word:?}")),
+        let result = match parse_order(word.trim()) {
+            Some(order) => controller.order(now(), order),
+            None => Err(format!("unknown order: {word:?}")),
         };
-        let said = said.map_or_else(|why| why, |()| "taken".to_owned());
-        let _ = put(&self.folder.join("said"), said.as_bytes());
+        let reply = result.map_or_else(|why| why, |()| "taken".to_owned());
+        let _ = write_file(&self.folder.join("said"), reply.as_bytes());
         let _ = std::fs::remove_file(&path);
     }
 
-    fn draw(&mut self, lead: &Lead) -> Result<(), String> {
+    /// Appends a sample of each measure to the file `figures`.
+    fn record_samples(&mut self, controller: &Controller) -> Result<(), String> {
         let at = now().0 as f64 / 1e6;
-        for measure in lead.verdict.measures.iter().filter(|measure| measure.commands.0 > 0.0) {
-            let figure = Figure {
+        for measure in controller.verdict.measures.iter().filter(|measure| measure.commands.0 > 0.0) {
+            let sample = MeasureSample {
                 at,
-                stage: lead.stage,
+                stage: controller.stage,
                 name: measure.name.clone(),
                 mean: measure.band.mean(),
-                half: measure.band.half(0.05),
+                half_width: measure.band.half_width(0.05),
                 margin: measure.margin,
                 commands: measure.commands,
-                fortunes: measure.fortunes(),
+                capitals: measure.capitals(),
             };
-            writeln!(self.figures, "{}", figure.line()).map_err(|e| format!("figures: {e}"))?;
-            self.drawn.push(figure);
+            writeln!(self.samples_file, "{}", sample.to_line()).map_err(|e| format!("figures: {e}"))?;
+            self.samples.push(sample);
         }
         Ok(())
     }
 }
 
-/// An operator's word.
-pub fn order(word: &str) -> Option<Order> {
+/// Parses the word of an operator's order.
+pub fn parse_order(word: &str) -> Option<OperatorOrder> {
     Some(match word {
-        "pause" => Order::Pause,
-        "resume" => Order::Resume,
-        "accept" => Order::Accept,
-        "back" => Order::Back,
+        "pause" => OperatorOrder::Pause,
+        "resume" => OperatorOrder::Resume,
+        "accept" => OperatorOrder::Accept,
+        "back" => OperatorOrder::Back,
         _ => return None,
     })
 }
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -1,632 +1,680 @@
-//! The state machine of a rolling change: what nodes told, and what to do next.
+//! The state machine of a rolling change: it takes the reports of the nodes and decides what to do next.
 //!
-//! What it promises: no more nodes are out of service at once than the plan says, those that are missing anyway counted;
-//! nothing is changed while it holds, and what is on trial is kept until it goes on or goes back; a stage passes by its
-//! verdict or by an operator's word alone; from every state there is a way to one version everywhere, and where a node
-//! stands in that way somebody is asked.
+//! Invariants: no more nodes are out of service at once than the plan allows, including those that are missing for other
+//! reasons; nothing is changed during a hold, and trials are renewed until the change continues or is rolled back; a stage
+//! passes by its verdict or by an operator's order only; from every state all nodes can reach one version, and if a node
+//! prevents that an operator is asked.
 
-use crate::journal::{Deed, Order, Record};
-use crate::node_report::{Here, Second, Told};
+use crate::journal::{Action, OperatorOrder, Record};
+use crate::node_report::{NodeReport, PollOutcome, SecondReport};
 use crate::plan::{Change, NodeId, Plan};
-use crate::verdict::{Answer, Verdict};
+use crate::verdict::{StageVerdict, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 use yarrowfront::times::{Moment, Span};
 
-/// A second is judged once every node had the time to tell of it.
-const TELL: u64 = 3;
-/// What is on trial is kept so many times in the time that it may be without a word.
-const KEEPS: u64 = 4;
-/// Unchanged nodes have to do as they used to for so long before a hold for their sake is over.
-const CALM: Span = Span(10_000_000);
+/// A second is judged this long after its end, when every node has had time to report it.
+const REPORT_DELAY_SECONDS: u64 = 3;
+/// How often the lease of a trial is renewed within its duration.
+const RENEWALS_PER_LEASE: u64 = 4;
+/// How long unchanged nodes have to do as well as usual before a hold because of them ends.
+const CALM_PERIOD: Span = Span(10_000_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    Forward,
-    /// All stages have passed: what is on trial becomes what holds.
+    Advancing,
+    /// All stages have passed, and the trials are confirmed.
     Confirming,
-    Back,
+    RollingBack,
     Done,
-    TakenBack,
+    RolledBack,
 }
 
-/// What a node has, by its own word.
+/// The version that a node reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Has {
+pub enum NodeVersion {
     Former,
     OnTrial,
     New,
-    /// Neither: somebody else has changed it.
+    /// Neither version: the node was changed by someone else.
     Other,
     Unknown,
 }
 
-/// Why nothing more is changed for now.
+/// Why nothing more is changed at the moment.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Hold {
+pub enum HoldReason {
+    /// An operator has paused the change.
     Paused,
-    Suffering,
+    /// Unchanged nodes do worse than usual as well, so the change is not the cause.
+    FleetDegraded,
+    /// These nodes are not serving or do not answer.
     Missing(Vec<String>),
-    NotKnown(Vec<String>),
-    /// A node has what is neither, or does not come along.
-    Stuck(String),
+    /// These measures were not decided within `max_watch`.
+    Undecided(Vec<String>),
+    /// A node has neither version, or does not follow.
+    Blocked(String),
 }
 
-impl Hold {
-    /// Whether it is over by itself, or somebody has to say how to go on.
-    pub fn asks(&self) -> bool {
-        matches!(self, Hold::NotKnown(_) | Hold::Stuck(_))
+impl HoldReason {
+    /// Whether an operator has to decide how to continue. Other holds end by themselves or by `OperatorOrder::Resume`.
+    pub fn needs_operator(&self) -> bool {
+        matches!(self, HoldReason::Undecided(_) | HoldReason::Blocked(_))
     }
 
     pub fn text(&self) -> String {
         match self {
-            Hold::Paused => "paused by an operator".to_owned(),
-            Hold::Suffering => "unchanged nodes do worse than they used to: it is not the change".to_owned(),
-            Hold::Missing(names) => format!("missing: {}", names.join(", ")),
-            Hold::NotKnown(names) => format!("not known within the longest time: {}", names.join(", ")),
-            Hold::Stuck(why) => why.clone(),
+            HoldReason::Paused => "paused by an operator".to_owned(),
+            HoldReason::FleetDegraded => {
+                "unchanged nodes do worse than usual as well, so the change is not the cause".to_owned()
+            }
+            HoldReason::Missing(names) => format!("missing: {}", names.join(", ")),
+            HoldReason::Undecided(names) => {
+                format!("undecided within the longest watch time: {}", names.join(", "))
+            }
+            HoldReason::Blocked(why) => why.clone(),
         }
     }
 }
 
-/// What came of a deed: it holds, the node will not have it, or nobody knows, as no answer came.
+/// The outcome of an action: it succeeded, the node refused it, or no answer came and the outcome is unknown.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Came {
+pub enum ActionOutcome {
     Done,
     Refused(String),
     Unknown(String),
 }
 
 #[derive(Clone, Debug, Default)]
-struct State {
-    told: Told,
-    /// Something was done to it after it told that: what it has now nobody knows until it tells again.
-    stale: bool,
-    /// Since when it has not answered.
-    silent: Option<Moment>,
-    /// What is being done to it, since when.
-    doing: Option<(Deed, Moment)>,
-    /// Since when it has the new, as which life, and what it took of its machine when that had settled.
+struct NodeState {
+    last_poll: PollOutcome,
+    /// An action followed the last report, so that the node's version is unknown until its next report.
+    is_stale: bool,
+    /// Since when the node has not answered.
+    silent_since: Option<Moment>,
+    /// The action in progress, and since when.
+    in_progress: Option<(Action, Moment)>,
+    /// Since when the node has the new version, and the generation of its process.
     changed: Option<(Moment, u64)>,
-    settled: Option<(u64, u64)>,
-    kept: Option<Moment>,
-    /// Its seconds count as those of an unchanged node until then: from its first change on they do not.
-    touched: Option<Moment>,
-    /// What it would not have, and when.
-    failed: Option<(String, Moment)>,
-    /// It has started again by itself since it was changed.
-    restarted: bool,
+    /// Its memory in kB and its file descriptors when the new version had settled.
+    baseline: Option<(u64, u64)>,
+    renewed_at: Option<Moment>,
+    /// When the first action but a renewal began. Until then the node's seconds count as those of an unchanged node.
+    first_action_at: Option<Moment>,
+    /// Why the node refused an action, and when.
+    last_failure: Option<(String, Moment)>,
+    /// The node has restarted by itself since it was changed.
+    has_restarted: bool,
 }
 
 #[derive(Clone, Debug)]
-pub struct Lead {
+pub struct Controller {
     pub plan: Plan,
     former: String,
     new: String,
     pub stages: Vec<Vec<NodeId>>,
-    nodes: Vec<State>,
+    nodes: Vec<NodeState>,
     pub phase: Phase,
     pub stage: usize,
-    hold: Option<Hold>,
-    paused: bool,
-    /// Since when all of the stage's nodes have the new and are settled; and when its verdict is asked for at last.
-    watched: Option<Moment>,
-    patience: Option<Moment>,
-    calm: Option<Moment>,
-    back_since: Option<Moment>,
-    accepted: bool,
-    /// A stage of it was compared, or accepted.
-    compared: bool,
+    hold: Option<HoldReason>,
+    is_paused: bool,
+    /// Since when all nodes of the stage have the new version and are settled, and when an operator is asked if there is
+    /// still no verdict.
+    watched_since: Option<Moment>,
+    verdict_due: Option<Moment>,
+    calm_since: Option<Moment>,
+    finishing_since: Option<Moment>,
+    is_accepted: bool,
+    /// At least one stage was passed by comparison or by an operator.
+    has_compared: bool,
     pub verdict: Verdict,
-    /// What the verdict says is not listened to: for tests that show what it is worth.
-    pub deaf: bool,
-    seconds: BTreeMap<u64, Vec<(NodeId, bool, Second)>>,
-    judged: u64,
-    records: Vec<Record>,
-    stage_told: bool,
+    /// Ignores the verdict, for tests that show what it contributes.
+    pub ignore_verdict: bool,
+    pending_seconds: BTreeMap<u64, Vec<(NodeId, bool, SecondReport)>>,
+    last_judged_second: u64,
+    pending_records: Vec<Record>,
+    stage_recorded: bool,
 }
 
-impl Lead {
-    /// From what every node has to what it is to have, each by a settings' digest or a build.
-    pub fn new(plan: Plan, former: &str, new: &str) -> Lead {
-        let (stages, verdict) = (plan.staged(), Verdict::new(&plan));
-        Lead {
-            nodes: vec![State::default(); plan.nodes.len()],
+impl Controller {
+    /// A rolling change from the former to the new version, each given as a settings digest or a build name.
+    pub fn new(plan: Plan, former: &str, new: &str) -> Controller {
+        let (stages, verdict) = (plan.stage_nodes(), Verdict::new(&plan));
+        Controller {
+            nodes: vec![NodeState::default(); plan.nodes.len()],
             former: former.to_owned(),
             new: new.to_owned(),
             stages,
-            phase: Phase::Forward,
+            phase: Phase::Advancing,
             stage: 0,
             hold: None,
-            paused: false,
-            watched: None,
-            patience: None,
-            calm: None,
-            back_since: None,
-            accepted: false,
-            compared: false,
+            is_paused: false,
+            watched_since: None,
+            verdict_due: None,
+            calm_since: None,
+            finishing_since: None,
+            is_accepted: false,
+            has_compared: false,
             verdict,
-            deaf: false,
-            seconds: BTreeMap::new(),
-            judged: 0,
-            records: Vec::new(),
-            stage_told: false,
+            ignore_verdict: false,
+            pending_seconds: BTreeMap::new(),
+            last_judged_second: 0,
+            pending_records: Vec::new(),
+            stage_recorded: false,
             plan,
         }
     }
 
-    /// Goes on from what a controller before this one wrote down. What nodes have they tell themselves; a stage that was
-    /// not through is watched anew.
+    /// Continues from the journal of an earlier controller. The nodes report their versions themselves; a stage that had
+    /// not passed is watched anew.
     pub fn resume<'a>(&mut self, records: impl Iterator<Item = &'a Record>) {
         for record in records {
             match record {
                 Record::Passed { stage, .. } => {
-                    (self.stage, self.compared) = (stage + 1, true);
+                    (self.stage, self.has_compared) = (stage + 1, true);
                 }
                 Record::Confirming => self.phase = Phase::Confirming,
-                Record::Back { .. } => self.phase = Phase::Back,
+                Record::RollbackStarted { .. } => self.phase = Phase::RollingBack,
                 Record::Done => self.phase = Phase::Done,
-                Record::TakenBack => self.phase = Phase::TakenBack,
-                Record::Ordered { order: Order::Pause } => self.paused = true,
-                Record::Ordered { .. } => self.paused = false,
+                Record::RolledBack => self.phase = Phase::RolledBack,
+                Record::Ordered { order: OperatorOrder::Pause } => self.is_paused = true,
+                Record::Ordered { .. } => self.is_paused = false,
                 _ => {}
             }
         }
-        if self.phase == Phase::Forward && self.stage >= self.stages.len() {
+        if self.phase == Phase::Advancing && self.stage >= self.stages.len() {
             self.phase = Phase::Confirming;
         }
     }
 
-    fn name(&self, id: NodeId) -> String {
+    fn node_name(&self, id: NodeId) -> String {
         self.plan.node(id).name.clone()
     }
 
-    fn settings(&self) -> bool {
+    fn changes_settings(&self) -> bool {
         matches!(self.plan.change, Change::Settings(_))
     }
 
-    pub fn over(&self) -> bool {
-        matches!(self.phase, Phase::Done | Phase::TakenBack)
+    pub fn is_finished(&self) -> bool {
+        matches!(self.phase, Phase::Done | Phase::RolledBack)
     }
 
-    pub fn held(&self) -> Option<&Hold> {
+    pub fn hold_reason(&self) -> Option<&HoldReason> {
         self.hold.as_ref()
     }
 
-    fn has_of(&self, here: &Here) -> Has {
-        let what = if self.settings() { &here.settings } else { &here.build };
+    fn version_of(&self, report: &NodeReport) -> NodeVersion {
+        let version = if self.changes_settings() { &report.settings_digest } else { &report.build };
         match () {
-            () if *what == self.former && here.trial.is_none() => Has::Former,
-            () if *what == self.new && here.trial.is_some() => Has::OnTrial,
-            () if *what == self.new => Has::New,
-            () => Has::Other,
+            () if *version == self.former && report.trial.is_none() => NodeVersion::Former,
+            () if *version == self.new && report.trial.is_some() => NodeVersion::OnTrial,
+            () if *version == self.new => NodeVersion::New,
+            () => NodeVersion::Other,
         }
     }
 
-    /// What a node has, as it told last; nobody knows where something was done to it since.
-    pub fn has(&self, id: NodeId) -> Has {
+    /// The version in a node's last report, or `Unknown` if an action was done since.
+    pub fn version_at(&self, id: NodeId) -> NodeVersion {
         let state = &self.nodes[id.0];
-        let here = state.told.here().filter(|_| !state.stale);
-        here.map_or(Has::Unknown, |here| self.has_of(here))
+        let report = state.last_poll.report().filter(|_| !state.is_stale);
+        report.map_or(NodeVersion::Unknown, |report| self.version_of(report))
     }
 
-    fn is_new(&self, id: NodeId) -> bool {
-        matches!(self.has(id), Has::OnTrial | Has::New)
+    fn has_new_version(&self, id: NodeId) -> bool {
+        matches!(self.version_at(id), NodeVersion::OnTrial | NodeVersion::New)
     }
 
-    pub fn told(&self, id: NodeId) -> &Told {
-        &self.nodes[id.0].told
+    pub fn last_poll(&self, id: NodeId) -> &PollOutcome {
+        &self.nodes[id.0].last_poll
     }
 
-    /// Takes in what came of asking every node, in the plan's order: asked after what was told by `came` had come.
-    pub fn look(&mut self, now: Moment, told: Vec<Told>) {
-        for (id, told) in self.plan.ids().collect::<Vec<_>>().into_iter().zip(told) {
-            self.look_at(now, id, told);
+    /// Takes the outcomes of polling all nodes, in the plan's order. The nodes must have been polled after the outcomes
+    /// passed to `action_finished` arrived.
+    pub fn observe(&mut self, now: Moment, polls: Vec<PollOutcome>) {
+        for (id, poll) in self.plan.node_ids().collect::<Vec<_>>().into_iter().zip(polls) {
+            self.observe_node(now, id, poll);
         }
-        let over = (now.0 / 1_000_000).saturating_sub(TELL);
-        let later = self.seconds.split_off(&over);
-        for (at, second) in std::mem::replace(&mut self.seconds, later) {
-            self.judged = at;
-            let second: Vec<(NodeId, bool, &Second)> =
+        let complete_until = (now.0 / 1_000_000).saturating_sub(REPORT_DELAY_SECONDS);
+        let later = self.pending_seconds.split_off(&complete_until);
+        for (at, second) in std::mem::replace(&mut self.pending_seconds, later) {
+            self.last_judged_second = at;
+            let second: Vec<(NodeId, bool, &SecondReport)> =
                 second.iter().map(|(id, changed, second)| (*id, *changed, second)).collect();
-            self.verdict.saw(&second);
+            self.verdict.observe(&second);
         }
     }
 
-    fn look_at(&mut self, now: Moment, id: NodeId, told: Told) {
-        let settle = self.plan.times.settle;
-        let has = told.here().map_or(Has::Unknown, |here| self.has_of(here));
+    fn observe_node(&mut self, now: Moment, id: NodeId, poll: PollOutcome) {
+        let settle = self.plan.timing.settle;
+        let version = poll.report().map_or(NodeVersion::Unknown, |report| self.version_of(report));
         let state = &mut self.nodes[id.0];
-        let Told::Here(mut here) = told else {
-            // One answer that did not come is none.
-            state.silent.get_or_insert(now);
-            let silent = state.silent.is_some_and(|at| now.since(at) >= self.plan.times.silent);
-            if told == Told::Gone || silent {
-                state.told = told;
+        let PollOutcome::Report(mut report) = poll else {
+            // A single missing answer does not count.
+            state.silent_since.get_or_insert(now);
+            let is_silent =
+                state.silent_since.is_some_and(|at| now.since(at) >= self.plan.timing.silent_timeout);
+            if poll == PollOutcome::Gone || is_silent {
+                state.last_poll = poll;
             }
             return;
         };
-        (state.silent, state.stale) = (None, false);
-        match has {
-            Has::OnTrial | Has::New if here.serves() => {
-                let life = here.life;
-                let (since, _) = *state.changed.get_or_insert((now, life));
-                state.touched.get_or_insert(now);
+        (state.silent_since, state.is_stale) = (None, false);
+        match version {
+            NodeVersion::OnTrial | NodeVersion::New if report.is_serving() => {
+                let generation = report.generation;
+                let (since, _) = *state.changed.get_or_insert((now, generation));
+                state.first_action_at.get_or_insert(now);
                 if now.since(since) >= settle {
-                    state.settled.get_or_insert((here.memory_kb, here.descriptors));
+                    state.baseline.get_or_insert((report.memory_kb, report.descriptors));
                 }
             }
-            Has::Former => {
-                // Of the same life it has only been cut off for so long that its trial is over.
-                state.restarted |= state.changed.is_some_and(|(_, life)| life != here.life);
-                (state.changed, state.settled) = (None, None);
+            NodeVersion::Former => {
+                // A process of the same generation was only unreachable for so long that its trial has expired.
+                state.has_restarted |=
+                    state.changed.is_some_and(|(_, generation)| generation != report.generation);
+                (state.changed, state.baseline) = (None, None);
             }
             _ => {}
         }
-        let seconds = std::mem::take(&mut here.seconds);
-        let (touched, changed) = (state.touched, state.changed);
+        let seconds = std::mem::take(&mut report.seconds);
+        let (first_action_at, changed) = (state.first_action_at, state.changed);
         for second in seconds {
-            // A second that began before its node was touched, or after it had settled: anything between is neither.
-            let (began, ended) = (Moment(second.at * 1_000_000), Moment((second.at + 1) * 1_000_000));
-            let side = match (touched, changed) {
+            // A second counts as unchanged if it ended before the first action on the node, and as changed if it began after
+            // the node had settled. Seconds in between count for neither side.
+            let (began, ended) =
+                (Moment(second.unix_second * 1_000_000), Moment((second.unix_second + 1) * 1_000_000));
+            let is_changed = match (first_action_at, changed) {
                 (None, _) => Some(false),
                 (Some(at), _) if ended <= at => Some(false),
                 (_, Some((since, _))) if began >= since + settle => Some(true),
                 _ => None,
             };
-            if let Some(side) = side.filter(|_| second.at > self.judged) {
-                self.seconds.entry(second.at).or_default().push((id, side, second));
+            if let Some(is_changed) = is_changed.filter(|_| second.unix_second > self.last_judged_second) {
+                self.pending_seconds.entry(second.unix_second).or_default().push((id, is_changed, second));
             }
         }
-        state.told = Told::Here(here);
+        state.last_poll = PollOutcome::Report(report);
     }
 
-    /// What came of a deed.
-    pub fn came(&mut self, now: Moment, id: NodeId, deed: Deed, came: Came) {
+    /// Takes the outcome of an action.
+    pub fn action_finished(&mut self, now: Moment, id: NodeId, action: Action, outcome: ActionOutcome) {
         let state = &mut self.nodes[id.0];
-        if state.doing.is_some_and(|(doing, _)| doing == deed) {
-            state.doing = None;
-        }
-        // Whoever falls silent just then has not what it told before: counted as taken back it stayed on the new.
-        state.stale |= deed != Deed::Keep;
-        let why = match came {
-            Came::Done => None,
-            Came::Refused(why) | Came::Unknown(why) if deed == Deed::Keep => Some(why),
-            Came::Refused(why) => {
-                state.failed = Some((why.clone(), now));
+        if state.in_progress.is_some_and(|(doing, _)| doing == action) {
+            state.in_progress = None;
+        }
+        // A node that falls silent right after an action may no longer have the version that it last reported. Otherwise it
+        // was counted as rolled back while it still had the new version.
+        state.is_stale |= action != Action::RenewTrial;
+        let error = match outcome {
+            ActionOutcome::Done => None,
+            ActionOutcome::Refused(why) | ActionOutcome::Unknown(why) if action == Action::RenewTrial => {
+                Some(why)
+            }
+            ActionOutcome::Refused(why) => {
+                state.last_failure = Some((why.clone(), now));
                 Some(why)
             }
-            Came::Unknown(why) => Some(why),
+            ActionOutcome::Unknown(why) => Some(why),
         };
-        if why.is_none() {
-            state.failed = None;
-            state.kept = Some(now);
+        if error.is_none() {
+            state.last_failure = None;
+            state.renewed_at = Some(now);
         }
-        let node = self.name(id);
-        if deed != Deed::Keep || why.is_some() {
-            self.records.push(Record::Came { node, deed, why });
+        let node = self.node_name(id);
+        if action != Action::RenewTrial || error.is_some() {
+            self.pending_records.push(Record::ActionFinished { node, action, error });
         }
     }
 
-    /// An operator's word; what it does not fit is left out, and that is said.
-    pub fn order(&mut self, now: Moment, order: Order) -> Result<(), String> {
-        let forward = self.phase == Phase::Forward;
+    /// Applies an operator's order, or returns why it does not fit the current phase.
+    pub fn order(&mut self, now: Moment, order: OperatorOrder) -> Result<(), String> {
+        let is_advancing = self.phase == Phase::Advancing;
         match order {
-            Order::Pause if forward => self.paused = true,
-            Order::Resume if forward => {
-                (self.paused, self.hold) = (false, None);
-                self.patience = Some(now + self.plan.times.longest);
+            OperatorOrder::Pause if is_advancing => self.is_paused = true,
+            OperatorOrder::Resume if is_advancing => {
+                (self.is_paused, self.hold) = (false, None);
+                self.verdict_due = Some(now + self.plan.timing.max_watch);
             }
-            Order::Accept if forward && self.watched.is_some() => self.accepted = true,
-            Order::Accept => return Err("no stage is being watched".to_owned()),
-            Order::Back if matches!(self.phase, Phase::Forward | Phase::Confirming) => {
-                self.records.push(Record::Ordered { order });
-                self.go_back(now, "an operator's word".to_owned());
+            OperatorOrder::Accept if is_advancing && self.watched_since.is_some() => self.is_accepted = true,
+            OperatorOrder::Accept => return Err("no stage is being watched".to_owned()),
+            OperatorOrder::Back if matches!(self.phase, Phase::Advancing | Phase::Confirming) => {
+                self.pending_records.push(Record::Ordered { order });
+                self.start_rollback(now, "an operator's order".to_owned());
                 return Ok(());
             }
-            _ => return Err("it is not going forward".to_owned()),
+            _ => return Err("the change is not advancing".to_owned()),
         }
-        self.records.push(Record::Ordered { order });
+        self.pending_records.push(Record::Ordered { order });
         Ok(())
     }
 
-    fn go_back(&mut self, now: Moment, why: String) {
-        (self.phase, self.hold, self.paused) = (Phase::Back, None, false);
-        self.back_since = Some(now);
-        self.nodes.iter_mut().for_each(|state| (state.failed, state.restarted) = (None, false));
-        self.records.push(Record::Back { why });
+    fn start_rollback(&mut self, now: Moment, reason: String) {
+        (self.phase, self.hold, self.is_paused) = (Phase::RollingBack, None, false);
+        self.finishing_since = Some(now);
+        self.nodes.iter_mut().for_each(|state| (state.last_failure, state.has_restarted) = (None, false));
+        self.pending_records.push(Record::RollbackStarted { reason });
     }
 
-    fn hold(&mut self, hold: Option<Hold>) {
-        let kind = |hold: &Option<Hold>| hold.as_ref().map(std::mem::discriminant);
+    fn set_hold(&mut self, hold: Option<HoldReason>) {
+        let kind = |hold: &Option<HoldReason>| hold.as_ref().map(std::mem::discriminant);
         if kind(&hold) != kind(&self.hold) {
-            self.records.push(match &hold {
-                Some(hold) => Record::Hold { why: hold.text(), asks: hold.asks() },
-                None => Record::GoesOn,
+            self.pending_records.push(match &hold {
+                Some(hold) => Record::Hold { reason: hold.text(), needs_operator: hold.needs_operator() },
+                None => Record::Resumed,
             });
         }
         self.hold = hold;
     }
 
-    /// Nodes that do not serve, or have not answered for too long.
-    fn missing(&self) -> Vec<NodeId> {
+    /// Nodes that are not serving, or have not answered for too long.
+    fn missing_nodes(&self) -> Vec<NodeId> {
         let missing = |id: &NodeId| {
             let state = &self.nodes[id.0];
-            match &state.told {
-                Told::Here(here) => !here.serves(),
-                // Before the first answer it is not known to be there.
-                Told::Silent | Told::Gone => true,
+            match &state.last_poll {
+                PollOutcome::Report(report) => !report.is_serving(),
+                // Before its first answer a node is not known to be running.
+                PollOutcome::Silent | PollOutcome::Gone => true,
             }
         };
-        self.plan.ids().filter(missing).collect()
+        self.plan.node_ids().filter(missing).collect()
     }
 
-    /// Nodes to which something is being done that may take them out.
-    fn busy(&self) -> Vec<NodeId> {
-        let busy = |id: &NodeId| self.nodes[id.0].doing.is_some_and(|(deed, _)| deed != Deed::Keep);
-        self.plan.ids().filter(busy).collect()
+    /// Nodes with an action in progress that may take them out of service.
+    fn busy_nodes(&self) -> Vec<NodeId> {
+        let busy = |id: &NodeId| {
+            self.nodes[id.0].in_progress.is_some_and(|(action, _)| action != Action::RenewTrial)
+        };
+        self.plan.node_ids().filter(busy).collect()
     }
 
-    /// How many more may be taken out of service now.
-    fn room(&self) -> usize {
-        let out: BTreeSet<NodeId> = self.missing().into_iter().chain(self.busy()).collect();
-        self.plan.most_out.saturating_sub(out.len())
+    /// How many more nodes may be taken out of service now.
+    fn disruption_budget(&self) -> usize {
+        let unavailable: BTreeSet<NodeId> =
+            self.missing_nodes().into_iter().chain(self.busy_nodes()).collect();
+        self.plan.max_unavailable.saturating_sub(unavailable.len())
     }
 
-    /// What is to be written down, in this order and before any of the deeds among it is done.
-    pub fn next(&mut self, now: Moment) -> Vec<Record> {
+    /// Decides what to do next. The records are to be written to the journal in this order, before any action among them
+    /// is carried out.
+    pub fn next_records(&mut self, now: Moment) -> Vec<Record> {
         match self.phase {
-            Phase::Forward => self.forward(now),
-            Phase::Confirming => self.confirm(now),
-            Phase::Back => self.back(now),
-            Phase::Done | Phase::TakenBack => {}
+            Phase::Advancing => self.advance(now),
+            Phase::Confirming => self.confirm_nodes(now),
+            Phase::RollingBack => self.roll_back(now),
+            Phase::Done | Phase::RolledBack => {}
         }
-        if matches!(self.phase, Phase::Forward | Phase::Confirming) {
-            self.keep(now);
+        if matches!(self.phase, Phase::Advancing | Phase::Confirming) {
+            self.renew_trials(now);
         }
-        std::mem::take(&mut self.records)
+        std::mem::take(&mut self.pending_records)
     }
 
-    fn deed(&mut self, now: Moment, id: NodeId, deed: Deed) {
+    fn start_action(&mut self, now: Moment, id: NodeId, action: Action) {
         let state = &mut self.nodes[id.0];
-        state.doing = Some((deed, now));
-        state.failed = None;
-        if deed != Deed::Keep {
-            state.touched.get_or_insert(now);
+        state.in_progress = Some((action, now));
+        state.last_failure = None;
+        if action != Action::RenewTrial {
+            state.first_action_at.get_or_insert(now);
         }
-        let node = self.name(id);
-        self.records.push(Record::Deed { node, deed });
+        let node = self.node_name(id);
+        self.pending_records.push(Record::ActionStarted { node, action });
     }
 
-    fn keep(&mut self, now: Moment) {
-        let every = Span(self.plan.times.word.0 / KEEPS);
-        for id in self.plan.ids().collect::<Vec<_>>() {
+    fn renew_trials(&mut self, now: Moment) {
+        let interval = Span(self.plan.timing.trial_lease.0 / RENEWALS_PER_LEASE);
+        for id in self.plan.node_ids().collect::<Vec<_>>() {
             let state = &self.nodes[id.0];
-            let last = state.kept.or(state.changed.map(|(at, _)| at));
-            let due = last.is_none_or(|at| now.since(at) >= every);
-            if self.has(id) == Has::OnTrial && state.doing.is_none() && due {
-                self.nodes[id.0].kept = Some(now);
-                self.deed(now, id, Deed::Keep);
+            let last = state.renewed_at.or(state.changed.map(|(at, _)| at));
+            let due = last.is_none_or(|at| now.since(at) >= interval);
+            if self.version_at(id) == NodeVersion::OnTrial && state.in_progress.is_none() && due {
+                self.nodes[id.0].renewed_at = Some(now);
+                self.start_action(now, id, Action::RenewTrial);
             }
         }
     }
 
-    /// What stops a rolling change at once, whatever the figures say.
-    fn at_once(&self, now: Moment) -> Option<String> {
-        let gone = |id: &NodeId| self.nodes[id.0].told == Told::Gone;
+    /// A reason to roll back at once, whatever the measured figures are.
+    fn immediate_failure(&self, now: Moment) -> Option<String> {
+        let gone = |id: &NodeId| self.nodes[id.0].last_poll == PollOutcome::Gone;
         let changed = |id: &NodeId| self.nodes[id.0].changed.is_some();
-        let others = self.plan.ids().filter(|id| gone(id) && !changed(id)).count();
-        for id in self.plan.ids() {
-            let (state, name) = (&self.nodes[id.0], self.name(id));
-            // Where unchanged ones go as well it is not the change.
-            if gone(&id) && state.doing.is_none() && changed(&id) && others == 0 {
+        let unchanged_gone = self.plan.node_ids().filter(|id| gone(id) && !changed(id)).count();
+        for id in self.plan.node_ids() {
+            let (state, name) = (&self.nodes[id.0], self.node_name(id));
+            // If unchanged nodes are gone as well, the change is not the cause.
+            if gone(&id) && state.in_progress.is_none() && changed(&id) && unchanged_gone == 0 {
                 return Some(format!("{name} is gone after its change"));
             }
-            let here = state.told.here();
-            let other = |life: u64| here.is_some_and(|here| here.life != life) && state.doing.is_none();
-            if state.restarted || state.changed.is_some_and(|(_, life)| other(life)) {
-                return Some(format!("{name} has started again after its change"));
+            let report = state.last_poll.report();
+            let has_other_generation = |generation: u64| {
+                report.is_some_and(|report| report.generation != generation) && state.in_progress.is_none()
+            };
+            if state.has_restarted
+                || state.changed.is_some_and(|(_, generation)| has_other_generation(generation))
+            {
+                return Some(format!("{name} has restarted after its change"));
             }
-            if let Some(grown) = here.and_then(|here| self.grown(state, here)) {
-                return Some(format!("{name}: {grown}"));
+            if let Some(growth) = report.and_then(|report| self.resource_growth(state, report)) {
+                return Some(format!("{name}: {growth}"));
             }
-            if let Some((why, _)) = &state.failed {
-                return Some(format!("{name} does not take it: {why}"));
+            if let Some((why, _)) = &state.last_failure {
+                return Some(format!("{name} refused the change: {why}"));
             }
-            let late = |since: Moment| now > since + self.plan.times.command + self.plan.times.silent;
-            if state.doing.is_some_and(|(deed, since)| deed == Deed::Change && late(since)) {
-                return Some(format!("{name} does not come up"));
+            let is_overdue = |since: Moment| {
+                now > since + self.plan.timing.command_timeout + self.plan.timing.silent_timeout
+            };
+            if state.in_progress.is_some_and(|(action, since)| action == Action::Apply && is_overdue(since)) {
+                return Some(format!("{name} is not serving in time after its change"));
             }
         }
         None
     }
 
-    /// What a changed node takes of its machine beyond what it took when it had settled.
-    fn grown(&self, state: &State, here: &Here) -> Option<String> {
-        let (memory, descriptors) = state.settled?;
-        let grown = |now: u64, then: u64| now as f64 - then as f64;
-        let memory = grown(here.memory_kb, memory) / 1024.0;
+    /// Whether a changed node's memory or descriptors have grown beyond the margin since it settled.
+    fn resource_growth(&self, state: &NodeState, report: &NodeReport) -> Option<String> {
+        let (memory, descriptors) = state.baseline?;
+        let growth = |now: u64, then: u64| now as f64 - then as f64;
+        let memory = growth(report.memory_kb, memory) / 1024.0;
         if memory > self.plan.margins.memory_mb {
             return Some(format!("its memory has grown by {memory:.0} MB"));
         }
-        let descriptors = grown(here.descriptors, descriptors);
+        let descriptors = growth(report.descriptors, descriptors);
         (descriptors > self.plan.margins.descriptors)
             .then(|| format!("its descriptors have grown by {descriptors:.0}"))
     }
 
-    fn forward(&mut self, now: Moment) {
-        if !std::mem::replace(&mut self.stage_told, true) {
-            let nodes = self.stages[self.stage].iter().map(|id| self.name(*id)).collect();
-            self.records.push(Record::Stage { stage: self.stage, nodes });
+    fn advance(&mut self, now: Moment) {
+        if !std::mem::replace(&mut self.stage_recorded, true) {
+            let nodes = self.stages[self.stage].iter().map(|id| self.node_name(*id)).collect();
+            self.pending_records.push(Record::Stage { stage: self.stage, nodes });
         }
-        let answer = self.verdict.answer();
+        let answer = self.verdict.evaluate();
         let worse = match &answer {
-            Answer::Worse(why) if !self.deaf => Some(why.clone()),
+            StageVerdict::Worse(why) if !self.ignore_verdict => Some(why.clone()),
             _ => None,
         };
-        if let Some(why) = self.at_once(now).or(worse) {
-            return self.go_back(now, why);
+        if let Some(why) = self.immediate_failure(now).or(worse) {
+            return self.start_rollback(now, why);
         }
-        let other = self.plan.ids().find(|id| self.has(*id) == Has::Other);
-        let missing = self.missing();
-        // Gone together with unchanged ones it is not held against the change when it is back.
+        let foreign = self.plan.node_ids().find(|id| self.version_at(*id) == NodeVersion::Other);
+        let missing = self.missing_nodes();
+        // A changed node that is gone together with unchanged ones is not held against the change when it returns.
         for id in &missing {
             let state = &mut self.nodes[id.0];
-            if state.told == Told::Gone && state.doing.is_none() {
-                (state.changed, state.settled) = (None, None);
+            if state.last_poll == PollOutcome::Gone && state.in_progress.is_none() {
+                (state.changed, state.baseline) = (None, None);
             }
         }
-        if !self.verdict.suffering() {
-            self.calm.get_or_insert(now);
+        if !self.verdict.is_fleet_degraded() {
+            self.calm_since.get_or_insert(now);
         } else {
-            self.calm = None;
+            self.calm_since = None;
         }
-        let suffers = matches!(self.hold, Some(Hold::Suffering));
-        let calm = self.calm.is_some_and(|at| !suffers || now.since(at) >= CALM);
-        // Nodes that nobody has heard of yet are no reason before they had the time to answer.
-        let names = |ids: &[NodeId]| ids.iter().map(|id| self.name(*id)).collect::<Vec<_>>();
+        let is_degraded = matches!(self.hold, Some(HoldReason::FleetDegraded));
+        let has_recovered = self.calm_since.is_some_and(|at| !is_degraded || now.since(at) >= CALM_PERIOD);
+        // Nodes that have not answered yet are missing only after they have had time to answer.
+        let names = |ids: &[NodeId]| ids.iter().map(|id| self.node_name(*id)).collect::<Vec<_>>();
         let hold = match () {
-            () if self.paused => Some(Hold::Paused),
-            () if other.is_some() => {
-                let name = other.map(|id| self.name(id)).unwrap_or_default();
-                Some(Hold::Stuck(format!("{name} has neither the former nor the new")))
+            () if self.is_paused => Some(HoldReason::Paused),
+            () if foreign.is_some() => {
+                let name = foreign.map(|id| self.node_name(id)).unwrap_or_default();
+                Some(HoldReason::Blocked(format!("{name} has neither the former nor the new")))
             }
-            () if missing.iter().any(|id| self.nodes[id.0].doing.is_none()) => {
-                Some(Hold::Missing(names(&missing)))
+            () if missing.iter().any(|id| self.nodes[id.0].in_progress.is_none()) => {
+                Some(HoldReason::Missing(names(&missing)))
             }
-            () if !calm => Some(Hold::Suffering),
+            () if !has_recovered => Some(HoldReason::FleetDegraded),
             () => None,
         };
         if hold.is_some() {
-            // What is watched meanwhile is no time to pass by.
-            if self.watched.is_some() {
-                self.watched = Some(now);
+            // The time of a hold does not count towards the watch time of the stage.
+            if self.watched_since.is_some() {
+                self.watched_since = Some(now);
             }
-            return self.hold(hold);
+            return self.set_hold(hold);
         }
-        if !matches!(self.hold, Some(Hold::NotKnown(_))) {
-            self.hold(None);
+        if !matches!(self.hold, Some(HoldReason::Undecided(_))) {
+            self.set_hold(None);
         }
         let due: Vec<NodeId> = self.stages[..=self.stage].concat();
-        let left: Vec<NodeId> = due.into_iter().filter(|id| !self.is_new(*id)).collect();
-        if !left.is_empty() {
-            (self.watched, self.patience) = (None, None);
-            let free = |id: &NodeId| self.nodes[id.0].doing.is_none() && self.has(*id) == Has::Former;
-            let next: Vec<NodeId> = left.into_iter().filter(free).take(self.room()).collect();
-            next.into_iter().for_each(|id| self.deed(now, id, Deed::Change));
+        let remaining: Vec<NodeId> = due.into_iter().filter(|id| !self.has_new_version(*id)).collect();
+        if !remaining.is_empty() {
+            (self.watched_since, self.verdict_due) = (None, None);
+            let is_ready = |id: &NodeId| {
+                self.nodes[id.0].in_progress.is_none() && self.version_at(*id) == NodeVersion::Former
+            };
+            let next: Vec<NodeId> =
+                remaining.into_iter().filter(is_ready).take(self.disruption_budget()).collect();
+            next.into_iter().for_each(|id| self.start_action(now, id, Action::Apply));
             return;
         }
-        self.watch(now, answer);
+        self.watch_stage(now, answer);
     }
 
-    /// All of the stage have the new.
-    fn watch(&mut self, now: Moment, answer: Answer) {
-        let times = self.plan.times;
-        let last = self.nodes.iter().filter_map(|state| state.changed.map(|(at, _)| at)).max().unwrap_or(now);
-        if now < last + times.settle {
+    /// Watches a stage all of whose nodes have the new version.
+    fn watch_stage(&mut self, now: Moment, answer: StageVerdict) {
+        let timing = self.plan.timing;
+        let last_change =
+            self.nodes.iter().filter_map(|state| state.changed.map(|(at, _)| at)).max().unwrap_or(now);
+        if now < last_change + timing.settle {
             return;
         }
-        let watched = *self.watched.get_or_insert(now);
-        let patience = *self.patience.get_or_insert(now + times.longest);
-        if std::mem::take(&mut self.accepted) {
-            return self.pass(now, "an operator's word");
+        let watched_since = *self.watched_since.get_or_insert(now);
+        let verdict_due = *self.verdict_due.get_or_insert(now + timing.max_watch);
+        if std::mem::take(&mut self.is_accepted) {
+            return self.pass_stage(now, "an operator's order");
         }
-        // The verdict lags behind by the seconds that are not told yet.
-        if now < watched + times.watch + Span(TELL * 1_000_000) {
+        // The verdict lags by the seconds that have not been reported yet.
+        if now < watched_since + timing.min_watch + Span(REPORT_DELAY_SECONDS * 1_000_000) {
             return;
         }
         let sites: BTreeSet<&str> =
             self.stages[self.stage].iter().map(|id| &*self.plan.node(*id).site).collect();
-        let unchanged = |id: &NodeId| !self.is_new(*id) && sites.contains(&*self.plan.node(*id).site);
-        let comparable = self.plan.ids().any(|id| unchanged(&id));
+        let unchanged =
+            |id: &NodeId| !self.has_new_version(*id) && sites.contains(&*self.plan.node(*id).site);
+        let comparable = self.plan.node_ids().any(|id| unchanged(&id));
         match answer {
-            _ if !comparable && self.compared => {
-                self.pass(now, "the stages before: nobody is left to compare with")
+            _ if !comparable && self.has_compared => {
+                self.pass_stage(now, "the earlier stages, because no unchanged node is left to compare with")
             }
-            Answer::NoWorse if comparable => self.pass(now, "its figures"),
-            _ if self.deaf => self.pass(now, "time alone"),
-            _ if now < patience => {}
-            Answer::NotYet(names) if comparable => self.hold(Some(Hold::NotKnown(names))),
-            _ => self.hold(Some(Hold::NotKnown(vec!["nobody to compare with".to_owned()]))),
+            StageVerdict::NoWorse if comparable => self.pass_stage(now, "its figures"),
+            _ if self.ignore_verdict => self.pass_stage(now, "time alone"),
+            _ if now < verdict_due => {}
+            StageVerdict::Undecided(names) if comparable => self.set_hold(Some(HoldReason::Undecided(names))),
+            _ => self
+                .set_hold(Some(HoldReason::Undecided(vec!["no unchanged node to compare with".to_owned()]))),
         }
     }
 
-    fn pass(&mut self, now: Moment, by: &str) {
-        self.hold(None);
-        self.records.push(Record::Passed { stage: self.stage, by: by.to_owned() });
-        (self.compared, self.watched, self.patience) = (true, None, None);
+    fn pass_stage(&mut self, now: Moment, grounds: &str) {
+        self.set_hold(None);
+        self.pending_records.push(Record::Passed { stage: self.stage, grounds: grounds.to_owned() });
+        (self.has_compared, self.watched_since, self.verdict_due) = (true, None, None);
         self.stage += 1;
-        self.stage_told = false;
+        self.stage_recorded = false;
         if self.stage == self.stages.len() {
             self.phase = Phase::Confirming;
-            self.back_since = Some(now);
-            self.records.push(Record::Confirming);
+            self.finishing_since = Some(now);
+            self.pending_records.push(Record::Confirming);
         } else {
             self.verdict.next_stage();
         }
     }
 
-    /// Whoever stands in the way for too long has somebody asked; what can be done goes on all the same.
-    fn stuck(&mut self, now: Moment, left: &[NodeId]) {
-        let since = *self.back_since.get_or_insert(now);
-        let failed = left.iter().find_map(|id| {
-            self.nodes[id.0].failed.as_ref().map(|(why, _)| format!("{}: {why}", self.name(*id)))
+    /// Asks an operator about nodes that have prevented the end for too long. The other nodes are still acted on.
+    fn report_blocked(&mut self, now: Moment, remaining: &[NodeId]) {
+        let since = *self.finishing_since.get_or_insert(now);
+        let failed = remaining.iter().find_map(|id| {
+            self.nodes[id.0].last_failure.as_ref().map(|(why, _)| format!("{}: {why}", self.node_name(*id)))
         });
-        let late = now.since(since) >= self.plan.times.longest;
-        let names = || left.iter().map(|id| self.name(*id)).collect::<Vec<_>>().join(", ");
+        let is_overdue = now.since(since) >= self.plan.timing.max_watch;
+        let names = || remaining.iter().map(|id| self.node_name(*id)).collect::<Vec<_>>().join(", ");
         match failed {
-            Some(why) => self.hold(Some(Hold::Stuck(why))),
-            None if late => self.hold(Some(Hold::Stuck(format!("still not there: {}", names())))),
-            None => self.hold(None),
+            Some(why) => self.set_hold(Some(HoldReason::Blocked(why))),
+            None if is_overdue => self.set_hold(Some(HoldReason::Blocked(format!(
+                "still without the target version: {}",
+                names()
+            )))),
+            None => self.set_hold(None),
         }
     }
 
-    fn confirm(&mut self, now: Moment) {
-        let left: Vec<NodeId> = self.plan.ids().filter(|id| self.has(*id) != Has::New).collect();
-        if left.is_empty() {
+    fn confirm_nodes(&mut self, now: Moment) {
+        let remaining: Vec<NodeId> =
+            self.plan.node_ids().filter(|id| self.version_at(*id) != NodeVersion::New).collect();
+        if remaining.is_empty() {
             (self.phase, self.hold) = (Phase::Done, None);
-            return self.records.push(Record::Done);
-        }
-        for id in left.iter().copied() {
-            let free = self.free(now, id);
-            match self.has(id) {
-                Has::OnTrial if free => self.deed(now, id, Deed::Confirm),
-                // It was cut off for so long that it has gone back by itself, or has started again.
-                Has::Former if free && self.room() > 0 => self.deed(now, id, Deed::Change),
+            return self.pending_records.push(Record::Done);
+        }
+        for id in remaining.iter().copied() {
+            let is_ready = self.may_act_on(now, id);
+            match self.version_at(id) {
+                NodeVersion::OnTrial if is_ready => self.start_action(now, id, Action::Confirm),
+                // The node was unreachable for so long that its trial expired, or it has restarted.
+                NodeVersion::Former if is_ready && self.disruption_budget() > 0 => {
+                    self.start_action(now, id, Action::Apply)
+                }
                 _ => {}
             }
         }
-        self.stuck(now, &left);
+        self.report_blocked(now, &remaining);
     }
 
-    /// Nothing is being done to it, or what was has come to nothing; after a failure it is left alone for a while.
-    fn free(&self, now: Moment, id: NodeId) -> bool {
+    /// Whether a new action on the node may start: none is in progress or the last one has timed out, and some time has
+    /// passed since a failure.
+    fn may_act_on(&self, now: Moment, id: NodeId) -> bool {
         let state = &self.nodes[id.0];
-        match (state.doing, &state.failed) {
-            (Some((_, since)), _) => now > since + self.plan.times.command + self.plan.times.silent,
-            (None, Some((_, at))) => now > *at + self.plan.times.silent,
+        match (state.in_progress, &state.last_failure) {
+            (Some((_, since)), _) => {
+                now > since + self.plan.timing.command_timeout + self.plan.timing.silent_timeout
+            }
+            (None, Some((_, at))) => now > *at + self.plan.timing.silent_timeout,
             (None, None) => true,
         }
     }
 
-    fn back(&mut self, now: Moment) {
-        let left: Vec<NodeId> = self.plan.ids().filter(|id| self.has(*id) != Has::Former).collect();
-        let busy = !self.busy().is_empty();
-        if left.is_empty() && !busy {
-            (self.phase, self.hold) = (Phase::TakenBack, None);
-            return self.records.push(Record::TakenBack);
-        }
-        for id in left.iter().copied() {
-            let free = self.free(now, id);
-            match self.has(id) {
-                Has::OnTrial if free => self.deed(now, id, Deed::Back),
-                // A process is started and another ended for it: no more of that at once than forwards. But whoever is
-                // missing by the change itself must not keep the others on it.
-                Has::New if free && (self.settings() || self.busy().len() < self.plan.most_out) => {
-                    self.deed(now, id, Deed::Return);
+    fn roll_back(&mut self, now: Moment) {
+        let remaining: Vec<NodeId> =
+            self.plan.node_ids().filter(|id| self.version_at(*id) != NodeVersion::Former).collect();
+        let busy = !self.busy_nodes().is_empty();
+        if remaining.is_empty() && !busy {
+            (self.phase, self.hold) = (Phase::RolledBack, None);
+            return self.pending_records.push(Record::RolledBack);
+        }
+        for id in remaining.iter().copied() {
+            let is_ready = self.may_act_on(now, id);
+            match self.version_at(id) {
+                NodeVersion::OnTrial if is_ready => self.start_action(now, id, Action::RevertTrial),
+                // Reverting a program starts one process and ends another, so that it is limited like the change itself.
+                // Nodes that are missing because of the change do not count here: they must not keep the others on it.
+                NodeVersion::New
+                    if is_ready
+                        && (self.changes_settings()
+                            || self.busy_nodes().len() < self.plan.max_unavailable) =>
+                {
+                    self.start_action(now, id, Action::RevertConfirmed);
                 }
                 _ => {}
             }
         }
-        self.stuck(now, &left);
+        self.report_blocked(now, &remaining);
     }
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,95 +1,100 @@
-//! Evidence that may be looked at after every observation. A bettor stakes a part of what it has on each next
-//! observation being above what is claimed; if the claim is true nobody can expect to gain, and by Ville's inequality a
-//! fortune of 1/a is reached with a chance of a at the most, however often one looks (Ville 1939; Waudby-Smith and
-//! Ramdas, "Estimating means of bounded random variables by betting", 2024; Howard and others 2021).
+//! Sequential tests whose evidence may be checked after every observation (testing by betting). A bettor stakes a part of
+//! its capital on the next observation being above the claimed mean. If the claim is true the capital has no expected
+//! gain, and by Ville's inequality it reaches 1/a with a probability of at most a, however often it is checked (Ville
+//! 1939; Waudby-Smith and Ramdas, "Estimating means of bounded random variables by betting", 2024; Howard and others
+//! 2021).
 
-/// Parts of the fortune that are staked, each by a bettor of its own; the fortune is their mean, which is as safe as each,
-/// and soon follows the one that suits. None is 1: a lost bet must not end it.
+/// The parts of the capital that are staked, each by a bettor of its own. The evidence is the mean of their capitals: it
+/// is as safe as each of them and soon follows the best one. No stake is 1, because a lost bet must not end the test.
 const STAKES: [f64; 6] = [0.05, 0.12, 0.25, 0.45, 0.7, 0.9];
-/// Observations are cut off at so many deviations: what is left is bounded, and one wild second says no more than a few.
-const CUT: f64 = 3.0;
+/// Observations are clipped at this many standard deviations, which bounds them: one outlier weighs no more than a few
+/// ordinary observations.
+const MAX_DEVIATIONS: f64 = 3.0;
 
-/// Against the claim that the mean of what comes is `claim` or less.
+/// A test against the claim that the mean of the observations is `claim` or less.
 #[derive(Clone, Debug)]
 pub struct Bet {
     claim: f64,
-    /// Logarithms of the bettors' fortunes.
-    fortunes: [f64; STAKES.len()],
-    pub seen: u32,
+    /// The logarithms of the bettors' capitals.
+    log_capitals: [f64; STAKES.len()],
+    pub observations: u32,
 }
 
 impl Bet {
     pub fn new(claim: f64) -> Bet {
-        Bet { claim, fortunes: [0.0; STAKES.len()], seen: 0 }
+        Bet { claim, log_capitals: [0.0; STAKES.len()], observations: 0 }
     }
 
-    /// One observation, and the deviation that was expected of it before it was seen: a wrong one costs power and no
-    /// safety, as what is cut off and divided by it is judged by its own mean.
-    pub fn saw(&mut self, value: f64, deviation: f64) {
-        let score = ((value - self.claim) / deviation.max(1e-9)).clamp(-CUT, CUT) / CUT;
-        for (fortune, stake) in self.fortunes.iter_mut().zip(STAKES) {
-            *fortune += (stake * score).ln_1p();
+    /// Adds an observation with the standard deviation that was expected of it beforehand. A wrong deviation costs power
+    /// but no safety, because the scaled and clipped values are judged by their own mean.
+    pub fn observe(&mut self, value: f64, deviation: f64) {
+        let score = ((value - self.claim) / deviation.max(1e-9)).clamp(-MAX_DEVIATIONS, MAX_DEVIATIONS)
+            / MAX_DEVIATIONS;
+        for (capital, stake) in self.log_capitals.iter_mut().zip(STAKES) {
+            *capital += (stake * score).ln_1p();
         }
-        self.seen += 1;
+        self.observations += 1;
     }
 
-    /// The fortune, from 1 on: how many times what it began with.
-    pub fn fortune(&self) -> f64 {
-        let sum: f64 = self.fortunes.iter().map(|log| log.min(600.0).exp()).sum();
+    /// The capital as a multiple of the initial one (an e-value).
+    pub fn capital(&self) -> f64 {
+        let sum: f64 = self.log_capitals.iter().map(|log| log.min(600.0).exp()).sum();
         sum / STAKES.len() as f64
     }
 
-    /// Whether the claim is refuted at these odds of being wrong.
-    pub fn refuted(&self, odds: f64) -> bool {
-        self.fortune() >= 1.0 / odds
+    /// Whether the claim is refuted at this probability of error.
+    pub fn refuted(&self, error_probability: f64) -> bool {
+        self.capital() >= 1.0 / error_probability
     }
 }
 
-/// The deviation of a difference of two shares, each of so many, learned from the differences before: what commands
-/// of one second have in common is in it. It is around their own mean: a harm that lasts must not hide in it.
+/// The standard deviation of a difference between two rates, learned from earlier differences so that it includes what the
+/// commands of one second have in common. It is taken around the mean of the differences, so that a lasting harm does not
+/// inflate it.
 #[derive(Clone, Copy, Debug)]
 pub struct Spread {
-    /// Of one command, squared, over so many differences.
-    square: f64,
+    /// The weighted sum of squared deviations per command, and its weight in differences.
+    squares: f64,
     weight: f64,
     mean: f64,
 }
 
 impl Spread {
-    /// Begins with a guess that is worth so many differences.
-    pub fn new(square: f64, weight: f64) -> Spread {
-        Spread { square: square * weight, weight, mean: 0.0 }
+    /// Starts from an initial variance that counts as much as `weight` differences.
+    pub fn new(variance: f64, weight: f64) -> Spread {
+        Spread { squares: variance * weight, weight, mean: 0.0 }
     }
 
-    /// Of the next difference, where its commands count as `per`: 1/n of one side and 1/n of the other.
+    /// The expected deviation of the next difference; `per` is the sum of 1/n over the two sides.
     pub fn expected(&self, per: f64) -> f64 {
-        (self.square / self.weight * per).sqrt()
+        (self.squares / self.weight * per).sqrt()
     }
 
-    /// Learns from a difference after it was bet on.
-    pub fn saw(&mut self, difference: f64, per: f64) {
-        let expected = self.square / self.weight;
+    /// Learns from a difference, after the bet on it.
+    pub fn observe(&mut self, difference: f64, per: f64) {
+        let expected = self.squares / self.weight;
         let square = (difference - self.mean).powi(2) / per.max(1e-12);
-        // As with the bets: one wild second is no measure for all that follow.
-        self.square += square.min(expected * CUT * CUT);
+        // Clipped as in the bets, so that one outlier does not distort the deviation of all later seconds.
+        self.squares += square.min(expected * MAX_DEVIATIONS * MAX_DEVIATIONS);
         self.weight += 1.0;
         self.mean += (difference - self.mean) / self.weight.min(20.0);
     }
 }
 
-/// The mean of differences with a band that holds at all times at once (Waudby-Smith, Arbour, Sinha, Kennedy and Ramdas,
-/// "Time-uniform central limit theory and asymptotic confidence sequences", 2024): for the page, no decision hangs on it.
+/// The mean of the differences with a confidence band that is valid at all times simultaneously (Waudby-Smith, Arbour,
+/// Sinha, Kennedy and Ramdas, "Time-uniform central limit theory and asymptotic confidence sequences", 2024). It is shown
+/// in the report only; no decision depends on it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Band {
+pub struct ConfidenceBand {
     sum: f64,
     weight: f64,
     squares: f64,
     count: u32,
 }
 
-impl Band {
-    /// One difference with its weight, of one over its variance but for a factor.
-    pub fn saw(&mut self, value: f64, weight: f64) {
+impl ConfidenceBand {
+    /// Adds a difference; the weight is proportional to the inverse of its variance.
+    pub fn observe(&mut self, value: f64, weight: f64) {
         let before = self.mean();
         (self.sum, self.weight, self.count) =
             (self.sum + value * weight, self.weight + weight, self.count + 1);
@@ -104,16 +109,19 @@
         }
     }
 
-    /// Half its width at these odds; none while too little has been seen to say anything.
-    pub fn half(&self, odds: f64) -> Option<f64> {
+    /// Half the width of the band at this probability of error, or `None` while there are too few differences.
+    pub fn half_width(&self, error_probability: f64) -> Option<f64> {
         if self.count < 10 {
             return None;
         }
         let (count, square) = (f64::from(self.count), 1.0 / 30.0);
         let deviation = (self.squares / self.weight).sqrt();
-        let root = (count * square + 1.0).sqrt();
+        let scale = (count * square + 1.0).sqrt();
         Some(
-            deviation * (2.0 * (count * square + 1.0) / (count * count * square) * (root / odds).ln()).sqrt(),
+            deviation
+                * (2.0 * (count * square + 1.0) / (count * count * square)
+                    * (scale / error_probability).ln())
+                .sqrt(),
         )
     }
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,5 +1,5 @@
-//! A rolling change of the program or its settings, without sockets and without a clock: a plan, what nodes told of
-//! themselves, and what to do next. `docs/rollout.md` tells why it is as it is.
+//! A rolling change of the program or the settings of a fleet, without sockets and without a clock: the plan, the reports
+//! of the nodes, and the decision what to do next. `docs/rollout.md` explains the design.
 #![forbid(unsafe_code)]
 
 pub mod controller;
--- a/crates/rollout/src/node_report.rs
+++ b/crates/rollout/src/node_report.rs
@@ -1,75 +1,95 @@
-//! What a node tells of itself, as `GET /counts` has it.
+//! What a node reports about itself, as returned by `GET /counts`.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// Of one profile in one second at one node, or of several added up.
+/// Counts of one profile in one second at one node, or the sum of several.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
-pub struct Tally {
-    pub taken: u32,
-    pub in_goal: u32,
+pub struct CommandCounts {
+    /// Commands accepted.
+    #[serde(rename = "taken")]
+    pub accepted: u32,
+    /// Commands served within the goal time, and those served later.
+    #[serde(rename = "in_goal")]
+    pub within_goal: u32,
     pub late: u32,
-    pub turned_back: u32,
+    #[serde(rename = "turned_back")]
+    pub rejected: u32,
+    /// Commands that ended in an error and may have run.
     pub errored: u32,
-    pub left: u32,
-    pub asked: f64,
-    pub served: f64,
+    /// Commands whose client left before the answer.
+    #[serde(rename = "left")]
+    pub abandoned: u32,
+    /// The payoff of all commands, and of those served within the goal time.
+    #[serde(rename = "asked")]
+    pub payoff_requested: f64,
+    #[serde(rename = "served")]
+    pub payoff_served: f64,
     pub launches: u32,
-    pub extra: u32,
-    pub twice: u32,
+    /// Launches beyond the first of a command.
+    #[serde(rename = "extra")]
+    pub extra_launches: u32,
+    /// Launches of a command that may run only once, after one that may have run.
+    #[serde(rename = "twice")]
+    pub double_runs: u32,
 }
 
-impl Tally {
-    pub fn add(&mut self, other: &Tally) {
-        self.taken += other.taken;
-        self.in_goal += other.in_goal;
+impl CommandCounts {
+    pub fn add(&mut self, other: &CommandCounts) {
+        self.accepted += other.accepted;
+        self.within_goal += other.within_goal;
         self.late += other.late;
-        self.turned_back += other.turned_back;
+        self.rejected += other.rejected;
         self.errored += other.errored;
-        self.left += other.left;
-        (self.asked, self.served) = (self.asked + other.asked, self.served + other.served);
+        self.abandoned += other.abandoned;
+        (self.payoff_requested, self.payoff_served) =
+            (self.payoff_requested + other.payoff_requested, self.payoff_served + other.payoff_served);
         self.launches += other.launches;
-        self.extra += other.extra;
-        self.twice += other.twice;
+        self.extra_launches += other.extra_launches;
+        self.double_runs += other.double_runs;
     }
 
-    /// Commands that had their end here.
+    /// Commands that ended at this node.
     pub fn ended(&self) -> u32 {
-        self.in_goal + self.late + self.turned_back + self.errored
+        self.within_goal + self.late + self.rejected + self.errored
     }
 }
 
-/// A whole second of Unix time.
+/// The counts of one whole second.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
-pub struct Second {
-    pub at: u64,
+pub struct SecondReport {
+    /// The second, in Unix time.
+    #[serde(rename = "at")]
+    pub unix_second: u64,
     #[serde(default)]
-    pub profiles: BTreeMap<String, Tally>,
-    /// Times of the finished: where a bucket begins in microseconds, and how many are in it.
-    #[serde(default)]
-    pub times: Vec<(u64, u32)>,
+    pub profiles: BTreeMap<String, CommandCounts>,
+    /// The latency histogram of finished commands: the lower bound of each bucket in microseconds, and its count.
+    #[serde(rename = "times", default)]
+    pub latencies: Vec<(u64, u32)>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct OnTrial {
-    /// The digest of the settings that it goes back to.
+    /// The digest of the settings to which the node reverts.
     pub former: String,
 }
 
-/// A node that has answered.
+/// The answer of a node.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
-pub struct Here {
+pub struct NodeReport {
     pub name: String,
     pub build: String,
-    /// Which words it speaks with other processes.
-    #[serde(default)]
-    pub words: String,
+    /// The versions of the protocols that the node speaks with other processes.
+    #[serde(rename = "words", default)]
+    pub protocol_versions: String,
     pub state: String,
-    /// Of its settings.
-    pub settings: String,
-    /// When its process began, and its number on its machine.
-    pub life: u64,
+    /// The digest of the node's settings.
+    #[serde(rename = "settings")]
+    pub settings_digest: String,
+    /// The generation of the process (its start time), and its process id.
+    #[serde(rename = "life")]
+    pub generation: u64,
     #[serde(default)]
     pub pid: u32,
     pub trial: Option<OnTrial>,
@@ -81,32 +101,32 @@
     pub memory_kb: u64,
     #[serde(default)]
     pub descriptors: u64,
-    /// Those that were not told before.
+    /// The seconds that were not reported before.
     #[serde(default)]
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondReport>,
 }
 
-impl Here {
-    pub fn serves(&self) -> bool {
+impl NodeReport {
+    pub fn is_serving(&self) -> bool {
         self.state == "serving"
     }
 }
 
-/// What came of asking a node.
+/// The outcome of polling a node.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub enum Told {
-    /// Nothing, for this time: it may be stopped, or the way to it cut.
+pub enum PollOutcome {
+    /// No answer this time: the node may be stopped or unreachable.
     #[default]
     Silent,
-    /// Nobody listens there: its process is gone.
+    /// The connection was refused: the process is gone.
     Gone,
-    Here(Box<Here>),
+    Report(Box<NodeReport>),
 }
 
-impl Told {
-    pub fn here(&self) -> Option<&Here> {
+impl PollOutcome {
+    pub fn report(&self) -> Option<&NodeReport> {
         match self {
-            Told::Here(here) => Some(here),
+            PollOutcome::Report(report) => Some(report),
             _ => None,
         }
     }
--- a/crates/rollout/src/settings_diff.rs
+++ b/crates/rollout/src/settings_diff.rs
@@ -1,124 +1,134 @@
-//! Two texts of settings side by side: what a change does to the rules that hold over the whole fleet.
+//! The differences between two sets of settings, and whether they tighten or loosen the rules that hold for the whole
+//! fleet.
 
 use serde_json::Value;
 use std::collections::BTreeSet;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Turn {
+pub enum RuleChange {
     Neutral,
     Tightening,
-    /// It lets through what was not: asks for the operator's word.
+    /// The change permits what was not permitted before, which takes the operator's consent.
     Loosening,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     pub path: String,
-    pub turn: Turn,
+    pub effect: RuleChange,
     pub from: Value,
     pub to: Value,
 }
 
-/// What a greater figure, or a yes, does to the rules. Where a flag or a figure is not there it is as no and nothing.
-fn greater(key: &str) -> Option<Turn> {
+/// The effect of a greater number or of a flag that is set. A missing flag counts as false, a missing number as zero.
+fn effect_of_increase(key: &str) -> Option<RuleChange> {
     Some(match key {
-        // More launches of a command, more of them beyond the first, on more grounds, or sent for longer to a cold one.
+        // More launches per command, a larger budget for launches beyond the first, more grounds for them, or more load on a
+        // cold backend.
         "mostLaunches" | "secondCopies" | "spareAttempts" | "repeatRatio" | "startCapacity"
-        | "tipMultiple" | "memorySpan" | "removalNotBinding" => Turn::Loosening,
-        // A longer window of the same budget, a longer warming, a full that is no proof, more nodes to share with.
-        "extraWindow" | "warmWithin" | "mayShedBegun" | "balancers" | "fall" => Turn::Tightening,
+        | "tipMultiple" | "memorySpan" | "removalNotBinding" => RuleChange::Loosening,
+        // A longer window for the same budget, a longer warm-up, a "full" answer that does not prove that the command has not
+        // run, or more nodes to share the limits.
+        "extraWindow" | "warmWithin" | "mayShedBegun" | "balancers" | "fall" => RuleChange::Tightening,
         _ => return None,
     })
 }
 
-/// How freely launches of a command may be repeated.
-fn freedom(effect: &Value) -> Option<u32> {
-    ["once", "by_key", "repeatable"].iter().position(|word| effect == word).map(|place| place as u32)
+/// How freely launches of a command may be repeated, by its `idempotency`.
+fn repeat_freedom(effect: &Value) -> Option<u32> {
+    ["once", "by_key", "repeatable"].iter().position(|word| effect == word).map(|rank| rank as u32)
 }
 
-fn turned(key: &str, from: &Value, to: &Value) -> Turn {
-    let grown = |more: bool, turn: Turn| match (more, turn) {
-        (true, turn) => turn,
-        (false, Turn::Loosening) => Turn::Tightening,
-        (false, _) => Turn::Loosening,
+fn rule_change(key: &str, from: &Value, to: &Value) -> RuleChange {
+    let effect_of = |increases: bool, effect: RuleChange| match (increases, effect) {
+        (true, effect) => effect,
+        (false, RuleChange::Loosening) => RuleChange::Tightening,
+        (false, _) => RuleChange::Loosening,
     };
     if key == "idempotency" {
-        return match (freedom(from), freedom(to)) {
-            (Some(from), Some(to)) => grown(to > from, Turn::Loosening),
-            _ => Turn::Loosening,
+        return match (repeat_freedom(from), repeat_freedom(to)) {
+            (Some(from), Some(to)) => effect_of(to > from, RuleChange::Loosening),
+            _ => RuleChange::Loosening,
         };
     }
-    // The group within which a tag is known: what it was and what it is differ in both ways.
+    // The group within which an idempotency key is known. A change of it loosens in one way and tightens in
+    // another, so it counts as a loosening.
     if key == "group" {
-        return Turn::Loosening;
+        return RuleChange::Loosening;
     }
-    let Some(turn) = greater(key) else { return Turn::Neutral };
-    let figure = |value: &Value| match value {
+    let Some(effect) = effect_of_increase(key) else { return RuleChange::Neutral };
+    let number = |value: &Value| match value {
         Value::Bool(yes) => f64::from(u8::from(*yes)),
         Value::Number(n) => n.as_f64().unwrap_or(0.0),
         _ => 0.0,
     };
-    // A budget that is not stated is none: any that is stated is tighter.
-    let budget = matches!(key, "spareAttempts" | "repeatRatio" | "extraWindow");
-    match (budget, from.is_null(), to.is_null()) {
-        (true, true, _) => Turn::Tightening,
-        (true, _, true) => Turn::Loosening,
-        _ => grown(figure(to) > figure(from), turn),
+    // A budget that is not configured means no limit, so any configured one is tighter.
+    let is_budget = matches!(key, "spareAttempts" | "repeatRatio" | "extraWindow");
+    match (is_budget, from.is_null(), to.is_null()) {
+        (true, true, _) => RuleChange::Tightening,
+        (true, _, true) => RuleChange::Loosening,
+        _ => effect_of(number(to) > number(from), effect),
     }
 }
 
-/// A profile goes by its name and not by its place.
-fn named(value: &Value) -> Option<Vec<(&str, &Value)>> {
+/// The elements of a list of named objects: profiles are compared by name and not by position.
+fn by_name(value: &Value) -> Option<Vec<(&str, &Value)>> {
     value.as_array()?.iter().map(|item| Some((item.get("name")?.as_str()?, item))).collect()
 }
 
-fn walk(path: &str, key: &str, from: &Value, to: &Value, found: &mut Vec<Difference>) {
+fn collect_differences(path: &str, key: &str, from: &Value, to: &Value, found: &mut Vec<Difference>) {
     if from == to {
         return;
     }
-    let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let child_path = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     if let (Value::Object(a), Value::Object(b)) = (from, to) {
         for name in a.keys().chain(b.keys()).collect::<BTreeSet<_>>() {
-            // A node's own place and site are no part of what is changed.
+            // A node's own slot and site are not part of the change.
             if path.is_empty() && (name == "me" || name == "zone") {
                 continue;
             }
             let none = Value::Null;
-            walk(&under(name), name, a.get(name).unwrap_or(&none), b.get(name).unwrap_or(&none), found);
+            collect_differences(
+                &child_path(name),
+                name,
+                a.get(name).unwrap_or(&none),
+                b.get(name).unwrap_or(&none),
+                found,
+            );
         }
         return;
     }
-    if let (Some(a), Some(b)) = (named(from), named(to)) {
-        let of = |list: &[(&str, &Value)], name: &str| {
+    if let (Some(a), Some(b)) = (by_name(from), by_name(to)) {
+        let find = |list: &[(&str, &Value)], name: &str| {
             list.iter().find(|(n, _)| *n == name).map_or(Value::Null, |(_, value)| (*value).clone())
         };
         for name in a.iter().chain(&b).map(|(name, _)| *name).collect::<BTreeSet<_>>() {
-            walk(&format!("{path}[{name}]"), "", &of(&a, name), &of(&b, name), found);
+            collect_differences(&format!("{path}[{name}]"), "", &find(&a, name), &find(&b, name), found);
         }
         return;
     }
     let (path, from, to) = (path.to_owned(), from.clone(), to.clone());
-    found.push(Difference { path, turn: turned(key, &from, &to), from, to });
+    found.push(Difference { path, effect: rule_change(key, &from, &to), from, to });
 }
 
-/// All that differs, by path. A profile that is new or gone is neutral: no command has come under it, or none will.
+/// All differences, by path. A new or removed profile is neutral: no command has used it yet, or none will.
 pub fn differences(from: &Value, to: &Value) -> Vec<Difference> {
     let mut found = Vec::new();
-    walk("", "", from, to, &mut found);
+    collect_differences("", "", from, to, &mut found);
     found
 }
 
-/// The settings that hold while old and new stand side by side: the new ones, but for each loosening the former value,
-/// so that what either allows counts only as far as both do.
+/// The settings for the time in which the former and the new ones are in use side by side: the new ones, but with the
+/// former value for each loosening, so that nothing is permitted which only one of the two permits.
 pub fn side_by_side(from: &Value, to: &Value) -> Value {
-    let mut both = to.clone();
-    for difference in differences(from, to).iter().filter(|d| d.turn == Turn::Loosening) {
-        put(&mut both, &difference.path, &difference.from);
+    let mut combined = to.clone();
+    for difference in differences(from, to).iter().filter(|d| d.effect == RuleChange::Loosening) {
+        set_path(&mut combined, &difference.path, &difference.from);
     }
-    both
+    combined
 }
 
-fn put(value: &mut Value, path: &str, new: &Value) {
+fn set_path(value: &mut Value, path: &str, new: &Value) {
     let (head, rest) = path.split_once('.').map_or((path, None), |(head, rest)| (head, Some(rest)));
     let (key, name) = match head.split_once('[') {
         Some((key, name)) => (key, Some(name.trim_end_matches(']'))),
@@ -136,7 +146,7 @@
         at = item;
     }
     match rest {
-        Some(rest) => put(at, rest, new),
+        Some(rest) => set_path(at, rest, new),
         None => *at = new.clone(),
     }
 }
