--- a/crates/rollout-run/src/run.rs
+++ b/crates/rollout-run/src/run.rs
@@ -18,7 +18,7 @@
 use std::sync::mpsc;
 use std::thread::{scope, sleep, spawn};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 /// The time between two polls of all nodes. Less than a second, because stages are judged by whole seconds.
 const TICK: Duration = Duration::from_millis(400);
@@ -41,8 +41,8 @@
     RolledBack,
 }
 
-pub fn now() -> Moment {
-    Moment(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64)
+pub fn now() -> Timestamp {
+    Timestamp(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64)
 }
 
 pub fn journal_path(folder: &Path) -> PathBuf {
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -10,14 +10,14 @@
 use crate::plan::{Change, NodeId, Plan};
 use crate::verdict::{StageVerdict, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// A second is judged this long after its end, when every node has had time to report it.
 const REPORT_DELAY_SECONDS: u64 = 3;
 /// How often the lease of a trial is renewed within its duration.
 const RENEWALS_PER_LEASE: u64 = 4;
 /// How long unchanged nodes have to do as well as usual before a hold because of them ends.
-const CALM_PERIOD: Span = Span(10_000_000);
+const CALM_PERIOD: Micros = Micros(10_000_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
@@ -90,18 +90,18 @@
     /// An action followed the last report, so that the node's version is unknown until its next report.
     is_stale: bool,
     /// Since when the node has not answered.
-    silent_since: Option<Moment>,
+    silent_since: Option<Timestamp>,
     /// The action in progress, and since when.
-    in_progress: Option<(Action, Moment)>,
+    in_progress: Option<(Action, Timestamp)>,
     /// Since when the node has the new version, and the generation of its process.
-    changed: Option<(Moment, u64)>,
+    changed: Option<(Timestamp, u64)>,
     /// Its memory in kB and its file descriptors when the new version had settled.
     baseline: Option<(u64, u64)>,
-    renewed_at: Option<Moment>,
+    renewed_at: Option<Timestamp>,
     /// When the first action but a renewal began. Until then the node's seconds count as those of an unchanged node.
-    first_action_at: Option<Moment>,
+    first_action_at: Option<Timestamp>,
     /// Why the node refused an action, and when.
-    last_failure: Option<(String, Moment)>,
+    last_failure: Option<(String, Timestamp)>,
     /// The node has restarted by itself since it was changed.
     has_restarted: bool,
 }
@@ -119,10 +119,10 @@
     is_paused: bool,
     /// Since when all nodes of the stage have the new version and are settled, and when an operator is asked if there is
     /// still no verdict.
-    watched_since: Option<Moment>,
-    verdict_due: Option<Moment>,
-    calm_since: Option<Moment>,
-    finishing_since: Option<Moment>,
+    watched_since: Option<Timestamp>,
+    verdict_due: Option<Timestamp>,
+    calm_since: Option<Timestamp>,
+    finishing_since: Option<Timestamp>,
     is_accepted: bool,
     /// At least one stage was passed by comparison or by an operator.
     has_compared: bool,
@@ -229,7 +229,7 @@
 
     /// Takes the outcomes of polling all nodes, in the plan's order. The nodes must have been polled after the outcomes
     /// passed to `action_finished` arrived.
-    pub fn observe(&mut self, now: Moment, polls: Vec<PollOutcome>) {
+    pub fn observe(&mut self, now: Timestamp, polls: Vec<PollOutcome>) {
         for (id, poll) in self.plan.node_ids().collect::<Vec<_>>().into_iter().zip(polls) {
             self.observe_node(now, id, poll);
         }
@@ -243,7 +243,7 @@
         }
     }
 
-    fn observe_node(&mut self, now: Moment, id: NodeId, poll: PollOutcome) {
+    fn observe_node(&mut self, now: Timestamp, id: NodeId, poll: PollOutcome) {
         let settle = self.plan.timing.settle;
         let version = poll.report().map_or(NodeVersion::Unknown, |report| self.version_of(report));
         let state = &mut self.nodes[id.0];
@@ -281,7 +281,7 @@
             // A second counts as unchanged if it ended before the first action on the node, and as changed if it began after
             // the node had settled. Seconds in between count for neither side.
             let (began, ended) =
-                (Moment(second.unix_second * 1_000_000), Moment((second.unix_second + 1) * 1_000_000));
+                (Timestamp(second.unix_second * 1_000_000), Timestamp((second.unix_second + 1) * 1_000_000));
             let is_changed = match (first_action_at, changed) {
                 (None, _) => Some(false),
                 (Some(at), _) if ended <= at => Some(false),
@@ -296,7 +296,7 @@
     }
 
     /// Takes the outcome of an action.
-    pub fn action_finished(&mut self, now: Moment, id: NodeId, action: Action, outcome: ActionOutcome) {
+    pub fn action_finished(&mut self, now: Timestamp, id: NodeId, action: Action, outcome: ActionOutcome) {
         let state = &mut self.nodes[id.0];
         if state.in_progress.is_some_and(|(doing, _)| doing == action) {
             state.in_progress = None;
@@ -326,7 +326,7 @@
     }
 
     /// Applies an operator's order, or returns why it does not fit the current phase.
-    pub fn order(&mut self, now: Moment, order: OperatorOrder) -> Result<(), String> {
+    pub fn order(&mut self, now: Timestamp, order: OperatorOrder) -> Result<(), String> {
         let is_advancing = self.phase == Phase::Advancing;
         match order {
             OperatorOrder::Pause if is_advancing => self.is_paused = true,
@@ -347,7 +347,7 @@
         Ok(())
     }
 
-    fn start_rollback(&mut self, now: Moment, reason: String) {
+    fn start_rollback(&mut self, now: Timestamp, reason: String) {
         (self.phase, self.hold, self.is_paused) = (Phase::RollingBack, None, false);
         self.finishing_since = Some(now);
         self.nodes.iter_mut().for_each(|state| (state.last_failure, state.has_restarted) = (None, false));
@@ -395,7 +395,7 @@
 
     /// Decides what to do next. The records are to be written to the journal in this order, before any action among them
     /// is carried out.
-    pub fn next_records(&mut self, now: Moment) -> Vec<Record> {
+    pub fn next_records(&mut self, now: Timestamp) -> Vec<Record> {
         match self.phase {
             Phase::Advancing => self.advance(now),
             Phase::Confirming => self.confirm_nodes(now),
@@ -408,7 +408,7 @@
         std::mem::take(&mut self.pending_records)
     }
 
-    fn start_action(&mut self, now: Moment, id: NodeId, action: Action) {
+    fn start_action(&mut self, now: Timestamp, id: NodeId, action: Action) {
         let state = &mut self.nodes[id.0];
         state.in_progress = Some((action, now));
         state.last_failure = None;
@@ -419,8 +419,8 @@
         self.pending_records.push(Record::ActionStarted { node, action });
     }
 
-    fn renew_trials(&mut self, now: Moment) {
-        let interval = Span(self.plan.timing.trial_lease.0 / RENEWALS_PER_LEASE);
+    fn renew_trials(&mut self, now: Timestamp) {
+        let interval = Micros(self.plan.timing.trial_lease.0 / RENEWALS_PER_LEASE);
         for id in self.plan.node_ids().collect::<Vec<_>>() {
             let state = &self.nodes[id.0];
             let last = state.renewed_at.or(state.changed.map(|(at, _)| at));
@@ -433,7 +433,7 @@
     }
 
     /// A reason to roll back at once, whatever the measured figures are.
-    fn immediate_failure(&self, now: Moment) -> Option<String> {
+    fn immediate_failure(&self, now: Timestamp) -> Option<String> {
         let gone = |id: &NodeId| self.nodes[id.0].last_poll == PollOutcome::Gone;
         let changed = |id: &NodeId| self.nodes[id.0].changed.is_some();
         let unchanged_gone = self.plan.node_ids().filter(|id| gone(id) && !changed(id)).count();
@@ -458,7 +458,7 @@
             if let Some((why, _)) = &state.last_failure {
                 return Some(format!("{name} refused the change: {why}"));
             }
-            let is_overdue = |since: Moment| {
+            let is_overdue = |since: Timestamp| {
                 now > since + self.plan.timing.command_timeout + self.plan.timing.silent_timeout
             };
             if state.in_progress.is_some_and(|(action, since)| action == Action::Apply && is_overdue(since)) {
@@ -481,7 +481,7 @@
             .then(|| format!("its descriptors have grown by {descriptors:.0}"))
     }
 
-    fn advance(&mut self, now: Moment) {
+    fn advance(&mut self, now: Timestamp) {
         if !std::mem::replace(&mut self.stage_recorded, true) {
             let nodes = self.stages[self.stage].iter().map(|id| self.node_name(*id)).collect();
             self.pending_records.push(Record::Stage { stage: self.stage, nodes });
@@ -550,7 +550,7 @@
     }
 
     /// Watches a stage all of whose nodes have the new version.
-    fn watch_stage(&mut self, now: Moment, answer: StageVerdict) {
+    fn watch_stage(&mut self, now: Timestamp, answer: StageVerdict) {
         let timing = self.plan.timing;
         let last_change =
             self.nodes.iter().filter_map(|state| state.changed.map(|(at, _)| at)).max().unwrap_or(now);
@@ -563,7 +563,7 @@
             return self.pass_stage(now, "an operator's order");
         }
         // The verdict lags by the seconds that have not been reported yet.
-        if now < watched_since + timing.min_watch + Span(REPORT_DELAY_SECONDS * 1_000_000) {
+        if now < watched_since + timing.min_watch + Micros(REPORT_DELAY_SECONDS * 1_000_000) {
             return;
         }
         let sites: BTreeSet<&str> =
@@ -584,7 +584,7 @@
         }
     }
 
-    fn pass_stage(&mut self, now: Moment, grounds: &str) {
+    fn pass_stage(&mut self, now: Timestamp, grounds: &str) {
         self.set_hold(None);
         self.pending_records.push(Record::Passed { stage: self.stage, grounds: grounds.to_owned() });
         (self.has_compared, self.watched_since, self.verdict_due) = (true, None, None);
@@ -600,7 +600,7 @@
     }
 
     /// Asks an operator about nodes that have prevented the end for too long. The other nodes are still acted on.
-    fn report_blocked(&mut self, now: Moment, remaining: &[NodeId]) {
+    fn report_blocked(&mut self, now: Timestamp, remaining: &[NodeId]) {
         let since = *self.finishing_since.get_or_insert(now);
         let failed = remaining.iter().find_map(|id| {
             self.nodes[id.0].last_failure.as_ref().map(|(why, _)| format!("{}: {why}", self.node_name(*id)))
@@ -617,7 +617,7 @@
         }
     }
 
-    fn confirm_nodes(&mut self, now: Moment) {
+    fn confirm_nodes(&mut self, now: Timestamp) {
         let remaining: Vec<NodeId> =
             self.plan.node_ids().filter(|id| self.version_at(*id) != NodeVersion::New).collect();
         if remaining.is_empty() {
@@ -640,7 +640,7 @@
 
     /// Whether a new action on the node may start: none is in progress or the last one has timed out, and some time has
     /// passed since a failure.
-    fn may_act_on(&self, now: Moment, id: NodeId) -> bool {
+    fn may_act_on(&self, now: Timestamp, id: NodeId) -> bool {
         let state = &self.nodes[id.0];
         match (state.in_progress, &state.last_failure) {
             (Some((_, since)), _) => {
@@ -651,7 +651,7 @@
         }
     }
 
-    fn roll_back(&mut self, now: Moment) {
+    fn roll_back(&mut self, now: Timestamp) {
         let remaining: Vec<NodeId> =
             self.plan.node_ids().filter(|id| self.version_at(*id) != NodeVersion::Former).collect();
         let busy = !self.busy_nodes().is_empty();
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 /// The index of a node in the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -88,16 +88,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
     /// For how long after its change a node's seconds are ignored: it is cold, and its clients reconnect.
-    pub settle: Span,
+    pub settle: Micros,
     /// The least time for which a stage is watched, and the longest without a verdict before an operator is asked.
-    pub min_watch: Span,
-    pub max_watch: Span,
+    pub min_watch: Micros,
+    pub max_watch: Micros,
     /// The lease of a trial: settings on trial are reverted by the node if the controller does not renew them in time.
-    pub trial_lease: Span,
+    pub trial_lease: Micros,
     /// A node without an answer for this long counts as missing.
-    pub silent_timeout: Span,
+    pub silent_timeout: Micros,
     /// The longest time for a command of the plan, and for the start or end of a process.
-    pub command_timeout: Span,
+    pub command_timeout: Micros,
 }
 
 /// How much worse changed nodes may do than unchanged ones. These are rates from 0 to 1 unless stated otherwise.
@@ -287,7 +287,7 @@
                 return Err(format!("{key} must be from {least} to {most}, but is {value}"));
             }
         }
-        let span = |seconds: f64| Span((seconds * 1e6) as u64);
+        let span = |seconds: f64| Micros((seconds * 1e6) as u64);
         let (settle, min_watch, max_watch) =
             (span(seconds.settle), span(seconds.watch), span(seconds.longest));
         let (trial_lease, silent_timeout, command_timeout) =
--- a/crates/rollout/src/simulation.rs
+++ b/crates/rollout/src/simulation.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Binomial, Distribution, Normal, Poisson};
 use std::collections::BTreeMap;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 pub const FORMER: &str = "former";
 pub const NEW: &str = "new";
@@ -64,11 +64,11 @@
 struct SimNode {
     has_new: bool,
     /// When the trial expires; `None` if the version is permanent.
-    trial_until: Option<Moment>,
-    changed_at: Option<Moment>,
+    trial_until: Option<Timestamp>,
+    changed_at: Option<Timestamp>,
     generation: u64,
     is_up: bool,
-    silent_until: Option<Moment>,
+    silent_until: Option<Timestamp>,
     offset: f64,
     seconds: Vec<SecondReport>,
 }
@@ -87,13 +87,13 @@
 }
 
 pub struct Simulation {
-    pub now: Moment,
+    pub now: Timestamp,
     pub controller: Controller,
     pub model: ServiceModel,
     pub harm: Harm,
     nodes: Vec<SimNode>,
     /// The lease of a trial.
-    trial_lease: Span,
+    trial_lease: Micros,
     /// The current drift of the whole fleet, in points.
     fleet_drift: f64,
     rng: ChaCha8Rng,
@@ -124,7 +124,7 @@
         let nodes = (0..plan.nodes.len()).map(process).collect();
         let trial_lease = plan.timing.trial_lease;
         let controller = Controller::new(plan, FORMER, NEW);
-        let (now, journal, reason) = (Moment(1_000_000_000), Vec::new(), String::new());
+        let (now, journal, reason) = (Timestamp(1_000_000_000), Vec::new(), String::new());
         let (fleet_drift, commands, payoff_lost, lapsed_trials) = (0.0, 0.0, 0.0, 0);
         Simulation {
             now,
@@ -167,7 +167,7 @@
             }
             let since = node.changed_at.filter(|_| node.has_new);
             let harm_active =
-                since.is_some_and(|at| self.now.since(at).micros() / 1e6 >= self.harm.after_seconds);
+                since.is_some_and(|at| self.now.since(at).as_f64() / 1e6 >= self.harm.after_seconds);
             let (offset, has_new) = (node.offset, node.has_new);
             let served =
                 self.model.served_percent + self.fleet_drift + second_noise + node_noise + offset - outage;
@@ -217,7 +217,7 @@
             if node.trial_until.is_some_and(|until| until <= now) {
                 // A node that was unreachable until shortly before reverts rightly.
                 let was_unreachable =
-                    node.silent_until.is_some_and(|until| now.since(until) < Span(10_000_000));
+                    node.silent_until.is_some_and(|until| now.since(until) < Micros(10_000_000));
                 lapsed += usize::from(node.is_up && !was_unreachable);
                 (node.has_new, node.trial_until, node.changed_at) = (false, None, None);
             }
@@ -269,7 +269,7 @@
     /// As `step`. With `silent_is_new` the controller is given the fault of taking silent nodes to have the new version.
     pub fn step_assuming_silent_is_new(&mut self, silent_is_new: bool) {
         self.serve();
-        self.now = self.now + Span(1_000_000);
+        self.now = self.now + Micros(1_000_000);
         let mut poll = self.poll();
         let report = || NodeReport {
             state: "serving".to_owned(),
@@ -299,7 +299,7 @@
     pub fn run(mut self, max_seconds: u64) -> SimulationResult {
         let start = self.now;
         let mut stage = 0;
-        while !self.controller.is_finished() && self.now.since(start) < Span(max_seconds * 1_000_000) {
+        while !self.controller.is_finished() && self.now.since(start) < Micros(max_seconds * 1_000_000) {
             if self.controller.phase == Phase::Advancing {
                 stage = self.controller.stage;
             }
@@ -309,7 +309,7 @@
                 break;
             }
         }
-        let seconds = self.now.since(start).micros() / 1e6;
+        let seconds = self.now.since(start).as_f64() / 1e6;
         SimulationResult {
             phase: self.controller.phase,
             stage,
@@ -335,7 +335,7 @@
 
     /// Makes a node unreachable for this time. It serves nothing meanwhile.
     pub fn silence(&mut self, node: usize, seconds: u64) {
-        self.nodes[node].silent_until = Some(self.now + Span(seconds * 1_000_000));
+        self.nodes[node].silent_until = Some(self.now + Micros(seconds * 1_000_000));
     }
 
     /// Replaces the controller by another one that continues from its journal.
@@ -414,7 +414,7 @@
     let mut seen: BTreeMap<usize, Vec<(f64, f64)>> = BTreeMap::new();
     let second = |simulation: &mut Simulation, seen: &mut BTreeMap<usize, Vec<(f64, f64)>>| {
         simulation.serve();
-        simulation.now = simulation.now + Span(1_000_000);
+        simulation.now = simulation.now + Micros(1_000_000);
         for (index, poll) in simulation.poll().iter().enumerate() {
             for second in poll.report().iter().flat_map(|here| &here.seconds) {
                 let served = second
@@ -446,7 +446,7 @@
             after.extend_from_slice(&served[served.len() - 30..]);
         }
         if share(&before) - share(&after) > 0.01 {
-            let seconds = simulation.now.since(start).micros() / 1e6;
+            let seconds = simulation.now.since(start).as_f64() / 1e6;
             let (commands, payoff_lost, reason) =
                 (simulation.commands, simulation.payoff_lost, "worse than before".to_owned());
             return SimulationResult {
@@ -459,7 +459,7 @@
             };
         }
     }
-    let seconds = simulation.now.since(start).micros() / 1e6;
+    let seconds = simulation.now.since(start).as_f64() / 1e6;
     let (commands, payoff_lost, stage) = (simulation.commands, simulation.payoff_lost, stages.len());
     SimulationResult { phase: Phase::Done, stage, seconds, commands, payoff_lost, reason: String::new() }
 }
--- a/crates/rollout/tests/plays.rs
+++ b/crates/rollout/tests/plays.rs
@@ -5,7 +5,7 @@
 use rollout::node_report::{NodeReport, OnTrial, PollOutcome};
 use rollout::plan::NodeId;
 use rollout::simulation::{test_plan, Harm, ServiceModel, Simulation};
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 const SHORT_TIMES: &str =
     "[seconds]\nsettle = 2.0\nwatch = 10.0\nlongest = 400.0\nword = 12.0\nsilent = 4.0\n";
@@ -139,7 +139,7 @@
     let change = |record: &Record| matches!(record, Record::ActionStarted { node, action: Action::Apply } if node == "n0");
     for outcome in [ActionOutcome::Done, ActionOutcome::Unknown("no answer".to_owned())] {
         let mut controller = Controller::new(test_plan(2, SHORT_TIMES), "a", "b");
-        let (at, first) = (|s: u64| Moment((1_000 + s) * 1_000_000), NodeId(0));
+        let (at, first) = (|s: u64| Timestamp((1_000 + s) * 1_000_000), NodeId(0));
         controller.observe(at(0), vec![report("a", false), report("a", false)]);
         assert!(controller.next_records(at(0)).iter().any(change));
         controller.action_finished(at(1), first, Action::Apply, outcome);
--- a/crates/view/src/config.rs
+++ b/crates/view/src/config.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::str::FromStr;
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 /// An IP network in CIDR notation, such as `10.2.0.0/16`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
@@ -80,17 +80,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
     /// The time between two probe rounds of a node.
-    pub probe_interval: Span,
+    pub probe_interval: Micros,
     /// How long a direct probe may stay unanswered before other members are asked to probe indirectly.
-    pub probe_timeout: Span,
+    pub probe_timeout: Micros,
     /// The time between two attempts to reach seeds and members that were declared dead.
-    pub seed_interval: Span,
+    pub seed_interval: Micros,
     /// How long a member is remembered after it died or left.
-    pub forget_after: Span,
+    pub forget_after: Micros,
     /// How long a node must have been dead before the others take over its share.
-    pub takeover_delay: Span,
+    pub takeover_delay: Micros,
     /// How long after it last saw a majority a node gives up the part of its share that others may take over.
-    pub release_after: Span,
+    pub release_after: Micros,
 }
 
 #[derive(Deserialize)]
@@ -198,7 +198,8 @@
             }
         }
         let [probe_interval, probe_timeout, seed_interval, forget_after, takeover_delay, release_after] =
-            [times.period, answer, times.seeds, times.forget, times.sure, times.release].map(Span::millis);
+            [times.period, answer, times.seeds, times.forget, times.sure, times.release]
+                .map(Micros::from_millis);
         Ok(ViewConfig {
             fleet: file.fleet,
             listen: file.listen,
--- a/crates/view/src/gossip.rs
+++ b/crates/view/src/gossip.rs
@@ -1,7 +1,7 @@
 //! The queue of member updates that still have to be gossiped, and the byte budget that limits sending.
 
 use std::collections::{BTreeSet, HashMap};
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 /// Names of the members with updates to gossip, ordered by how often the update was sent.
 #[derive(Clone, Debug, Default)]
@@ -57,18 +57,18 @@
     /// The most bytes that can be saved up.
     capacity: f64,
     available: f64,
-    refilled_at: Moment,
+    refilled_at: Timestamp,
 }
 
 impl ByteBudget {
-    pub fn new(now: Moment, rate: f64, capacity: f64) -> ByteBudget {
+    pub fn new(now: Timestamp, rate: f64, capacity: f64) -> ByteBudget {
         ByteBudget { rate, capacity, available: capacity, refilled_at: now }
     }
 
     /// Refills the bucket and returns the bytes available now; negative if more was spent than there was.
-    pub fn available(&mut self, now: Moment) -> f64 {
+    pub fn available(&mut self, now: Timestamp) -> f64 {
         self.available =
-            (self.available + self.rate * now.since(self.refilled_at).micros() / 1e6).min(self.capacity);
+            (self.available + self.rate * now.since(self.refilled_at).as_f64() / 1e6).min(self.capacity);
         self.refilled_at = now;
         self.available
     }
--- a/crates/view/src/member.rs
+++ b/crates/view/src/member.rs
@@ -1,7 +1,7 @@
 //! What is known about one member, and how long a suspicion of it lasts.
 
 use crate::node_info::{Generation, Incarnation, Load, MemberState, NodeInfo};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// The number of independent confirmations that make a suspicion as short as it gets (Lifeguard's K).
 pub const MAX_CONFIRMATIONS: usize = 3;
@@ -23,22 +23,22 @@
     /// The incarnation that `info` was announced with.
     pub info_incarnation: Incarnation,
     /// Since when the member is in this state, and the name of the node that reported it.
-    pub state_since: Moment,
+    pub state_since: Timestamp,
     pub reported_by: String,
     /// When a datagram last came from the member itself, and the load that it then reported.
-    pub last_heard: Option<Moment>,
+    pub last_heard: Option<Timestamp>,
     pub load: Option<Load>,
     /// The smoothed round-trip time of probes.
-    pub rtt: Option<Span>,
+    pub rtt: Option<Micros>,
     /// Direct probes sent, and those that were not answered directly.
     pub probes_sent: u64,
     pub probes_lost: u64,
     /// When the suspicion ends in death, or a dead or departed member is forgotten.
-    pub(crate) timer: Option<Moment>,
+    pub(crate) timer: Option<Timestamp>,
     /// The nodes that suspect the member.
     pub(crate) suspected_by: Vec<String>,
     /// When this node last informed the member that it is not considered alive.
-    pub(crate) last_accused: Option<Moment>,
+    pub(crate) last_accused: Option<Timestamp>,
 }
 
 impl Member {
@@ -49,7 +49,7 @@
 }
 
 /// The duration of a suspicion, counted from its beginning, with so many members and suspecting nodes.
-pub(crate) fn suspicion_timeout(probe_interval: Span, members: usize, suspecters: usize) -> Span {
+pub(crate) fn suspicion_timeout(probe_interval: Micros, members: usize, suspecters: usize) -> Micros {
     let shortest =
         (SUSPICION_PERIODS_PER_DECADE * (members.max(10) as f64).log10()).max(MIN_SUSPICION_PERIODS);
     let longest = shortest * MAX_SUSPICION_FACTOR;
--- a/crates/view/src/share.rs
+++ b/crates/view/src/share.rs
@@ -15,7 +15,7 @@
 use crate::node_info::MemberState;
 use crate::view::View;
 use std::collections::BTreeMap;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// The node count that stands for no share: a share of one millionth, which counts as nothing.
 pub const NO_SHARE: u32 = 1_000_000;
@@ -26,7 +26,7 @@
     pub nodes: u32,
     pub index: u32,
     /// After this time the share is stale and `ShareTracker::fallback` applies.
-    pub valid_until: Moment,
+    pub valid_until: Timestamp,
     pub reason: ShareReason,
 }
 
@@ -74,11 +74,11 @@
 
 impl SlotOccupancy {
     /// Counts the occupancy of the configured slots.
-    pub fn from_view(view: &View, slots: u32, now: Moment, takeover_delay: Span) -> SlotOccupancy {
+    pub fn from_view(view: &View, slots: u32, now: Timestamp, takeover_delay: Micros) -> SlotOccupancy {
         let mut held: BTreeMap<u32, (u32, bool, bool)> = BTreeMap::new();
         let mut extra_nodes = 0;
         let mine = view.info();
-        let own = [(view.name(), mine, MemberState::Alive, Moment(0))];
+        let own = [(view.name(), mine, MemberState::Alive, Timestamp(0))];
         let others = view.members().map(|(name, m)| (name, &m.info, m.state, m.state_since));
         for (_, info, state, since) in own.into_iter().chain(others) {
             // A node that has been gone for less than the delay may still be running.
@@ -115,22 +115,22 @@
 #[derive(Clone, Debug)]
 pub struct ShareTracker {
     timing: Timing,
-    started_at: Moment,
+    started_at: Timestamp,
     /// Since when a majority has been seen without interruption, and when one was seen last.
-    majority_since: Option<Moment>,
-    majority_seen: Option<Moment>,
+    majority_since: Option<Timestamp>,
+    majority_seen: Option<Timestamp>,
     /// The node keeps to the half share: since it started, or last lost the majority, it has not yet been in one for
     /// `takeover_delay`.
     holds_back: bool,
 }
 
 impl ShareTracker {
-    pub fn new(now: Moment, timing: Timing) -> ShareTracker {
+    pub fn new(now: Timestamp, timing: Timing) -> ShareTracker {
         ShareTracker { timing, started_at: now, majority_since: None, majority_seen: None, holds_back: true }
     }
 
     /// The share while nothing is known: the half share of a slot, or the whole if there is only one slot.
-    pub fn fallback(slots: u32, index: u32, now: Moment) -> Share {
+    pub fn fallback(slots: u32, index: u32, now: Timestamp) -> Share {
         let (slots, index) = (slots.max(1), index);
         let nodes = if slots == 1 { 1 } else { slots * 2 };
         Share {
@@ -142,9 +142,9 @@
     }
 
     /// Computes the share of the node at slot `index` of the configured `slots` from its view.
-    pub fn update(&mut self, now: Moment, view: &View, slots: u32, index: u32) -> Share {
+    pub fn update(&mut self, now: Timestamp, view: &View, slots: u32, index: u32) -> Share {
         let occupancy = SlotOccupancy::from_view(view, slots.max(1), now, self.timing.takeover_delay);
-        let is_recent = |at: Moment| now.since(at) <= self.timing.release_after;
+        let is_recent = |at: Timestamp| now.since(at) <= self.timing.release_after;
         let heard = view.present_count() == 1 || view.last_answered().is_some_and(is_recent);
         self.resumed(view.running_since());
         self.decide(now, &occupancy, heard, slots.max(1), index)
@@ -152,7 +152,7 @@
 
     /// Tells the tracker that the node started, or resumed after a stall, at `since`. A majority seen before that no
     /// longer counts, because other nodes may have taken over the share meanwhile and have to be seen first.
-    pub fn resumed(&mut self, since: Moment) {
+    pub fn resumed(&mut self, since: Timestamp) {
         if since > self.started_at {
             (self.started_at, self.majority_since, self.holds_back) = (since, None, true);
         }
@@ -161,7 +161,7 @@
     /// Decides the share by the rule in the module documentation. `heard` is whether another node has answered recently.
     pub fn decide(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         occupancy: &SlotOccupancy,
         heard: bool,
         slots: u32,
@@ -176,7 +176,7 @@
             self.majority_since = self.majority_since.or(Some(now));
             self.majority_seen = Some(now);
         }
-        let settled = |span: Span| self.majority_since.is_some_and(|since| now.since(since) >= span);
+        let settled = |span: Micros| self.majority_since.is_some_and(|since| now.since(since) >= span);
         let seen = self.majority_seen.is_some_and(|at| at >= self.started_at && now.since(at) < release);
         let valid_until = now + release;
         let half = Share { valid_until, ..ShareTracker::fallback(slots, index, now) };
--- a/crates/view/src/view/merge.rs
+++ b/crates/view/src/view/merge.rs
@@ -8,12 +8,12 @@
 use crate::wire::{Datagram, Kind, MemberUpdate};
 use rand::RngExt;
 use std::net::SocketAddr;
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 impl View {
     /// Informs a sender that is not considered alive, at most once per probe interval: only the sender itself can refute
     /// that.
-    pub(super) fn notify_accused(&mut self, now: Moment, datagram: &Datagram) {
+    pub(super) fn notify_accused(&mut self, now: Timestamp, datagram: &Datagram) {
         let interval = self.config.timing.probe_interval;
         let Some(member) = self.members.get_mut(&datagram.sender) else { return };
         let refuted = (datagram.generation, datagram.incarnation) > (member.generation, member.incarnation);
@@ -27,7 +27,7 @@
     }
 
     /// Handles a datagram that bears this node's own name: it comes from another process, or is an echo.
-    pub(super) fn handle_own_name(&mut self, now: Moment, datagram: &Datagram) {
+    pub(super) fn handle_own_name(&mut self, now: Timestamp, datagram: &Datagram) {
         if datagram.address == self.info.address {
             return;
         }
@@ -62,7 +62,7 @@
     }
 
     /// Handles an update about this node itself and refutes it if necessary.
-    pub(super) fn merge_about_self(&mut self, now: Moment, update: &MemberUpdate) {
+    pub(super) fn merge_about_self(&mut self, now: Timestamp, update: &MemberUpdate) {
         if update.generation < self.generation {
             return;
         }
@@ -90,7 +90,13 @@
     }
 
     /// Applies an update that takes precedence over what is known, and gossips it if `gossip_further` is set.
-    pub(super) fn merge(&mut self, now: Moment, update: &MemberUpdate, sender: &str, gossip_further: bool) {
+    pub(super) fn merge(
+        &mut self,
+        now: Timestamp,
+        update: &MemberUpdate,
+        sender: &str,
+        gossip_further: bool,
+    ) {
         if update.name == self.name {
             return self.merge_about_self(now, update);
         }
@@ -170,7 +176,7 @@
     }
 
     /// Adds a new member, unless its `NodeInfo` is missing or the limit is reached.
-    pub(super) fn add_member(&mut self, now: Moment, update: &MemberUpdate, reporter: &str) {
+    pub(super) fn add_member(&mut self, now: Timestamp, update: &MemberUpdate, reporter: &str) {
         let Some(info) = update.info.clone() else {
             self.lacks_info = true;
             return;
--- a/crates/view/src/view/mod.rs
+++ b/crates/view/src/view/mod.rs
@@ -18,7 +18,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// With more than this many updates queued each is sent only `CROWDED_TRANSMITS` times, and the checksums repair what
 /// is missed.
@@ -54,7 +54,7 @@
 /// A change of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    pub at: Moment,
+    pub at: Timestamp,
     pub name: String,
     pub generation: Generation,
     pub kind: ChangeKind,
@@ -137,8 +137,8 @@
 #[derive(Clone)]
 struct PendingProbe {
     purpose: ProbePurpose,
-    expires_at: Moment,
-    sent_at: Moment,
+    expires_at: Timestamp,
+    sent_at: Timestamp,
 }
 
 /// A direct probe of the current round that has not been answered yet.
@@ -148,7 +148,7 @@
     target: String,
     generation: Generation,
     /// When other members will be asked to probe the target; `None` once they have been asked.
-    indirect_at: Option<Moment>,
+    indirect_at: Option<Timestamp>,
     indirect_count: usize,
     nacks: usize,
     /// The target did not answer in the round before either.
@@ -183,34 +183,34 @@
     probe_order: Vec<String>,
     probe_position: usize,
     round_probes: Vec<RoundProbe>,
-    next_round_at: Moment,
+    next_round_at: Timestamp,
     pending_probes: BTreeMap<u32, PendingProbe>,
     last_probe_id: u32,
     local_health: u32,
     /// A moving average of the share of this node's direct probes that were not answered directly.
     lost_probe_share: f64,
-    timers: BTreeSet<(Moment, String)>,
-    next_seed_at: Moment,
+    timers: BTreeSet<(Timestamp, String)>,
+    next_seed_at: Timestamp,
     rival: Option<Rival>,
     gossip: GossipQueue,
     budget: ByteBudget,
-    differs_since: Option<Moment>,
-    next_exchange_at: Moment,
+    differs_since: Option<Timestamp>,
+    next_exchange_at: Timestamp,
     /// An update arrived that could not be applied because its `NodeInfo` is missing.
     lacks_info: bool,
     outbox: VecDeque<(SocketAddr, Vec<u8>)>,
     changes: VecDeque<Change>,
     counters: Counters,
     was_alone: bool,
-    started_at: Moment,
-    resumed_at: Option<Moment>,
-    last_answered: Option<Moment>,
+    started_at: Timestamp,
+    resumed_at: Option<Timestamp>,
+    last_answered: Option<Timestamp>,
 }
 
 impl View {
     /// The view of a starting node, which knows only itself and the seeds. `seed` seeds the random generator.
     pub fn new(
-        now: Moment,
+        now: Timestamp,
         config: ViewConfig,
         name: &str,
         generation: Generation,
@@ -218,7 +218,7 @@
         seed: u64,
     ) -> View {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let first_round_delay = Span(rng.random_range(0..=config.timing.probe_interval.0));
+        let first_round_delay = Micros(rng.random_range(0..=config.timing.probe_interval.0));
         let budget = ByteBudget::new(now, f64::from(config.bytes_per_s), BURST_BYTES);
         let mut view = View {
             name: name.to_owned(),
@@ -319,12 +319,12 @@
     }
 
     /// When this node started, or resumed after a stall of more than `release_after`.
-    pub fn running_since(&self) -> Moment {
+    pub fn running_since(&self) -> Timestamp {
         self.resumed_at.map_or(self.started_at, |at| at.max(self.started_at))
     }
 
     /// When a probe of this node was last answered.
-    pub fn last_answered(&self) -> Option<Moment> {
+    pub fn last_answered(&self) -> Option<Timestamp> {
         self.last_answered
     }
 
@@ -339,7 +339,7 @@
     }
 
     /// When `handle_timeout` is to be called next.
-    pub fn next_timeout(&self) -> Moment {
+    pub fn next_timeout(&self) -> Timestamp {
         let indirect = self.round_probes.iter().filter_map(|round| round.indirect_at).min();
         let timer = self.timers.first().map(|(at, _)| *at);
         let expiry = self.pending_probes.values().map(|probe| probe.expires_at).min();
@@ -350,7 +350,7 @@
 
     fn record_change(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         name: &str,
         generation: Generation,
         kind: ChangeKind,
@@ -370,7 +370,7 @@
     }
 
     /// Applies a changed membership file. The knowledge about members stays.
-    pub fn reconfigure(&mut self, now: Moment, config: ViewConfig) {
+    pub fn reconfigure(&mut self, now: Timestamp, config: ViewConfig) {
         self.budget = ByteBudget::new(now, f64::from(config.bytes_per_s), BURST_BYTES);
         self.config = config;
         self.next_seed_at = now;
@@ -394,7 +394,7 @@
     }
 
     /// Starts a new generation of this node above the given one, which has ended or was never its own.
-    pub fn raise_generation(&mut self, now: Moment, above: Generation) {
+    pub fn raise_generation(&mut self, now: Timestamp, above: Generation) {
         self.digest ^= checksums::member_hash(&self.name, self.generation, self.incarnation);
         (self.generation, self.incarnation, self.info_incarnation) =
             (Generation(above.0.max(self.generation.0) + 1), Incarnation(0), Incarnation(0));
@@ -403,14 +403,14 @@
         self.announce_self(now);
     }
 
-    fn announce_self(&mut self, now: Moment) {
+    fn announce_self(&mut self, now: Timestamp) {
         let (name, generation) = (self.name.clone(), self.generation);
         self.gossip.add(&name);
         self.record_change(now, &name, generation, ChangeKind::SelfRefuted, &name);
     }
 
     /// Leaves the fleet and informs some of the present members. Nothing is sent after that.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.state = MemberState::Left;
         let name = self.name.clone();
         self.gossip.add(&name);
@@ -425,8 +425,8 @@
     }
 
     /// Lengthens a timing by the local health score.
-    fn scale_by_health(&self, span: Span) -> Span {
-        Span(span.0 * u64::from(self.local_health + 2) / 2)
+    fn scale_by_health(&self, span: Micros) -> Micros {
+        Micros(span.0 * u64::from(self.local_health + 2) / 2)
     }
 
     fn adjust_local_health(&mut self, change: i32) {
@@ -435,7 +435,7 @@
 
     /// Detects that this node was stalled. It cannot tell then which members were silent, so pending probes are dropped
     /// and all member timers are extended by the stall.
-    fn detect_stall(&mut self, now: Moment) {
+    fn detect_stall(&mut self, now: Timestamp) {
         let late = now.since(self.next_timeout());
         if late.0 <= self.config.timing.probe_interval.0 / 2 {
             return;
@@ -460,7 +460,7 @@
     }
 
     /// Replaces the timer of a member.
-    fn set_timer(&mut self, name: &str, at: Option<Moment>) {
+    fn set_timer(&mut self, name: &str, at: Option<Timestamp>) {
         let Some(member) = self.members.get_mut(name) else { return };
         if let Some(before) = member.timer.take() {
             self.timers.remove(&(before, name.to_owned()));
@@ -472,7 +472,7 @@
     }
 
     /// Does everything that is due.
-    pub fn handle_timeout(&mut self, now: Moment) {
+    pub fn handle_timeout(&mut self, now: Timestamp) {
         self.detect_stall(now);
         if self.state == MemberState::Left {
             (self.next_round_at, self.next_seed_at) =
@@ -511,7 +511,7 @@
     }
 
     /// Records a change when this node becomes alone or stops being alone.
-    fn check_alone(&mut self, now: Moment) {
+    fn check_alone(&mut self, now: Timestamp) {
         if self.was_alone != self.is_alone() {
             self.was_alone = self.is_alone();
             let (name, generation) = (self.name.clone(), self.generation);
@@ -521,7 +521,7 @@
     }
 
     /// A member's timer has fired: its suspicion ends in death, or it is forgotten.
-    fn member_timeout(&mut self, now: Moment, name: &str) {
+    fn member_timeout(&mut self, now: Timestamp, name: &str) {
         let Some(member) = self.members.get_mut(name) else { return };
         member.timer = None;
         let generation = member.generation;
@@ -542,7 +542,7 @@
     }
 
     /// Sets a member's state within the same generation and incarnation.
-    fn set_state(&mut self, now: Moment, name: &str, state: MemberState, reporter: &str) {
+    fn set_state(&mut self, now: Timestamp, name: &str, state: MemberState, reporter: &str) {
         let kind = match state {
             MemberState::Alive => ChangeKind::Refuted,
             MemberState::Suspect => ChangeKind::Suspected,
@@ -555,7 +555,7 @@
     /// As `set_state`, recorded as a change of the given kind.
     fn set_state_as(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         name: &str,
         state: MemberState,
         reporter: &str,
@@ -580,7 +580,7 @@
     }
 
     /// Processes a datagram received from that address.
-    pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
         self.detect_stall(now);
         if !self.config.allows(from) {
             self.counters.outside_networks += 1;
@@ -613,7 +613,7 @@
     }
 
     /// Merges the updates of a valid datagram and answers it.
-    fn handle_datagram(&mut self, now: Moment, datagram: Datagram) {
+    fn handle_datagram(&mut self, now: Timestamp, datagram: Datagram) {
         if datagram.sender == self.name {
             self.handle_own_name(now, &datagram);
             return;
--- a/crates/view/src/view/probe.rs
+++ b/crates/view/src/view/probe.rs
@@ -12,7 +12,7 @@
 use rand::RngExt;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 impl View {
     /// Up to `max` random present members, without the excepted one.
@@ -31,7 +31,7 @@
     }
 
     /// Assigns a probe id and tracks the probe until it expires. The oldest tracked probe is dropped at the limit.
-    pub(super) fn register_probe(&mut self, now: Moment, purpose: ProbePurpose, span: Span) -> u32 {
+    pub(super) fn register_probe(&mut self, now: Timestamp, purpose: ProbePurpose, span: Micros) -> u32 {
         self.last_probe_id = self.last_probe_id.wrapping_add(1).max(1);
         if self.pending_probes.len() >= MAX_PENDING_PROBES {
             self.pending_probes.pop_first();
@@ -60,7 +60,7 @@
     }
 
     /// Starts a probe round: the next member, and the retries that a lossy network allows.
-    pub(super) fn begin_round(&mut self, now: Moment, retries: Vec<String>) {
+    pub(super) fn begin_round(&mut self, now: Timestamp, retries: Vec<String>) {
         let next = self.next_target().filter(|name| !retries.contains(name));
         let retries = retries.into_iter().map(|name| (name, true));
         for (target, is_retry) in retries.chain(next.map(|name| (name, false))) {
@@ -78,9 +78,9 @@
         }
     }
 
-    fn start_probe(&mut self, now: Moment, target: String, is_retry: bool) {
+    fn start_probe(&mut self, now: Timestamp, target: String, is_retry: bool) {
         let interval = self.scale_by_health(self.config.timing.probe_interval);
-        let probe_id = self.register_probe(now, ProbePurpose::Direct, Span(interval.0 * 2));
+        let probe_id = self.register_probe(now, ProbePurpose::Direct, Micros(interval.0 * 2));
         let indirect_at = Some(now + self.scale_by_health(self.config.timing.probe_timeout));
         let Some(member) = self.members.get_mut(&target) else { return };
         member.probes_sent += 1;
@@ -98,7 +98,7 @@
     }
 
     /// A probe timed out: asks other members to probe the target, and probes it once more directly.
-    pub(super) fn probe_indirectly(&mut self, now: Moment, round_index: usize) {
+    pub(super) fn probe_indirectly(&mut self, now: Timestamp, round_index: usize) {
         let (probe_id, target) =
             (self.round_probes[round_index].probe_id, self.round_probes[round_index].target.clone());
         // Where most probes fail the links are cut, and one relay is enough to find out.
@@ -114,7 +114,7 @@
 
     /// Ends the round: members that have not answered are suspected. Where many probes are lost they are returned instead,
     /// to be probed in another round first.
-    pub(super) fn end_round(&mut self, now: Moment) -> Vec<String> {
+    pub(super) fn end_round(&mut self, now: Timestamp) -> Vec<String> {
         let (mut retries, reporter) = (Vec::new(), self.name.clone());
         for round in std::mem::take(&mut self.round_probes) {
             // Relays that have not answered either, not even with a nack, indicate trouble at this node.
@@ -160,10 +160,10 @@
 
     /// Tries to reach the seeds and one dead member, at a rate shared by all members. Two halves of a fleet that have
     /// forgotten each other find each other again in this way.
-    pub(super) fn reconnect(&mut self, now: Moment) {
+    pub(super) fn reconnect(&mut self, now: Timestamp) {
         let timing = &self.config.timing;
         let pause = timing.seed_interval.0.max((self.present_count as f64 / RECONNECTS_PER_S * 1e6) as u64);
-        self.next_seed_at = now + Span(self.rng.random_range(pause / 2..=pause * 3 / 2));
+        self.next_seed_at = now + Micros(self.rng.random_range(pause / 2..=pause * 3 / 2));
         if let Some(mut rival) = self.rival.take() {
             rival.unanswered_probes += 1;
             if rival.unanswered_probes > MAX_RIVAL_PROBES {
@@ -199,7 +199,7 @@
     /// Answers a probe. A sender that is not known is asked for its `NodeInfo`.
     pub(super) fn send_ack(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         at: SocketAddr,
         to: Option<&str>,
         probe_id: u32,
@@ -213,7 +213,7 @@
     }
 
     /// Matches an ack with the tracked probe: it ends a direct or indirect probe, or is passed on to the requester.
-    pub(super) fn handle_ack(&mut self, now: Moment, datagram: &Datagram) {
+    pub(super) fn handle_ack(&mut self, now: Timestamp, datagram: &Datagram) {
         let Some(probe) = self.pending_probes.get(&datagram.probe_id) else { return };
         match &probe.purpose {
             ProbePurpose::Direct => {
@@ -231,7 +231,7 @@
                 if let Some(member) = self.members.get_mut(&round.target) {
                     if direct && round.indirect_at.is_some() {
                         let before = member.rtt.unwrap_or(rtt);
-                        member.rtt = Some(Span((before.0 * 7 + rtt.0) / 8));
+                        member.rtt = Some(Micros((before.0 * 7 + rtt.0) / 8));
                     } else {
                         member.probes_lost += 1;
                     }
@@ -252,7 +252,7 @@
     }
 
     /// Probes a member on behalf of another node.
-    pub(super) fn handle_ping_req(&mut self, now: Moment, datagram: &Datagram) {
+    pub(super) fn handle_ping_req(&mut self, now: Timestamp, datagram: &Datagram) {
         let Some(subject) = datagram.target.clone().filter(|name| self.members.contains_key(name)) else {
             return;
         };
--- a/crates/view/src/view/send.rs
+++ b/crates/view/src/view/send.rs
@@ -8,7 +8,7 @@
 use rand::seq::SliceRandom;
 use rand::RngExt;
 use std::net::SocketAddr;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 impl View {
     /// The current update about a member, or about this node itself.
@@ -62,7 +62,7 @@
     }
 
     /// The bytes that a datagram may have according to the byte budget.
-    pub(super) fn update_budget(&mut self, now: Moment) -> usize {
+    pub(super) fn update_budget(&mut self, now: Timestamp) -> usize {
         // One datagram's worth is reserved for the exchange of checksums.
         (self.budget.available(now) - MAX_DATAGRAM_BYTES as f64).clamp(0.0, MAX_DATAGRAM_BYTES as f64)
             as usize
@@ -95,7 +95,7 @@
     }
 
     /// Queues the datagram for sending and charges the byte budget.
-    pub(super) fn enqueue(&mut self, now: Moment, at: SocketAddr, datagram: Datagram) {
+    pub(super) fn enqueue(&mut self, now: Timestamp, at: SocketAddr, datagram: Datagram) {
         // An address learned from a datagram is used only if it is in the allowed networks.
         if at == self.info.address || !self.config.allows(at) {
             return;
@@ -116,7 +116,7 @@
     }
 
     /// Sends a datagram to a known member.
-    pub(super) fn send(&mut self, now: Moment, to: &str, kind: Kind, probe_id: u32, target: Option<&str>) {
+    pub(super) fn send(&mut self, now: Timestamp, to: &str, kind: Kind, probe_id: u32, target: Option<&str>) {
         if let Some(at) = self.address(to) {
             self.send_to(now, at, target, kind, probe_id, Some(to));
         }
@@ -125,7 +125,7 @@
     /// Sends a datagram to an address; `to` is the name of the receiver if it is known.
     pub(super) fn send_to(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         at: SocketAddr,
         target: Option<&str>,
         kind: Kind,
@@ -144,7 +144,7 @@
     }
 
     /// Sends a single update.
-    pub(super) fn send_update(&mut self, now: Moment, at: SocketAddr, update: Option<MemberUpdate>) {
+    pub(super) fn send_update(&mut self, now: Timestamp, at: SocketAddr, update: Option<MemberUpdate>) {
         let Some(update) = update else { return };
         let mut datagram = self.new_datagram(Kind::Updates, 0, None);
         datagram.updates = Some(vec![update]);
@@ -153,7 +153,7 @@
 
     /// Compares the sender's digest with this node's. If they differ for longer than gossip takes, checksums are exchanged
     /// to find what one of the two has missed.
-    pub(super) fn compare_digest(&mut self, now: Moment, at: SocketAddr, datagram: &Datagram) {
+    pub(super) fn compare_digest(&mut self, now: Timestamp, at: SocketAddr, datagram: &Datagram) {
         if datagram.kind == Kind::Checksums {
             return;
         }
@@ -165,9 +165,9 @@
         let since = *self.differs_since.get_or_insert(now);
         // A new node, and one that lacks a `NodeInfo`, need not wait for updates that may already be on their way.
         let wait = if self.lacks_info || self.present_count * 2 < datagram.present_count as usize {
-            Span(0)
+            Micros(0)
         } else {
-            Span(interval.0 * 4)
+            Micros(interval.0 * 4)
         };
         if now.since(since) < wait
             || now < self.next_exchange_at
@@ -175,14 +175,14 @@
         {
             return;
         }
-        self.next_exchange_at = now + Span(self.rng.random_range(interval.0 * 2..=interval.0 * 6));
+        self.next_exchange_at = now + Micros(self.rng.random_range(interval.0 * 2..=interval.0 * 6));
         self.differs_since = None;
         self.send_checksums(now, at, datagram.present_count as usize, false);
     }
 
     pub(super) fn send_checksums(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         at: SocketAddr,
         peer_present_count: usize,
         is_final: bool,
@@ -203,7 +203,7 @@
 
     /// Answers checksums with updates about the members in the differing buckets, in random order, as far as the byte
     /// budget allows.
-    pub(super) fn handle_checksums(&mut self, now: Moment, at: SocketAddr, datagram: &Datagram) {
+    pub(super) fn handle_checksums(&mut self, now: Timestamp, at: SocketAddr, datagram: &Datagram) {
         let Some(theirs) = datagram.checksums.as_ref().filter(|checksums| !checksums.is_empty()) else {
             return;
         };
@@ -250,7 +250,7 @@
     }
 
     /// Sends the collected updates, if any.
-    pub(super) fn flush_updates(&mut self, now: Moment, at: SocketAddr, updates: &mut Vec<MemberUpdate>) {
+    pub(super) fn flush_updates(&mut self, now: Timestamp, at: SocketAddr, updates: &mut Vec<MemberUpdate>) {
         if !updates.is_empty() {
             let mut datagram = self.new_datagram(Kind::Updates, 0, None);
             datagram.updates = Some(std::mem::take(updates));
--- a/crates/view/tests/codec.rs
+++ b/crates/view/tests/codec.rs
@@ -3,7 +3,7 @@
 use minicbor::Encoder;
 use proptest::prelude::*;
 use std::net::SocketAddr;
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 use yarrowfront_view::config::ViewConfig;
 use yarrowfront_view::node_info::{Generation, Incarnation, Load, MemberState, NodeInfo, Phase};
 use yarrowfront_view::view::View;
@@ -100,7 +100,7 @@
         slot: 0,
         slots: 3,
     };
-    View::new(Moment(0), ViewConfig::with_defaults("f", listen), "me", Generation(5), info, 1)
+    View::new(Timestamp(0), ViewConfig::with_defaults("f", listen), "me", Generation(5), info, 1)
 }
 
 proptest! {
@@ -120,15 +120,15 @@
     fn arbitrary_input_is_bounded(bytes in prop::collection::vec(any::<u8>(), 0..1500), datagrams in prop::collection::vec(datagram(), 1..8)) {
         let mut view = view();
         let from = "127.0.0.9:1".parse().expect("an address");
-        view.receive(Moment(1000), from, &bytes);
+        view.receive(Timestamp(1000), from, &bytes);
         for datagram in datagrams {
             let Some(mut bytes) = datagram.to_bytes() else { continue };
-            view.receive(Moment(2000), from, &bytes);
+            view.receive(Timestamp(2000), from, &bytes);
             let middle = bytes.len() / 2;
             bytes[middle] ^= 0x55;
-            view.receive(Moment(3000), from, &bytes);
+            view.receive(Timestamp(3000), from, &bytes);
             bytes.truncate(middle);
-            view.receive(Moment(4000), from, &bytes);
+            view.receive(Timestamp(4000), from, &bytes);
         }
         view.handle_timeout(view.next_timeout());
         while let Some((_, bytes)) = view.next_datagram() {
--- a/crates/view/tests/view.rs
+++ b/crates/view/tests/view.rs
@@ -1,7 +1,7 @@
 //! The membership state machine of a single node, driven by hand-made datagrams and timeouts.
 
 use std::net::SocketAddr;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 use yarrowfront_view::config::{Network, ViewConfig};
 use yarrowfront_view::node_info::{Generation, Incarnation, Load, MemberState, NodeInfo, Phase};
 use yarrowfront_view::share::{Share, ShareReason, ShareTracker, SlotOccupancy, NO_SHARE};
@@ -25,7 +25,7 @@
 }
 
 fn view() -> View {
-    View::new(Moment(0), ViewConfig::with_defaults("f", at(1)), "me", Generation(50), info(1), 1)
+    View::new(Timestamp(0), ViewConfig::with_defaults("f", at(1)), "me", Generation(50), info(1), 1)
 }
 
 fn update(name: &str, host: u8, generation: u64, incarnation: u32, state: MemberState) -> MemberUpdate {
@@ -64,7 +64,7 @@
 
 fn receive_updates(view: &mut View, now: u64, updates: Vec<MemberUpdate>) {
     let datagram = datagram_from("teller", 9, 1, Kind::Updates, updates);
-    view.receive(Moment(now), at(9), &datagram.to_bytes().expect("small"));
+    view.receive(Timestamp(now), at(9), &datagram.to_bytes().expect("small"));
 }
 
 fn sent_datagrams(view: &mut View) -> Vec<(SocketAddr, Datagram)> {
@@ -75,7 +75,7 @@
 
 /// Runs all timeouts up to `end` (in microseconds) while no other node answers.
 fn run_unanswered_until(view: &mut View, end: u64) {
-    while view.next_timeout() <= Moment(end) {
+    while view.next_timeout() <= Timestamp(end) {
         let next = view.next_timeout();
         view.handle_timeout(next);
     }
@@ -154,9 +154,9 @@
     assert!(indirect > 0, "no indirect probe was requested");
     assert_eq!(view.member("x").map(|m| m.state), Some(MemberState::Suspect));
     let mut stopped =
-        View::new(Moment(0), ViewConfig::with_defaults("f", at(1)), "me", Generation(50), info(1), 1);
+        View::new(Timestamp(0), ViewConfig::with_defaults("f", at(1)), "me", Generation(50), info(1), 1);
     receive_updates(&mut stopped, 1000, vec![update("x", 2, 7, 0, MemberState::Alive)]);
-    stopped.handle_timeout(Moment(10_000_000));
+    stopped.handle_timeout(Timestamp(10_000_000));
     let after = stopped.member("x").map(|m| m.state);
     assert_eq!(
         (after, stopped.counters().stalls),
@@ -183,7 +183,7 @@
     );
     sent_datagrams(&mut view);
     let ping = datagram_from("x", 2, 7, Kind::Ping, Vec::new());
-    view.receive(Moment(2000), at(2), &ping.to_bytes().expect("small"));
+    view.receive(Timestamp(2000), at(2), &ping.to_bytes().expect("small"));
     let received: Vec<MemberUpdate> =
         sent_datagrams(&mut view).into_iter().flat_map(|(_, d)| d.updates.unwrap_or_default()).collect();
     assert!(received.iter().any(|n| n.name == "x" && n.state == MemberState::Suspect), "{received:?}");
@@ -220,12 +220,12 @@
     let mut view = view();
     let good = datagram_from("x", 2, 7, Kind::Ping, vec![update("x", 2, 7, 0, MemberState::Alive)]);
     let bytes = |datagram: &Datagram| datagram.to_bytes().expect("small");
-    view.receive(Moment(1), SocketAddr::from(([10, 0, 0, 1], 7946)), &bytes(&good));
-    view.receive(Moment(2), at(2), &bytes(&Datagram { fleet: "g".into(), ..good.clone() }));
-    view.receive(Moment(3), at(2), &bytes(&Datagram { version: 9, ..good.clone() }));
-    view.receive(Moment(4), at(2), b"?");
+    view.receive(Timestamp(1), SocketAddr::from(([10, 0, 0, 1], 7946)), &bytes(&good));
+    view.receive(Timestamp(2), at(2), &bytes(&Datagram { fleet: "g".into(), ..good.clone() }));
+    view.receive(Timestamp(3), at(2), &bytes(&Datagram { version: 9, ..good.clone() }));
+    view.receive(Timestamp(4), at(2), b"?");
     let outside = SocketAddr::from(([10, 0, 0, 1], 7946));
-    view.receive(Moment(5), at(2), &bytes(&Datagram { address: outside, ..good.clone() }));
+    view.receive(Timestamp(5), at(2), &bytes(&Datagram { address: outside, ..good.clone() }));
     let counts = view.counters();
     let dropped = [
         counts.outside_networks,
@@ -237,14 +237,14 @@
     assert_eq!(dropped, [2, 1, 1, 1, 0]);
     assert_eq!(view.next_datagram(), None, "dropped datagrams must not be answered");
     let config = ViewConfig { max_members: 20, ..ViewConfig::with_defaults("f", at(1)) };
-    let mut small = View::new(Moment(0), config, "me", Generation(50), info(1), 1);
+    let mut small = View::new(Timestamp(0), config, "me", Generation(50), info(1), 1);
     for host in 2..60 {
         let name = format!("x{host}");
         let first =
             datagram_from(&name, host, 7, Kind::PingReq, vec![update(&name, host, 7, 0, MemberState::Alive)]);
         for probe_id in 0..40 {
             let next = Datagram { probe_id, target: Some("x2".into()), ..first.clone() };
-            small.receive(Moment(1000), at(host), &bytes(&next));
+            small.receive(Timestamp(1000), at(host), &bytes(&next));
         }
     }
     assert_eq!((small.present_count(), small.members().count()), (20, 19));
@@ -291,7 +291,7 @@
 #[test]
 fn share_rule() {
     let timing = ViewConfig::with_defaults("f", at(1)).timing;
-    let (fresh, long) = (Span(1_000_000), Span(timing.takeover_delay.0 * 3));
+    let (fresh, long) = (Micros(1_000_000), Micros(timing.takeover_delay.0 * 3));
     let occupancy = |live, missing, extra_nodes| SlotOccupancy {
         live,
         missing,
@@ -323,26 +323,27 @@
         ),
     ];
     for (case, found, heard, after, (nodes, reason)) in cases {
-        let start = Moment(1_000_000);
+        let start = Timestamp(1_000_000);
         let mut tracker = ShareTracker::new(start, timing);
         let mut share = None;
         for step in 0..=after.0 / 100_000 {
-            share = Some(tracker.decide(start + Span(step * 100_000), &found, heard, 10, 3));
+            share = Some(tracker.decide(start + Micros(step * 100_000), &found, heard, 10, 3));
         }
         let share: Share = share.expect("at least one decision");
         assert_eq!((share.nodes, share.reason), (nodes, reason), "{case}");
     }
     // In a fleet with one slot another node takes no share, however long it has seen the holder. A random walk of the
     // search found this fault, with a restart of the node that holds the slot.
-    let mut without_slot = ShareTracker::new(Moment(0), timing);
+    let mut without_slot = ShareTracker::new(Timestamp(0), timing);
     let found = SlotOccupancy { live: 1, missing: 0, extra_nodes: 1, owns_slot: false, preceding: 0 };
-    let decisions = (0..200u64).map(|i| without_slot.decide(Moment(i * 100_000), &found, true, 1, 1).nodes);
+    let decisions =
+        (0..200u64).map(|i| without_slot.decide(Timestamp(i * 100_000), &found, true, 1, 1).nodes);
     assert_eq!(decisions.last(), Some(NO_SHARE));
     // A majority that is lost for a moment only does not count as lost. Lost for longer, the delay starts again.
-    let mut tracker = ShareTracker::new(Moment(0), timing);
+    let mut tracker = ShareTracker::new(Timestamp(0), timing);
     let mut decide = |at: u64, has_majority: bool| {
         let found = if has_majority { occupancy(7, 3, 0) } else { occupancy(2, 3, 0) };
-        tracker.decide(Moment(at), &found, true, 10, 0).nodes
+        tracker.decide(Timestamp(at), &found, true, 10, 0).nodes
     };
     let settled = (0..200u64).map(|i| decide(i * 100_000, true)).last();
     assert_eq!(settled, Some(9));
@@ -354,8 +355,8 @@
     assert_eq!([decide(26_100_000, true), decide(41_000_000, true), decide(41_200_000, true)], [20, 20, 9]);
     // After a long stall the node has not seen any other node yet, and the others may have taken over its share. An answer
     // that arrives before its first decision must not bring back its configured share.
-    tracker.resumed(Moment(80_000_000));
-    let share = tracker.decide(Moment(80_100_000), &occupancy(10, 0, 0), true, 10, 0);
+    tracker.resumed(Timestamp(80_000_000));
+    let share = tracker.decide(Timestamp(80_100_000), &occupancy(10, 0, 0), true, 10, 0);
     assert_eq!((share.nodes, share.reason), (20, ShareReason::Settling));
 }
 
