--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,4 +1,5 @@
-//! The view of many nodes at once: on a virtual network, in a search of small worlds, and as several nodes tell theirs.
+//! Tools for the membership views of many nodes: simulation on a virtual network, a state-space search of small fleets, and
+//! a comparison of the views that running nodes report.
 #![forbid(unsafe_code)]
 
 pub mod http;
--- a/crates/fleet/src/net.rs
+++ b/crates/fleet/src/net.rs
@@ -1,4 +1,4 @@
-//! A virtual network around the real view: datagrams take time, get lost, and are cut by whoever plays.
+//! A virtual network around the real `View`: datagrams have a latency, get lost, and links can be cut.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -11,66 +11,71 @@
 use yarrowfront_view::share::{Share, ShareTracker};
 use yarrowfront_view::view::{ChangeKind, View};
 
-/// A process of a node; dead ones are kept, to be started again.
+/// A node's process. Dead ones are kept, to be started again.
 pub struct Node {
     pub view: View,
-    pub sharer: ShareTracker,
-    pub up: bool,
-    /// Stopped until then: what comes waits, as in a socket's buffer.
-    pub paused: Option<Timestamp>,
-    /// When it is called next, if it is.
-    called: Option<Timestamp>,
-    pub group: u32,
-    /// Bytes sent in this second and in the largest one, and in all.
-    pub second: (u64, u64),
-    pub largest: u64,
-    pub bytes: u64,
+    pub share_tracker: ShareTracker,
+    pub is_up: bool,
+    /// The process is stopped until then. Arriving datagrams wait, as in a socket's buffer.
+    pub paused_until: Option<Timestamp>,
+    /// When the view's timeout is handled next, if it is scheduled.
+    next_call: Option<Timestamp>,
+    pub partition: u32,
+    /// The current second and the bytes sent in it, the most bytes in any second, and all bytes sent.
+    pub current_second: (u64, u64),
+    pub peak_second_bytes: u64,
+    pub bytes_sent: u64,
 }
 
-/// What happens on the way.
+/// The behaviour of the network.
 #[derive(Clone, Copy, Debug)]
-pub struct Law {
-    /// Of a hundred datagrams so many are lost.
-    pub loss: f64,
-    /// The least a datagram takes, and what chance adds at the most.
-    pub least: Micros,
-    pub more: Micros,
-    /// Of a hundred, so many come twice.
-    pub twice: f64,
+pub struct DatagramModel {
+    /// The percentage of datagrams that are lost.
+    pub loss_percent: f64,
+    /// The shortest latency of a datagram, and the most that is randomly added.
+    pub min_latency: Micros,
+    pub max_jitter: Micros,
+    /// The percentage of datagrams that arrive twice.
+    pub duplicate_percent: f64,
 }
 
-impl Default for Law {
-    fn default() -> Law {
-        Law { loss: 0.0, least: Micros(200), more: Micros(800), twice: 0.0 }
+impl Default for DatagramModel {
+    fn default() -> DatagramModel {
+        DatagramModel {
+            loss_percent: 0.0,
+            min_latency: Micros(200),
+            max_jitter: Micros(800),
+            duplicate_percent: 0.0,
+        }
     }
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Due(usize),
-    Come { to: usize, from: usize, bytes: Vec<u8> },
+    Timeout(usize),
+    Deliver { to: usize, from: usize, bytes: Vec<u8> },
 }
 
-pub struct Net {
+pub struct VirtualNetwork {
     pub now: Timestamp,
     pub nodes: Vec<Node>,
-    pub law: Law,
-    /// Further loss on whatever a node of this group sends or is sent, of a hundred.
-    pub lossy: Option<(u32, f64)>,
-    /// Ways that are cut, one direction each.
-    pub cut: Vec<(usize, usize)>,
+    pub model: DatagramModel,
+    /// A site and the additional percentage of loss on all datagrams to and from its nodes.
+    pub lossy_site: Option<(u32, f64)>,
+    /// Links that are cut, one direction each.
+    pub blocked_links: Vec<(usize, usize)>,
     events: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
-    turn: u64,
-    chance: ChaCha8Rng,
+    event_sequence: u64,
+    rng: ChaCha8Rng,
     config: fn(SocketAddr) -> ViewConfig,
-    lives: u64,
-    /// Deaths that views have told of: when, at whom, of whom.
-    pub deaths: Vec<(Timestamp, usize, usize)>,
+    starts: u64,
+    /// Deaths that views have reported: when, by which node, of which node.
+    pub reported_deaths: Vec<(Timestamp, usize, usize)>,
     pub changes: u64,
     pub suspicions: u64,
 }
 
-/// Where a node hears datagrams.
+/// The address of a node.
 pub fn address(node: usize) -> SocketAddr {
     let [_, a, b, c] = (node as u32 + 1).to_be_bytes();
     SocketAddr::new(Ipv4Addr::new(127, a, b, c).into(), 7946)
@@ -85,32 +90,32 @@
     format!("n{node}")
 }
 
-/// Which node is called so.
-fn called(name: &str) -> Option<usize> {
+/// The node with this name.
+fn node_of_name(name: &str) -> Option<usize> {
     name.strip_prefix('n')?.parse().ok()
 }
 
-impl Net {
-    pub fn new(seed: u64, config: fn(SocketAddr) -> ViewConfig) -> Net {
-        Net {
-            // Some time after which a node may have begun before.
+impl VirtualNetwork {
+    pub fn new(seed: u64, config: fn(SocketAddr) -> ViewConfig) -> VirtualNetwork {
+        VirtualNetwork {
+            // Later than zero, so that a node can have started before.
             now: Timestamp(1_000_000_000),
             nodes: Vec::new(),
-            law: Law::default(),
-            lossy: None,
-            cut: Vec::new(),
+            model: DatagramModel::default(),
+            lossy_site: None,
+            blocked_links: Vec::new(),
             events: BinaryHeap::new(),
-            turn: 0,
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            event_sequence: 0,
+            rng: ChaCha8Rng::seed_from_u64(seed),
             config,
-            lives: 0,
-            deaths: Vec::new(),
+            starts: 0,
+            reported_deaths: Vec::new(),
             changes: 0,
             suspicions: 0,
         }
     }
 
-    fn info(&self, node: usize, slots: u32) -> NodeInfo {
+    fn node_info(&self, node: usize, slots: u32) -> NodeInfo {
         NodeInfo {
             address: address(node),
             site: format!("s{}", node % 3),
@@ -122,95 +127,97 @@
         }
     }
 
-    /// Starts a node, again if it was there, in a fleet that states so many places. It knows these seeds.
+    /// Starts or restarts a node in a fleet with this many configured slots, with these nodes as seeds.
     pub fn start(&mut self, node: usize, slots: u32, seeds: &[usize]) {
         let mut config = (self.config)(address(node));
         config.seeds = seeds.iter().map(|seed| address(*seed)).collect();
-        self.lives += 1;
-        let (seed, info, times) = (self.chance.random(), self.info(node, slots), config.timing);
-        let generation = Generation(self.now.0 + self.lives);
+        self.starts += 1;
+        let (seed, info, times) = (self.rng.random(), self.node_info(node, slots), config.timing);
+        let generation = Generation(self.now.0 + self.starts);
         let view = View::new(self.now, config, &name(node), generation, info, seed);
-        let sharer = ShareTracker::new(self.now, times);
-        let fresh = Node {
+        let share_tracker = ShareTracker::new(self.now, times);
+        let started = Node {
             view,
-            sharer,
-            up: true,
-            paused: None,
-            called: None,
-            group: 0,
-            second: (0, 0),
-            largest: 0,
-            bytes: 0,
+            share_tracker,
+            is_up: true,
+            paused_until: None,
+            next_call: None,
+            partition: 0,
+            current_second: (0, 0),
+            peak_second_bytes: 0,
+            bytes_sent: 0,
         };
         match self.nodes.get_mut(node) {
-            Some(before) => *before = Node { group: before.group, ..fresh },
-            None => self.nodes.push(fresh),
+            Some(before) => *before = Node { partition: before.partition, ..started },
+            None => self.nodes.push(started),
         }
-        self.wake(node);
+        self.schedule_node(node);
     }
 
     pub fn kill(&mut self, node: usize) {
-        self.nodes[node].up = false;
+        self.nodes[node].is_up = false;
     }
 
-    fn put(&mut self, at: Timestamp, event: Event) {
-        self.turn += 1;
-        self.events.push(Reverse((at, self.turn, event)));
+    fn schedule(&mut self, at: Timestamp, event: Event) {
+        self.event_sequence += 1;
+        self.events.push(Reverse((at, self.event_sequence, event)));
     }
 
-    fn wake(&mut self, node: usize) {
+    fn schedule_node(&mut self, node: usize) {
         let at = self.nodes[node].view.next_timeout().max(self.now);
-        let at = self.nodes[node].paused.map_or(at, |until| until.max(at));
-        if self.nodes[node].called.is_none_or(|called| called > at) {
-            self.nodes[node].called = Some(at);
-            self.put(at, Event::Due(node));
+        let at = self.nodes[node].paused_until.map_or(at, |until| until.max(at));
+        if self.nodes[node].next_call.is_none_or(|called| called > at) {
+            self.nodes[node].next_call = Some(at);
+            self.schedule(at, Event::Timeout(node));
         }
     }
 
-    fn open(&self, from: usize, to: usize) -> bool {
-        let groups = self.nodes[from].group == self.nodes[to].group;
-        groups && !self.cut.contains(&(from, to))
+    fn can_reach(&self, from: usize, to: usize) -> bool {
+        let same_partition = self.nodes[from].partition == self.nodes[to].partition;
+        same_partition && !self.blocked_links.contains(&(from, to))
     }
 
-    fn lost(&mut self, from: usize, to: usize) -> bool {
-        let more = self.lossy.filter(|(group, _)| [from, to].iter().any(|node| *node as u32 % 3 == *group));
-        let draw: f64 = self.chance.random_range(0.0..100.0);
-        draw < self.law.loss || more.is_some_and(|(_, loss)| self.chance.random_range(0.0..100.0) < loss)
+    fn is_lost(&mut self, from: usize, to: usize) -> bool {
+        let site_loss =
+            self.lossy_site.filter(|(site, _)| [from, to].iter().any(|node| *node as u32 % 3 == *site));
+        let draw: f64 = self.rng.random_range(0.0..100.0);
+        draw < self.model.loss_percent
+            || site_loss.is_some_and(|(_, loss)| self.rng.random_range(0.0..100.0) < loss)
     }
 
-    fn send_all(&mut self, from: usize) {
+    fn flush_outgoing(&mut self, from: usize) {
         while let Some((at, bytes)) = self.nodes[from].view.next_datagram() {
             let node = &mut self.nodes[from];
             let second = self.now.0 / 1_000_000;
-            if node.second.0 != second {
-                node.second = (second, 0);
+            if node.current_second.0 != second {
+                node.current_second = (second, 0);
             }
-            // An IP and a UDP head go with each.
+            // Each datagram has an IP and a UDP header.
             let size = bytes.len() as u64 + 28;
-            (node.second.1, node.bytes) = (node.second.1 + size, node.bytes + size);
-            node.largest = node.largest.max(node.second.1);
+            (node.current_second.1, node.bytes_sent) = (node.current_second.1 + size, node.bytes_sent + size);
+            node.peak_second_bytes = node.peak_second_bytes.max(node.current_second.1);
             let Some(to) = index(at).filter(|to| *to < self.nodes.len()) else { continue };
-            if !self.open(from, to) || self.lost(from, to) {
+            if !self.can_reach(from, to) || self.is_lost(from, to) {
                 continue;
             }
-            let copies = if self.chance.random_range(0.0..100.0) < self.law.twice { 2 } else { 1 };
+            let copies = if self.rng.random_range(0.0..100.0) < self.model.duplicate_percent { 2 } else { 1 };
             for _ in 0..copies {
-                let more = Micros(self.chance.random_range(0..=self.law.more.0));
-                let comes = self.now + self.law.least + more;
-                self.put(comes, Event::Come { to, from, bytes: bytes.clone() });
+                let jitter = Micros(self.rng.random_range(0..=self.model.max_jitter.0));
+                let arrival = self.now + self.model.min_latency + jitter;
+                self.schedule(arrival, Event::Deliver { to, from, bytes: bytes.clone() });
             }
         }
         while let Some(change) = self.nodes[from].view.next_change() {
             self.changes += 1;
-            match (change.kind, called(&change.name)) {
-                (ChangeKind::Dead, Some(of)) => self.deaths.push((change.at, from, of)),
+            match (change.kind, node_of_name(&change.name)) {
+                (ChangeKind::Dead, Some(of)) => self.reported_deaths.push((change.at, from, of)),
                 (ChangeKind::Suspected, _) => self.suspicions += 1,
                 _ => {}
             }
         }
     }
 
-    /// Plays on for so long.
+    /// Runs the simulation for this time.
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(Reverse((at, _, _))) = self.events.peek() {
@@ -220,16 +227,16 @@
             let Some(Reverse((at, _, event))) = self.events.pop() else { break };
             self.now = at;
             match event {
-                Event::Due(node) => self.due(node),
-                Event::Come { to, from, bytes } => {
+                Event::Timeout(node) => self.run_node(node),
+                Event::Deliver { to, from, bytes } => {
                     let now = self.now;
                     let node = &mut self.nodes[to];
-                    match node.paused.filter(|until| *until > now) {
-                        Some(until) => self.put(until + Micros(1), Event::Come { to, from, bytes }),
-                        None if node.up => {
+                    match node.paused_until.filter(|until| *until > now) {
+                        Some(until) => self.schedule(until + Micros(1), Event::Deliver { to, from, bytes }),
+                        None if node.is_up => {
                             node.view.receive(now, address(from), &bytes);
-                            self.wake(to);
-                            self.send_all(to);
+                            self.schedule_node(to);
+                            self.flush_outgoing(to);
                         }
                         None => {}
                     }
@@ -239,60 +246,65 @@
         self.now = end;
     }
 
-    fn due(&mut self, node: usize) {
+    fn run_node(&mut self, node: usize) {
         let now = self.now;
         let it = &mut self.nodes[node];
-        if it.called != Some(now) {
-            // Another call, an earlier one, has come in its place.
+        if it.next_call != Some(now) {
+            // An earlier call has been scheduled instead.
             return;
         }
-        it.called = None;
-        if !it.up {
+        it.next_call = None;
+        if !it.is_up {
             return;
         }
-        let paused = it.paused.is_some_and(|until| until > now);
+        let paused = it.paused_until.is_some_and(|until| until > now);
         if !paused && it.view.next_timeout() <= now {
             it.view.handle_timeout(now);
-            self.send_all(node);
+            self.flush_outgoing(node);
         }
-        self.wake(node);
+        self.schedule_node(node);
     }
 
-    /// Stops a process for so long; what comes for it waits.
+    /// Stops a process for this time. Its datagrams wait.
     pub fn pause(&mut self, node: usize, span: Micros) {
-        self.nodes[node].paused = Some(self.now + span);
+        self.nodes[node].paused_until = Some(self.now + span);
     }
 
-    /// Nodes that run.
-    pub fn up(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|node| self.nodes[*node].up).collect()
+    /// The nodes that are running.
+    pub fn running_nodes(&self) -> Vec<usize> {
+        (0..self.nodes.len()).filter(|node| self.nodes[*node].is_up).collect()
     }
 
-    /// Whether all that run hold just those to be here that run and are of their group, in one life and edition.
-    pub fn agree(&self) -> bool {
-        let mut groups: BTreeMap<u32, Vec<usize>> = BTreeMap::new();
-        self.up().into_iter().for_each(|node| groups.entry(self.nodes[node].group).or_default().push(node));
-        groups.values().all(|group| {
-            let digest = self.nodes[group[0]].view.digest();
-            // The digest is of all that are here, so one look at a single view tells of whom.
-            let there = |one: &usize| group.iter().all(|other| one == other || self.holds(group[0], *other));
-            let same = |one: &usize| {
-                let view = &self.nodes[*one].view;
-                view.digest() == digest && view.present_count() == group.len()
+    /// Whether each running node considers exactly the running nodes of its partition present, in the same generation and
+    /// incarnation.
+    pub fn views_agree(&self) -> bool {
+        let mut partitions: BTreeMap<u32, Vec<usize>> = BTreeMap::new();
+        self.running_nodes()
+            .into_iter()
+            .for_each(|node| partitions.entry(self.nodes[node].partition).or_default().push(node));
+        partitions.values().all(|members| {
+            let digest = self.nodes[members[0]].view.digest();
+            // Equal digests mean equal members, so a single view shows which ones.
+            let all_present = |node: &usize| {
+                members.iter().all(|other| node == other || self.considers_present(members[0], *other))
+            };
+            let same_view = |node: &usize| {
+                let view = &self.nodes[*node].view;
+                view.digest() == digest && view.present_count() == members.len()
             };
-            group.iter().all(same) && there(&group[0])
+            members.iter().all(same_view) && all_present(&members[0])
         })
     }
 
-    fn holds(&self, one: usize, other: usize) -> bool {
-        self.nodes[one].view.member(&name(other)).is_some_and(|member| member.state.is_present())
+    fn considers_present(&self, node: usize, other: usize) -> bool {
+        self.nodes[node].view.member(&name(other)).is_some_and(|member| member.state.is_present())
     }
 
-    /// Plays on until all agree, in steps; how long that took, if it came so far.
-    pub fn until_agreed(&mut self, most: Micros) -> Option<Micros> {
+    /// Runs until all views agree, and returns how long that took, or `None` if it exceeds `max`.
+    pub fn run_until_agreed(&mut self, max: Micros) -> Option<Micros> {
         let start = self.now;
-        while !self.agree() {
-            if self.now.since(start) >= most {
+        while !self.views_agree() {
+            if self.now.since(start) >= max {
                 return None;
             }
             self.run(Micros::from_millis(50));
@@ -300,21 +312,21 @@
         Some(self.now.since(start))
     }
 
-    /// Of those that run, how many have called that node dead since.
-    pub fn know_death(&self, of: usize) -> usize {
-        let knows = |one: &usize| {
-            self.nodes[*one].view.member(&name(of)).is_none_or(|member| !member.state.is_present())
+    /// The number of running nodes that no longer consider this node present.
+    pub fn count_aware_of_death(&self, of: usize) -> usize {
+        let knows = |node: &usize| {
+            self.nodes[*node].view.member(&name(of)).is_none_or(|member| !member.state.is_present())
         };
-        self.up().iter().filter(|one| **one != of && knows(one)).count()
+        self.running_nodes().iter().filter(|node| **node != of && knows(node)).count()
     }
 
-    /// What each node that runs may count on.
+    /// The share of each running node.
     pub fn shares(&mut self, slots: u32) -> Vec<(usize, Share)> {
-        let (now, up) = (self.now, self.up());
-        let mut look = |one: usize| {
-            let node = &mut self.nodes[one];
-            (one, node.sharer.update(now, &node.view, slots, one as u32))
+        let (now, running) = (self.now, self.running_nodes());
+        let mut update = |index: usize| {
+            let node = &mut self.nodes[index];
+            (index, node.share_tracker.update(now, &node.view, slots, index as u32))
         };
-        up.into_iter().map(&mut look).collect()
+        running.into_iter().map(&mut update).collect()
     }
 }
--- a/crates/fleet/src/search.rs
+++ b/crates/fleet/src/search.rs
@@ -1,6 +1,6 @@
-//! Small worlds around the real view and the real rule of portions, searched through all orders of what can happen next
-//! to a stated depth, and by long drawn walks beyond it: a datagram comes, is lost or comes again, time passes, a node
-//! starts again, ways are cut and whole. What is promised is looked at after each step.
+//! A state-space search of small fleets around the real `View` and the real share rule. All orders of transitions are
+//! explored up to a given depth, and long random walks go beyond it: a datagram is delivered, dropped or duplicated, time
+//! advances, a node restarts, links are cut and healed. The invariants are checked after each transition.
 
 use crate::net::{address, name};
 use rand::seq::IndexedRandom;
@@ -15,106 +15,106 @@
 use yarrowfront_view::view::View;
 use yarrowfront_view::wire::{Datagram, Kind};
 
-/// What can happen next.
+/// A transition of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
-    /// The first datagram on that way comes, comes and stays to come again, or is lost.
-    Come(usize, usize),
-    Again(usize, usize),
-    Lose(usize, usize),
-    /// Time goes on to what any node waits for next, and that is done.
-    Time,
-    /// That node starts again; its clock may have gone back.
+pub enum Transition {
+    /// The first datagram on the link from one node to another is delivered, delivered and kept, or dropped.
+    Deliver(usize, usize),
+    Duplicate(usize, usize),
+    Drop(usize, usize),
+    /// Time advances to the next timeout of any node, which is handled.
+    AdvanceTime,
+    /// The node restarts, with its clock set back if the flag is set.
     Restart(usize, bool),
-    /// Only nodes on one side of this mask reach each other.
-    Cut(u8),
+    /// Only nodes with the same bit in this mask can reach each other.
+    Partition(u8),
 }
 
-/// A broken promise, and how it was come to.
+/// A violated invariant, and the transitions that led to it.
 #[derive(Clone, Debug)]
-pub struct Broken {
-    pub promise: String,
-    pub path: Vec<Choice>,
+pub struct Violation {
+    pub description: String,
+    pub path: Vec<Transition>,
 }
 
-/// How much was looked at.
+/// The extent of a search.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Looked {
+pub struct SearchStats {
     pub states: usize,
     pub steps: usize,
 }
 
-/// A fault that is put between the views, or into the rule, to see that the promises bite.
+/// A fault put into the datagrams or into the share rule, to show that the invariants detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sabotage {
+pub enum InjectedFault {
     None,
-    /// Higher editions arrive as the first one.
+    /// Higher incarnations arrive as incarnation 0.
     NoRefutation,
-    /// Nobody hears what is said of himself.
-    Deaf,
-    /// Sums, and what they ask for, are lost.
-    NoSums,
-    /// Seeds and the dead are not tried again.
-    NoTrying,
-    /// News comes without cards.
-    NoCards,
-    /// A node starts again in the life that it had.
-    SameLife,
-    /// Whoever sees no majority keeps its whole portion.
+    /// Updates about the receiver itself are lost.
+    NoSelfReports,
+    /// Checksums, and the updates that answer them, are lost.
+    NoChecksums,
+    /// Probes of seeds and dead members are lost.
+    NoReconnect,
+    /// Updates arrive without `NodeInfo`.
+    NoNodeInfo,
+    /// A node restarts with the generation that it had.
+    SameGeneration,
+    /// A node without a majority keeps its whole share.
     NoRelease,
-    /// A portion is taken as soon as its holder is missing.
-    NoWaiting,
-    /// Any side takes itself for the majority.
+    /// A share is taken over as soon as its holder is missing.
+    NoTakeoverDelay,
+    /// Any side of a partition takes itself for the majority.
     NoMajority,
-    /// Nothing is left to the missing.
-    NoHalves,
-    /// Whoever comes back to a majority takes its whole portion at once.
-    NoFresh,
-    /// Whoever has no place of its own takes a portion like the others.
-    NoNone,
+    /// No half share is left to missing nodes.
+    NoHalfShares,
+    /// A node that returns to a majority takes its whole share at once.
+    NoSettling,
+    /// A node without a slot takes a share like the others.
+    NoEmptyShare,
 }
 
-pub const SABOTAGES: [Sabotage; 12] = [
-    Sabotage::NoRefutation,
-    Sabotage::Deaf,
-    Sabotage::NoSums,
-    Sabotage::NoTrying,
-    Sabotage::NoCards,
-    Sabotage::SameLife,
-    Sabotage::NoRelease,
-    Sabotage::NoWaiting,
-    Sabotage::NoMajority,
-    Sabotage::NoHalves,
-    Sabotage::NoFresh,
-    Sabotage::NoNone,
+pub const INJECTED_FAULTS: [InjectedFault; 12] = [
+    InjectedFault::NoRefutation,
+    InjectedFault::NoSelfReports,
+    InjectedFault::NoChecksums,
+    InjectedFault::NoReconnect,
+    InjectedFault::NoNodeInfo,
+    InjectedFault::SameGeneration,
+    InjectedFault::NoRelease,
+    InjectedFault::NoTakeoverDelay,
+    InjectedFault::NoMajority,
+    InjectedFault::NoHalfShares,
+    InjectedFault::NoSettling,
+    InjectedFault::NoEmptyShare,
 ];
 
 #[derive(Clone)]
 struct Node {
     view: View,
-    sharer: ShareTracker,
+    share_tracker: ShareTracker,
     share: Share,
-    looked: Timestamp,
+    share_updated_at: Timestamp,
 }
 
 #[derive(Clone)]
-struct World {
+struct FleetModel {
     now: Timestamp,
     nodes: Vec<Node>,
-    /// On the way, by sender and receiver; no more than a few each, as a network holds.
-    ways: BTreeMap<(usize, usize), Vec<Vec<u8>>>,
-    mask: u8,
+    /// Datagrams in transit, by sender and receiver, limited to a few per link, as in a network.
+    links: BTreeMap<(usize, usize), Vec<Vec<u8>>>,
+    partition_mask: u8,
     highest: BTreeMap<usize, (Generation, Incarnation)>,
     restarts: u8,
-    /// How many places the settings state: nodes beyond them have none of their own.
+    /// The number of configured slots. Nodes beyond it have no slot of their own.
     slots: u32,
-    sabotage: Sabotage,
+    fault: InjectedFault,
 }
 
-/// Datagrams that a way holds; more are lost, the newest first.
-const HELD: usize = 3;
-/// Between two looks at a node's portion, as in the node.
-const LOOK: Micros = Micros::from_millis(200);
+/// The most datagrams in transit on a link. Further ones are dropped.
+const MAX_DATAGRAMS_PER_LINK: usize = 3;
+/// The time between two updates of a node's share, as in the node.
+const SHARE_INTERVAL: Micros = Micros::from_millis(200);
 
 fn config(node: usize, nodes: usize) -> ViewConfig {
     let times = "[times]\nperiod = 200\nseeds = 400\nrelease = 1000\nsure = 6000\nforget = 20000";
@@ -127,21 +127,21 @@
     ViewConfig::from_toml(&text).unwrap_or_else(|why| panic!("{why}"))
 }
 
-impl World {
-    fn new(nodes: usize, slots: u32, sabotage: Sabotage) -> World {
-        let mut world = World {
+impl FleetModel {
+    fn new(nodes: usize, slots: u32, fault: InjectedFault) -> FleetModel {
+        let mut model = FleetModel {
             now: Timestamp(1_000_000_000),
             nodes: Vec::new(),
-            ways: BTreeMap::new(),
-            mask: 0,
+            links: BTreeMap::new(),
+            partition_mask: 0,
             highest: BTreeMap::new(),
             restarts: 0,
             slots,
-            sabotage,
+            fault,
         };
-        world.nodes =
-            (0..nodes).map(|node| world.node(node, nodes, Generation(world.now.0 + node as u64))).collect();
-        world
+        model.nodes =
+            (0..nodes).map(|node| model.node(node, nodes, Generation(model.now.0 + node as u64))).collect();
+        model
     }
 
     fn node(&self, node: usize, nodes: usize, generation: Generation) -> Node {
@@ -155,14 +155,14 @@
             slot: node as u32,
             slots: self.slots,
         };
-        let sharer = ShareTracker::new(now, config.timing);
-        let share = self.first(node);
+        let share_tracker = ShareTracker::new(now, config.timing);
+        let share = self.initial_share(node);
         let view = View::new(now, config, &name(node), generation, info, node as u64 + generation.0);
-        Node { view, sharer, share, looked: Timestamp(0) }
+        Node { view, share_tracker, share, share_updated_at: Timestamp(0) }
     }
 
-    /// What holds before anything is known.
-    fn first(&self, node: usize) -> Share {
+    /// The share before anything is known.
+    fn initial_share(&self, node: usize) -> Share {
         let share = ShareTracker::fallback(self.slots, node as u32, self.now);
         match (node as u32) < self.slots {
             true => share,
@@ -170,127 +170,135 @@
         }
     }
 
-    fn open(&self, from: usize, to: usize) -> bool {
-        (self.mask >> from) & 1 == (self.mask >> to) & 1
+    fn can_reach(&self, from: usize, to: usize) -> bool {
+        (self.partition_mask >> from) & 1 == (self.partition_mask >> to) & 1
     }
 
-    /// What the sabotage makes of a datagram; nothing if it is lost.
-    fn spoil(&self, to: usize, bytes: Vec<u8>) -> Option<Vec<u8>> {
+    /// Applies the injected fault to a datagram; `None` if it is lost.
+    fn apply_fault(&self, to: usize, bytes: Vec<u8>) -> Option<Vec<u8>> {
         let mut datagram = Datagram::from_bytes(&bytes).ok()?;
-        let mut news = datagram.updates.take().unwrap_or_default();
-        match self.sabotage {
-            Sabotage::NoRefutation => {
+        let mut updates = datagram.updates.take().unwrap_or_default();
+        match self.fault {
+            InjectedFault::NoRefutation => {
                 datagram.incarnation = Incarnation(0);
-                news.iter_mut()
+                updates
+                    .iter_mut()
                     .filter(|n| n.state == MemberState::Alive)
                     .for_each(|n| n.incarnation = Incarnation(0));
             }
-            Sabotage::Deaf => news.retain(|n| n.name != name(to)),
-            Sabotage::NoSums if datagram.kind == Kind::Checksums => return None,
-            Sabotage::NoSums if datagram.kind == Kind::Updates && news.len() > 1 => return None,
-            Sabotage::NoTrying
+            InjectedFault::NoSelfReports => updates.retain(|n| n.name != name(to)),
+            InjectedFault::NoChecksums if datagram.kind == Kind::Checksums => return None,
+            InjectedFault::NoChecksums if datagram.kind == Kind::Updates && updates.len() > 1 => return None,
+            InjectedFault::NoReconnect
                 if datagram.kind == Kind::Ping && datagram.probe_id == 0 && self.now.0 > 1_002_000_000 =>
             {
                 return None
             }
-            Sabotage::NoCards if self.now.0 > 1_002_000_000 => news.iter_mut().for_each(|n| n.info = None),
+            InjectedFault::NoNodeInfo if self.now.0 > 1_002_000_000 => {
+                updates.iter_mut().for_each(|n| n.info = None)
+            }
             _ => return Some(bytes),
         }
-        datagram.updates = (!news.is_empty()).then_some(news);
+        datagram.updates = (!updates.is_empty()).then_some(updates);
         datagram.to_bytes()
     }
 
-    fn collect(&mut self, from: usize) {
+    fn take_outgoing(&mut self, from: usize) {
         while let Some((at, bytes)) = self.nodes[from].view.next_datagram() {
             let Some(to) = (0..self.nodes.len()).find(|to| address(*to) == at) else { continue };
-            if !self.open(from, to) {
+            if !self.can_reach(from, to) {
                 continue;
             }
-            let bytes = match self.sabotage {
-                Sabotage::None => Some(bytes),
-                _ => self.spoil(to, bytes),
+            let bytes = match self.fault {
+                InjectedFault::None => Some(bytes),
+                _ => self.apply_fault(to, bytes),
             };
-            let way = self.ways.entry((from, to)).or_default();
-            if way.len() < HELD {
-                way.extend(bytes);
+            let link = self.links.entry((from, to)).or_default();
+            if link.len() < MAX_DATAGRAMS_PER_LINK {
+                link.extend(bytes);
             }
         }
         while self.nodes[from].view.next_change().is_some() {}
     }
 
-    fn come(&mut self, from: usize, to: usize, stays: bool) {
-        let Some(way) = self.ways.get_mut(&(from, to)).filter(|way| !way.is_empty()) else { return };
-        let bytes = if stays { way[0].clone() } else { way.remove(0) };
-        if self.open(from, to) {
+    fn deliver(&mut self, from: usize, to: usize, keep: bool) {
+        let Some(link) = self.links.get_mut(&(from, to)).filter(|link| !link.is_empty()) else { return };
+        let bytes = if keep { link[0].clone() } else { link.remove(0) };
+        if self.can_reach(from, to) {
             self.nodes[to].view.receive(self.now, address(from), &bytes);
-            self.collect(to);
+            self.take_outgoing(to);
         }
     }
 
-    fn step(&mut self, choice: Choice) {
-        match choice {
-            Choice::Come(from, to) => self.come(from, to, false),
-            Choice::Again(from, to) => self.come(from, to, true),
-            Choice::Lose(from, to) => drop(self.ways.get_mut(&(from, to)).map(|way| way.remove(0))),
-            Choice::Time => {
-                let next =
-                    self.nodes.iter().map(|node| node.view.next_timeout().min(node.looked + LOOK)).min();
+    fn step(&mut self, transition: Transition) {
+        match transition {
+            Transition::Deliver(from, to) => self.deliver(from, to, false),
+            Transition::Duplicate(from, to) => self.deliver(from, to, true),
+            Transition::Drop(from, to) => drop(self.links.get_mut(&(from, to)).map(|link| link.remove(0))),
+            Transition::AdvanceTime => {
+                let next = self
+                    .nodes
+                    .iter()
+                    .map(|node| node.view.next_timeout().min(node.share_updated_at + SHARE_INTERVAL))
+                    .min();
                 self.now = next.unwrap_or(self.now).max(self.now);
                 for node in 0..self.nodes.len() {
                     if self.nodes[node].view.next_timeout() <= self.now {
                         self.nodes[node].view.handle_timeout(self.now);
-                        self.collect(node);
+                        self.take_outgoing(node);
                     }
-                    if self.nodes[node].looked + LOOK <= self.now {
-                        self.look(node);
+                    if self.nodes[node].share_updated_at + SHARE_INTERVAL <= self.now {
+                        self.update_share(node);
                     }
                 }
             }
-            Choice::Restart(node, back) => {
+            Transition::Restart(node, clock_back) => {
                 self.restarts += 1;
                 let before = self.nodes[node].view.generation().0;
-                let generation = match (self.sabotage, back) {
-                    (Sabotage::SameLife, _) => before,
+                let generation = match (self.fault, clock_back) {
+                    (InjectedFault::SameGeneration, _) => before,
                     (_, true) => before - 7,
                     _ => self.now.0.max(before + 1),
                 };
-                if self.sabotage != Sabotage::SameLife {
+                if self.fault != InjectedFault::SameGeneration {
                     self.highest.remove(&node);
                 }
                 self.nodes[node] = self.node(node, self.nodes.len(), Generation(generation));
             }
-            Choice::Cut(mask) => self.mask = mask,
+            Transition::Partition(partition_mask) => self.partition_mask = partition_mask,
         }
     }
 
-    fn look(&mut self, node: usize) {
+    fn update_share(&mut self, node: usize) {
         let slots = self.slots;
-        let (now, sabotage) = (self.now, self.sabotage);
+        let (now, fault) = (self.now, self.fault);
         let it = &mut self.nodes[node];
-        it.looked = now;
-        let me = node as u32;
-        it.share = it.sharer.update(now, &it.view, slots, me);
-        let missing = SlotOccupancy::from_view(&it.view, slots, now, Micros(0));
+        it.share_updated_at = now;
+        let index = node as u32;
+        it.share = it.share_tracker.update(now, &it.view, slots, index);
+        let occupancy = SlotOccupancy::from_view(&it.view, slots, now, Micros(0));
         let whole = |nodes: u32| Share { nodes, ..it.share };
-        it.share = match sabotage {
-            Sabotage::NoRelease if it.share.reason == ShareReason::NoMajority => whole(slots),
-            Sabotage::NoWaiting if missing.has_majority(slots) => whole(slots - missing.missing),
-            Sabotage::NoMajority if it.share.reason == ShareReason::NoMajority => {
-                whole(slots - missing.missing)
+        it.share = match fault {
+            InjectedFault::NoRelease if it.share.reason == ShareReason::NoMajority => whole(slots),
+            InjectedFault::NoTakeoverDelay if occupancy.has_majority(slots) => {
+                whole(slots - occupancy.missing)
+            }
+            InjectedFault::NoMajority if it.share.reason == ShareReason::NoMajority => {
+                whole(slots - occupancy.missing)
             }
-            Sabotage::NoHalves if it.share.reason == ShareReason::SlotsMissing => {
-                whole(slots - missing.missing)
+            InjectedFault::NoHalfShares if it.share.reason == ShareReason::SlotsMissing => {
+                whole(slots - occupancy.missing)
             }
-            Sabotage::NoFresh if it.share.reason == ShareReason::Settling => whole(slots),
-            Sabotage::NoNone if it.share.nodes == NO_SHARE => whole(slots),
+            InjectedFault::NoSettling if it.share.reason == ShareReason::Settling => whole(slots),
+            InjectedFault::NoEmptyShare if it.share.nodes == NO_SHARE => whole(slots),
             _ => it.share,
         };
     }
 
-    /// What a node counts on now, in millionths of the whole.
-    fn portion(&self, node: usize) -> u64 {
+    /// A node's current share, in millionths of the whole.
+    fn share_millionths(&self, node: usize) -> u64 {
         let share = &self.nodes[node].share;
-        let nodes = if share.valid_until < self.now { self.first(node).nodes } else { share.nodes };
+        let nodes = if share.valid_until < self.now { self.initial_share(node).nodes } else { share.nodes };
         if nodes == NO_SHARE {
             0
         } else {
@@ -298,41 +306,42 @@
         }
     }
 
-    /// What must hold in every state; what is broken, if anything is.
-    fn check(&mut self) -> Option<String> {
+    /// Checks the invariants of every state and returns the violated one, if any.
+    fn find_violation(&mut self) -> Option<String> {
         for node in 0..self.nodes.len() {
             let view = &self.nodes[node].view;
-            let is = (view.generation(), view.incarnation());
-            let before = self.highest.entry(node).or_insert(is);
-            if is < *before {
-                return Some(format!("{} went back from {before:?} to {is:?}", name(node)));
+            let current = (view.generation(), view.incarnation());
+            let before = self.highest.entry(node).or_insert(current);
+            if current < *before {
+                return Some(format!("{} went back from {before:?} to {current:?}", name(node)));
             }
-            *before = is;
+            *before = current;
         }
-        let sum: u64 = (0..self.nodes.len()).map(|node| self.portion(node)).sum();
-        (sum > 1_000_000).then(|| format!("portions come to {sum} millionths"))
+        let sum: u64 = (0..self.nodes.len()).map(|node| self.share_millionths(node)).sum();
+        (sum > 1_000_000).then(|| format!("shares sum to {sum} millionths"))
     }
 
-    /// With all ways whole and nothing lost all views are one within this, and all nodes alive in them.
-    fn settles(&mut self, within: Micros) -> Option<String> {
-        self.mask = 0;
+    /// Heals all links and checks that all views agree, with all nodes alive, within this time. Returns the violation, if
+    /// any.
+    fn fails_to_settle(&mut self, within: Micros) -> Option<String> {
+        self.partition_mask = 0;
         let end = self.now + within;
-        let (mut at, mut said) = (self.now, 0);
+        let (mut last_time, mut deliveries) = (self.now, 0);
         while self.now < end {
-            // Whoever answers answers for ever keeps the network busy without any time passing.
-            said = if self.now > at { 0 } else { said + 1 };
-            at = self.now;
-            if said > 10_000 {
-                return Some("there is no end to what is said at one moment".to_owned());
+            // Nodes that answer answers would keep the network busy without time advancing.
+            deliveries = if self.now > last_time { 0 } else { deliveries + 1 };
+            last_time = self.now;
+            if deliveries > 10_000 {
+                return Some("datagrams are exchanged without end at one point in time".to_owned());
             }
-            let ways: Vec<(usize, usize)> =
-                self.ways.iter().filter(|(_, way)| !way.is_empty()).map(|(way, _)| *way).collect();
-            match ways.is_empty() {
-                true => self.step(Choice::Time),
-                false => ways.into_iter().for_each(|(from, to)| self.step(Choice::Come(from, to))),
+            let links: Vec<(usize, usize)> =
+                self.links.iter().filter(|(_, link)| !link.is_empty()).map(|(link, _)| *link).collect();
+            match links.is_empty() {
+                true => self.step(Transition::AdvanceTime),
+                false => links.into_iter().for_each(|(from, to)| self.step(Transition::Deliver(from, to))),
             }
-            if let Some(broken) = self.check() {
-                return Some(broken);
+            if let Some(violation) = self.find_violation() {
+                return Some(violation);
             }
             let agreed = self.nodes.iter().all(|node| {
                 let alive = node.view.members().filter(|(_, m)| m.state == MemberState::Alive).count();
@@ -342,25 +351,25 @@
                 return None;
             }
         }
-        Some(format!("views are not one after {} s", within.0 / 1_000_000))
+        Some(format!("views do not agree after {} s", within.0 / 1_000_000))
     }
 
-    fn choices(&self) -> Vec<Choice> {
-        let mut all = vec![Choice::Time];
-        for ((from, to), _) in self.ways.iter().filter(|(_, way)| !way.is_empty()) {
-            all.extend([Choice::Come(*from, *to), Choice::Lose(*from, *to)]);
+    fn possible_transitions(&self) -> Vec<Transition> {
+        let mut all = vec![Transition::AdvanceTime];
+        for ((from, to), _) in self.links.iter().filter(|(_, link)| !link.is_empty()) {
+            all.extend([Transition::Deliver(*from, *to), Transition::Drop(*from, *to)]);
         }
         if self.restarts == 0 {
-            all.extend([Choice::Restart(0, false), Choice::Restart(0, true)]);
+            all.extend([Transition::Restart(0, false), Transition::Restart(0, true)]);
         }
         let last = 1u8 << (self.nodes.len() - 1);
-        all.push(Choice::Cut(if self.mask == 0 { last } else { 0 }));
+        all.push(Transition::Partition(if self.partition_mask == 0 { last } else { 0 }));
         all
     }
 
-    fn key(&self) -> u64 {
+    fn state_hash(&self) -> u64 {
         let hasher = BuildHasherDefault::<DefaultHasher>::default();
-        let of = |node: &Node| {
+        let node_hash = |node: &Node| {
             let members: Vec<_> = node
                 .view
                 .members()
@@ -374,85 +383,96 @@
             );
             hasher.hash_one((members, own, node.share.nodes))
         };
-        let nodes: Vec<u64> = self.nodes.iter().map(of).collect();
-        hasher.hash_one((self.now.0, nodes, &self.ways, self.mask, self.restarts))
+        let nodes: Vec<u64> = self.nodes.iter().map(node_hash).collect();
+        hasher.hash_one((self.now.0, nodes, &self.links, self.partition_mask, self.restarts))
     }
 }
 
-/// How long small worlds may take to settle once all ways are whole.
-const SETTLES: Micros = Micros::from_millis(20_000);
+/// The longest time in which the views have to agree once all links are healed.
+const SETTLE_TIMEOUT: Micros = Micros::from_millis(20_000);
 
-/// Everything that can happen from the start of a world of so many nodes, to that depth; from each end it must settle.
-pub fn orders(nodes: usize, depth: usize, sabotage: Sabotage) -> Result<Looked, Broken> {
-    let mut looked = Looked::default();
-    let mut seen = HashSet::new();
-    let mut edge: Vec<(World, Vec<Choice>)> = vec![(World::new(nodes, nodes as u32, sabotage), Vec::new())];
+/// Explores all orders of transitions of a fleet of this size up to `depth`. From each final state the views have to agree.
+pub fn search_exhaustively(
+    nodes: usize,
+    depth: usize,
+    fault: InjectedFault,
+) -> Result<SearchStats, Violation> {
+    let mut stats = SearchStats::default();
+    let mut visited = HashSet::new();
+    let mut frontier: Vec<(FleetModel, Vec<Transition>)> =
+        vec![(FleetModel::new(nodes, nodes as u32, fault), Vec::new())];
     for level in 0..=depth {
         let mut next = Vec::new();
-        for (world, path) in edge {
-            looked.states += 1;
+        for (model, path) in frontier {
+            stats.states += 1;
             if level == depth {
-                let mut end = world;
-                if let Some(promise) = end.settles(SETTLES) {
-                    return Err(Broken { promise, path });
+                let mut end = model;
+                if let Some(description) = end.fails_to_settle(SETTLE_TIMEOUT) {
+                    return Err(Violation { description, path });
                 }
                 continue;
             }
-            for choice in world.choices() {
-                let (mut then, mut path) = (world.clone(), path.clone());
-                then.step(choice);
-                path.push(choice);
-                looked.steps += 1;
-                if let Some(promise) = then.check() {
-                    return Err(Broken { promise, path });
+            for transition in model.possible_transitions() {
+                let (mut then, mut path) = (model.clone(), path.clone());
+                then.step(transition);
+                path.push(transition);
+                stats.steps += 1;
+                if let Some(description) = then.find_violation() {
+                    return Err(Violation { description, path });
                 }
-                if seen.insert(then.key()) {
+                if visited.insert(then.state_hash()) {
                     next.push((then, path));
                 }
             }
         }
-        edge = next;
+        frontier = next;
     }
-    Ok(looked)
+    Ok(stats)
 }
 
-/// One drawn walk of so many steps, and then to where it must settle.
-pub fn walk(nodes: usize, steps: usize, seed: u64, sabotage: Sabotage) -> Result<Looked, Broken> {
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
-    // In every fifth walk there are more nodes than places, in every third news is slow.
+/// One random walk of this many transitions, after which the views have to agree.
+pub fn random_walk(
+    nodes: usize,
+    steps: usize,
+    seed: u64,
+    fault: InjectedFault,
+) -> Result<SearchStats, Violation> {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    // In every fifth walk there is one node more than slots, and in every third one datagrams are slow.
     let slots = if seed % 5 == 4 { nodes - 1 } else { nodes };
     let slow = seed % 3 == 2;
-    let mut world = World::new(nodes, slots.max(1) as u32, sabotage);
-    let mut done = Vec::new();
+    let mut model = FleetModel::new(nodes, slots.max(1) as u32, fault);
+    let mut path = Vec::new();
     for _ in 0..steps {
-        let draw: u32 = chance.random();
-        let choice = match slow && (draw >> 8).is_multiple_of(2) {
-            true => Choice::Time,
-            false => draw_choice(&world, draw, &mut chance),
+        let draw: u32 = rng.random();
+        let transition = match slow && (draw >> 8).is_multiple_of(2) {
+            true => Transition::AdvanceTime,
+            false => draw_transition(&model, draw, &mut rng),
         };
-        world.step(choice);
-        done.push(choice);
-        if let Some(promise) = world.check() {
-            return Err(Broken { promise, path: done });
+        model.step(transition);
+        path.push(transition);
+        if let Some(description) = model.find_violation() {
+            return Err(Violation { description, path });
         }
     }
-    match world.settles(SETTLES) {
-        Some(promise) => Err(Broken { promise, path: done }),
-        None => Ok(Looked { states: steps, steps }),
+    match model.fails_to_settle(SETTLE_TIMEOUT) {
+        Some(description) => Err(Violation { description, path }),
+        None => Ok(SearchStats { states: steps, steps }),
     }
 }
 
-/// Mostly datagrams come and time passes; now and then something breaks, for long enough to be believed.
-fn draw_choice(world: &World, draw: u32, chance: &mut ChaCha8Rng) -> Choice {
-    let ways: Vec<(usize, usize)> =
-        world.ways.iter().filter(|(_, way)| !way.is_empty()).map(|(way, _)| *way).collect();
-    match (draw % 1000, ways.choose(chance)) {
-        (0..=1, _) => Choice::Restart(chance.random_range(0..world.nodes.len()), draw.is_multiple_of(2)),
-        (2..=4, _) => Choice::Cut((draw >> 10) as u8 & ((1 << world.nodes.len()) - 1)),
-        (5..=6, _) => Choice::Cut(0),
-        (7..=60, Some((from, to))) => Choice::Lose(*from, *to),
-        (61..=90, Some((from, to))) => Choice::Again(*from, *to),
-        (_, Some((from, to))) => Choice::Come(*from, *to),
-        _ => Choice::Time,
+/// Draws a transition. Mostly datagrams are delivered and time advances. Faults are rare and last long enough to be
+/// detected.
+fn draw_transition(model: &FleetModel, draw: u32, rng: &mut ChaCha8Rng) -> Transition {
+    let links: Vec<(usize, usize)> =
+        model.links.iter().filter(|(_, link)| !link.is_empty()).map(|(link, _)| *link).collect();
+    match (draw % 1000, links.choose(rng)) {
+        (0..=1, _) => Transition::Restart(rng.random_range(0..model.nodes.len()), draw.is_multiple_of(2)),
+        (2..=4, _) => Transition::Partition((draw >> 10) as u8 & ((1 << model.nodes.len()) - 1)),
+        (5..=6, _) => Transition::Partition(0),
+        (7..=60, Some((from, to))) => Transition::Drop(*from, *to),
+        (61..=90, Some((from, to))) => Transition::Duplicate(*from, *to),
+        (_, Some((from, to))) => Transition::Deliver(*from, *to),
+        _ => Transition::AdvanceTime,
     }
 }
--- a/crates/fleet/tests/net.rs
+++ b/crates/fleet/tests/net.rs
@@ -1,73 +1,73 @@
-//! Fleets on the virtual network: what a few processes cannot show.
+//! Fleets on the virtual network, of sizes that tests with processes cannot reach.
 
 use yarrowfront::times::Micros;
-use yarrowfront_fleet::measure::{calm, death, partition, settled};
+use yarrowfront_fleet::measure::{measure_death, measure_idle, measure_partition, start_settled_fleet};
 
 const SECOND: u64 = 1_000_000;
 
-/// A hundred nodes that start at once find each other; a death is known to 99 in a hundred within three seconds and a
-/// half, and a partition into halves, or three, is one fleet again within five seconds of its end.
+/// 100 nodes that start at once find each other. A death is known to 99% of them within 3.5 s, and after a partition into
+/// two or three parts all views agree within 5 s of its end.
 #[test]
-fn a_hundred() {
-    let (mut net, took) = settled(3, 100, 0.0);
-    assert!(took.is_some_and(|took| took < Micros(10 * SECOND)), "{took:?}");
+fn hundred_nodes_detect_deaths_and_heal() {
+    let (mut net, settle_time) = start_settled_fleet(3, 100, 0.0);
+    assert!(settle_time.is_some_and(|settle_time| settle_time < Micros(10 * SECOND)), "{settle_time:?}");
     for node in [99, 40] {
-        let death = death(&mut net, node);
-        assert!(death.most.is_some_and(|seconds| seconds < 3.5), "{death:?}");
+        let detection = measure_death(&mut net, node);
+        assert!(detection.percent_99.is_some_and(|seconds| seconds < 3.5), "{detection:?}");
     }
     for parts in [&[50, 50][..], &[34, 33, 33]] {
-        let (mut net, _) = settled(4, 100, 0.0);
-        let healed = partition(&mut net, parts, Micros(20 * SECOND));
-        assert!(healed.apart.is_some(), "{parts:?}: {healed:?}");
-        assert!(healed.together.is_some_and(|seconds| seconds < 5.0), "{parts:?}: {healed:?}");
+        let (mut net, _) = start_settled_fleet(4, 100, 0.0);
+        let times = measure_partition(&mut net, parts, Micros(20 * SECOND));
+        assert!(times.apart.is_some(), "{parts:?}: {times:?}");
+        assert!(times.together.is_some_and(|seconds| seconds < 5.0), "{parts:?}: {times:?}");
     }
 }
 
-/// Nothing happens for ten minutes at a loss of one in twenty: nobody is called dead, under 4 kB a second.
+/// With 5% loss and no event for 10 minutes no node is declared dead, and traffic stays below 4 kB per second.
 #[test]
-fn calm_at_a_loss() {
-    let (mut net, _) = settled(5, 30, 5.0);
-    let found = calm(&mut net, Micros(600 * SECOND));
-    assert!(found.false_deaths == 0.0 && found.mean < 4000.0, "{found:?}");
+fn loss_alone_causes_no_false_deaths() {
+    let (mut net, _) = start_settled_fleet(5, 30, 5.0);
+    let idle = measure_idle(&mut net, Micros(600 * SECOND));
+    assert!(idle.false_deaths_per_hour == 0.0 && idle.mean_bytes_per_s < 4000.0, "{idle:?}");
 }
 
-/// A site that loses three in ten of all that it sends and hears does not make the others call each other dead.
+/// A site that loses 30% of all its datagrams does not make other nodes declare each other dead.
 #[test]
-fn a_lossy_site() {
-    let (mut net, _) = settled(6, 30, 0.0);
-    net.lossy = Some((1, 30.0));
+fn lossy_site_does_not_affect_other_sites() {
+    let (mut net, _) = start_settled_fleet(6, 30, 0.0);
+    net.lossy_site = Some((1, 30.0));
     net.run(Micros(60 * SECOND));
     let among_others = |(_, by, of): &&(_, usize, usize)| by % 3 != 1 && of % 3 != 1;
-    assert_eq!(net.deaths.iter().filter(among_others).count(), 0);
+    assert_eq!(net.reported_deaths.iter().filter(among_others).count(), 0);
 }
 
-/// Half of the fleet killed at once, and started again at once; a node stopped for ten seconds; a third part cut off
-/// while two others heal; fleets of two and of one.
+/// Half of the fleet is killed and restarted at once; a node is stopped for 10 s; two parts heal while a third
+/// one is cut off; fleets of two nodes and of one.
 #[test]
-fn hard_cases() {
-    let (mut net, _) = settled(7, 20, 0.0);
+fn views_agree_after_combined_faults() {
+    let (mut net, _) = start_settled_fleet(7, 20, 0.0);
     (10..20).for_each(|node| net.kill(node));
-    assert!(net.until_agreed(Micros(20 * SECOND)).is_some(), "half is killed");
+    assert!(net.run_until_agreed(Micros(20 * SECOND)).is_some(), "after half of the fleet was killed");
     (10..20).for_each(|node| net.start(node, 20, &[0, 1, 2]));
-    assert!(net.until_agreed(Micros(20 * SECOND)).is_some(), "and starts again");
-    net.deaths.clear();
+    assert!(net.run_until_agreed(Micros(20 * SECOND)).is_some(), "after it was restarted");
+    net.reported_deaths.clear();
     net.pause(5, Micros(10 * SECOND));
     net.run(Micros(12 * SECOND));
-    assert!(net.until_agreed(Micros(10 * SECOND)).is_some(), "one was stopped");
-    assert!(net.deaths.iter().all(|(_, by, of)| *by != 5 && *of == 5), "{:?}", net.deaths);
-    let group = |net: &mut yarrowfront_fleet::net::Net, of: fn(usize) -> u32| {
-        net.nodes.iter_mut().enumerate().for_each(|(node, it)| it.group = of(node));
+    assert!(net.run_until_agreed(Micros(10 * SECOND)).is_some(), "after one node was stopped");
+    assert!(net.reported_deaths.iter().all(|(_, by, of)| *by != 5 && *of == 5), "{:?}", net.reported_deaths);
+    let set_partition = |net: &mut yarrowfront_fleet::net::VirtualNetwork, partition_of: fn(usize) -> u32| {
+        net.nodes.iter_mut().enumerate().for_each(|(node, it)| it.partition = partition_of(node));
     };
-    group(&mut net, |node| node as u32 % 2);
+    set_partition(&mut net, |node| node as u32 % 2);
     net.run(Micros(15 * SECOND));
-    group(&mut net, |node| u32::from(node >= 15));
+    set_partition(&mut net, |node| u32::from(node >= 15));
     net.run(Micros(15 * SECOND));
-    group(&mut net, |_| 0);
-    assert!(net.until_agreed(Micros(10 * SECOND)).is_some(), "all ways are whole");
+    set_partition(&mut net, |_| 0);
+    assert!(net.run_until_agreed(Micros(10 * SECOND)).is_some(), "after all links were healed");
     for nodes in [1, 2] {
-        let (mut net, took) = settled(8, nodes, 0.0);
-        assert!(took.is_some(), "{nodes}");
-        // A portion is whole only for who has been looked at among a majority for long.
+        let (mut net, settle_time) = start_settled_fleet(8, nodes, 0.0);
+        assert!(settle_time.is_some(), "{nodes}");
+        // A node has its whole share only after its share was updated in a majority for long enough.
         for _ in 0..20 {
             net.run(Micros(SECOND));
             net.shares(nodes as u32);
--- a/crates/fleet/tests/search.rs
+++ b/crates/fleet/tests/search.rs
@@ -1,27 +1,29 @@
-//! What the search finds: nothing in the view as it is, and each fault that is put in.
+//! The state-space search finds no violation in the view, and finds each injected fault.
 
-use yarrowfront_fleet::search::{orders, walk, Sabotage, SABOTAGES};
+use yarrowfront_fleet::search::{random_walk, search_exhaustively, InjectedFault, INJECTED_FAULTS};
 
-/// All orders to a small depth, and drawn walks beyond it: no promise is broken. Deeper by `yarrowfront-fleet search`.
+/// No invariant is violated in all orders of transitions up to a small depth, and in random walks beyond it.
+/// `yarrowfront-fleet search` goes deeper.
 #[test]
-fn promises_hold() {
+fn invariants_hold() {
     for (nodes, depth) in [(2, 6), (3, 4)] {
-        let looked = orders(nodes, depth, Sabotage::None).unwrap_or_else(|broken| panic!("{broken:?}"));
-        assert!(looked.states > 300, "{nodes}: {looked:?}");
+        let stats = search_exhaustively(nodes, depth, InjectedFault::None)
+            .unwrap_or_else(|violation| panic!("{violation:?}"));
+        assert!(stats.states > 300, "{nodes}: {stats:?}");
     }
     for seed in 0..60 {
         let nodes = 2 + seed as usize % 4;
-        walk(nodes, 2500, seed, Sabotage::None)
-            .unwrap_or_else(|broken| panic!("seed {seed}: {}", broken.promise));
+        random_walk(nodes, 2500, seed, InjectedFault::None)
+            .unwrap_or_else(|violation| panic!("seed {seed}: {}", violation.description));
     }
 }
 
-/// Each seeded fault breaks a promise in one of a few walks.
+/// Each injected fault violates an invariant in one of a few walks.
 #[test]
-fn seeded_faults_are_found() {
-    for sabotage in SABOTAGES {
-        // A portion grows only where two of five are missing: fewer leave nothing to share but halves of one.
-        let found = (0..60).find(|seed| walk(5, 6000, *seed, sabotage).is_err());
-        assert!(found.is_some(), "{sabotage:?} is not found");
+fn injected_faults_are_found() {
+    for fault in INJECTED_FAULTS {
+        // A share grows only if two of five nodes are missing: with fewer nodes nothing but half shares is left to divide.
+        let found = (0..60).find(|seed| random_walk(5, 6000, *seed, fault).is_err());
+        assert!(found.is_some(), "{fault:?} is not found");
     }
 }
--- a/crates/rollout-run/src/admin_client.rs
+++ b/crates/rollout-run/src/admin_client.rs
@@ -7,7 +7,7 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::time::Duration;
-use yarrowfront_fleet::http::{asked, call};
+use yarrowfront_fleet::http::{call, call_expecting_ok};
 
 /// The timeout of a poll, which must not wait for a stopped node.
 pub const POLL_TIMEOUT: Duration = Duration::from_millis(900);
@@ -39,8 +39,8 @@
 
 /// The preference between two processes of one node: the greater one wins. A serving process comes first, and of two
 /// serving ones the later.
-pub fn rank(told: &PollOutcome) -> (u64, u64) {
-    match told {
+pub fn rank(poll: &PollOutcome) -> (u64, u64) {
+    match poll {
         PollOutcome::Report(report) => (2 + u64::from(report.is_serving()), report.generation),
         PollOutcome::Silent => (1, 0),
         PollOutcome::Gone => (0, 0),
@@ -49,7 +49,7 @@
 
 /// The settings that a node uses.
 pub fn settings(at: SocketAddr) -> Result<Value, String> {
-    let body = asked(at, "GET", "/settings", "", ORDER_TIMEOUT)?;
+    let body = call_expecting_ok(at, "GET", "/settings", "", ORDER_TIMEOUT)?;
     serde_json::from_str(&body).map_err(|e| e.to_string())
 }
 
@@ -74,7 +74,8 @@
 /// The digest that these settings have at a node, or why the node would reject them.
 pub fn validate_settings(at: SocketAddr, settings: &Value) -> Result<String, String> {
     let word = json!({"what": "weigh", "settings": settings});
-    asked(at, "PUT", "/rollout", &word.to_string(), ORDER_TIMEOUT).map(|digest| digest.trim().to_owned())
+    call_expecting_ok(at, "PUT", "/rollout", &word.to_string(), ORDER_TIMEOUT)
+        .map(|digest| digest.trim().to_owned())
 }
 
 /// A change of settings: the former and the new ones with their digests, and the lease of a trial.
--- a/crates/rollout-run/src/bin/tested.rs
+++ b/crates/rollout-run/src/bin/tested.rs
@@ -1,12 +1,13 @@
-//! The node with one fault of a new build, for the tests of rolling changes: `ROUTER_FAULT`. Without it, the node.
+//! The node with one fault of a new build, selected by `ROUTER_FAULT`, for the tests of rolling changes. Without the variable
+//! it is the ordinary node.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// Every tenth of a second so much more, for good.
-const LEAK: usize = 6 << 20;
+/// The memory leaked every 100 ms.
+const LEAK_BYTES: usize = 6 << 20;
 
 fn main() -> ExitCode {
     match std::env::var("ROUTER_FAULT").as_deref() {
@@ -18,10 +19,10 @@
             sleep(Duration::from_secs(1));
         },
         Ok("leaks") => drop(spawn(|| {
-            let mut held = Vec::new();
+            let mut leaked = Vec::new();
             loop {
                 sleep(Duration::from_millis(100));
-                held.push(vec![1u8; LEAK]);
+                leaked.push(vec![1u8; LEAK_BYTES]);
             }
         })),
         _ => {}
--- a/crates/rollout-run/src/report.rs
+++ b/crates/rollout-run/src/report.rs
@@ -3,7 +3,7 @@
 use rollout::journal::Record;
 use std::fmt::Write as _;
 use std::path::Path;
-use yarrowfront_fleet::plot::{lines, Line};
+use yarrowfront_fleet::plot::{plot_lines, Line};
 
 /// Plots the payoff lost by each strategy, in units of commands, over the size of the fleet. Both axes are logarithmic.
 pub fn plot_payoff_lost(path: &Path, lines_by_strategy: &[Line]) -> Result<(), String> {
@@ -13,7 +13,7 @@
         .map(|(name, points)| (name.clone(), points.iter().map(decades).collect()))
         .collect();
     let label = |decades: &f64| format!("{:.0}", 10f64.powf(*decades));
-    lines(
+    plot_lines(
         path,
         "payoff lost to a change that costs 2 points, by number of nodes",
         &lines_by_strategy,
@@ -152,12 +152,12 @@
         let points = samples.iter().filter_map(|f| Some((f.at - start, of(f)? * 100.0)));
         (name.to_owned(), points.collect())
     };
-    let plot_lines = [
+    let plotted = [
         line("changed minus unchanged", &|f| Some(f.mean)),
         line("upper band", &|f| Some(f.mean + f.half_width?)),
         line("lower band", &|f| Some(f.mean - f.half_width?)),
         line("margin", &|f| Some(f.margin)),
     ];
     let label = |value: &f64| format!("{value:.1}");
-    lines(path, &format!("{title}: points, by seconds"), &plot_lines, label, label)
+    plot_lines(path, &format!("{title}: points, by seconds"), &plotted, label, label)
 }
--- a/crates/rollout-run/src/run.rs
+++ b/crates/rollout-run/src/run.rs
@@ -238,7 +238,7 @@
                 "{} does not answer as a node with rolling changes enabled at {at}",
                 node.name
             )),
-            PollOutcome::Gone => obstacles.push(format!("{}: nobody listens at {at}", node.name)),
+            PollOutcome::Gone => obstacles.push(format!("{}: connection refused at {at}", node.name)),
         }
     }
     match &plan.change {
@@ -292,7 +292,7 @@
                         .filter(|report| report.protocol_versions != versions)
                     {
                         obstacles.push(format!(
-                            "{} speaks other words than the new program: {}",
+                            "{} speaks other protocol versions than the new program: {}",
                             report.name, report.protocol_versions
                         ));
                     }
--- a/crates/rollout-run/tests/processes.rs
+++ b/crates/rollout-run/tests/processes.rs
@@ -1,5 +1,5 @@
-//! Rolling changes of several processes of the node, led by a process of the controller, with load, backends, and faults
-//! between them and on them.
+//! Rolling changes of several node processes by a controller process, with load, backends, and faults of links and
+//! processes.
 
 #[allow(dead_code)]
 #[path = "../../node/tests/world/mod.rs"]
@@ -30,7 +30,7 @@
     nodes: Vec<Process>,
     links: Links,
     launches: Launches,
-    worse: WorseAt,
+    faults: FaultByNode,
     settings: Value,
     folder: PathBuf,
     controllers: Vec<Child>,
@@ -42,10 +42,10 @@
         for controller in &mut self.controllers {
             let _ = (controller.kill(), controller.wait());
         }
-        // Those that a controller has started too: each tells its own number.
+        // Processes that a controller has started are killed by the process id that they report.
         for node in &mut self.nodes {
             for at in node.admins {
-                if let Some(pid) = told(at).and_then(|told| told["pid"].as_u64()) {
+                if let Some(pid) = poll_node(at).and_then(|report| report["pid"].as_u64()) {
                     if node.child.as_ref().is_none_or(|child| u64::from(child.id()) != pid) {
                         let _ = Command::new("kill").args(["-KILL", &pid.to_string()]).status();
                     }
@@ -64,35 +64,36 @@
     }
 }
 
-fn told(at: SocketAddr) -> Option<Value> {
+fn poll_node(at: SocketAddr) -> Option<Value> {
     let mut stream = TcpStream::connect_timeout(&at, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(1))).ok()?;
     stream.write_all(b"GET /counts/9000000000 HTTP/1.1\r\nHost: n\r\n\r\n").ok()?;
     serde_json::from_slice(&read_message(&mut stream)?.body).ok()
 }
 
-/// What backends do to commands that come by a node whose build is worse.
+/// A fault of a worse build, simulated by what backends do to the commands of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Worse {
-    /// Every fourth comes back with an error.
+enum BuildFault {
+    /// Every fourth command ends in an error.
     Errors,
-    /// All are late.
-    Slows,
-    /// Those of one profile come back with an error, or find all full.
+    /// All commands are late.
+    IsSlow,
+    /// The commands of one profile end in an error.
     OneProfile,
-    TurnsBack,
+    /// The commands of one profile are rejected by all backends.
+    Rejects,
 }
 
-/// By the node that a command comes by: its clients say which that is.
-type WorseAt = Arc<Mutex<Vec<Option<Worse>>>>;
+/// The fault of each node. Clients name the node of a command in the header `X-By`.
+type FaultByNode = Arc<Mutex<Vec<Option<BuildFault>>>>;
 
-/// A backend that does what is said of the node that a launch comes by.
-fn knowing(own: &str, number: usize, launches: &Launches, worse: &WorseAt) -> Value {
+/// Starts a backend that applies the fault of the node from which a launch comes.
+fn start_backend(own: &str, number: usize, launches: &Launches, faults: &FaultByNode) -> Value {
     let (listener, address) = bind_listener(own);
-    let (launches, worse) = (launches.clone(), worse.clone());
+    let (launches, faults) = (launches.clone(), faults.clone());
     spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let (launches, worse) = (launches.clone(), worse.clone());
+            let (launches, faults) = (launches.clone(), faults.clone());
             spawn(move || {
                 let _ = stream.set_nodelay(true);
                 while let Some(message) = read_message(&mut stream) {
@@ -104,27 +105,29 @@
                     }
                     let node =
                         message.header("x-by").and_then(|node| node.parse::<usize>().ok()).unwrap_or(0);
-                    let pay = message.header("x-service-class") == Some("pay");
-                    let said = worse.lock().expect("faults")[node];
+                    let is_pay = message.header("x-service-class") == Some("pay");
+                    let fault = faults.lock().expect("faults")[node];
                     let count = {
                         let mut all = launches.lock().expect("launches");
-                        // What is turned back unseen has not run.
-                        if said != Some(Worse::TurnsBack) || !pay {
+                        // A launch that is rejected unprocessed has not run.
+                        if fault != Some(BuildFault::Rejects) || !is_pay {
                             all.push((number, message));
                         }
                         all.len()
                     };
-                    let done = match said {
-                        Some(Worse::Errors) if count.is_multiple_of(4) => BackendAction::Status(500, ""),
-                        Some(Worse::OneProfile) if pay => BackendAction::Status(500, ""),
-                        Some(Worse::TurnsBack) if pay => BackendAction::Status(503, "X-Unprocessed: 1\r\n"),
-                        Some(Worse::Slows) => {
+                    let action = match fault {
+                        Some(BuildFault::Errors) if count.is_multiple_of(4) => BackendAction::Status(500, ""),
+                        Some(BuildFault::OneProfile) if is_pay => BackendAction::Status(500, ""),
+                        Some(BuildFault::Rejects) if is_pay => {
+                            BackendAction::Status(503, "X-Unprocessed: 1\r\n")
+                        }
+                        Some(BuildFault::IsSlow) => {
                             sleep(Duration::from_millis(260));
                             BackendAction::Succeed
                         }
                         _ => BackendAction::Succeed,
                     };
-                    if !respond(done, &mut stream) {
+                    if !respond(action, &mut stream) {
                         break;
                     }
                 }
@@ -137,33 +140,34 @@
     })
 }
 
-/// Clients at nodes, each on a connection that it keeps while it can.
+/// Clients of nodes, each of which reuses its connection while possible.
 struct Load {
     clients: Vec<JoinHandle<Vec<u16>>>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Fleet {
-    /// So many nodes in two sites by turns, each with a way of its own to each of four backends.
+    /// Starts nodes that alternate between two sites. Each has a relay of its own to each of four backends.
     fn new(count: usize) -> Fleet {
         let own = unique_loopback_address();
         let host: IpAddr = unique_loopback_address().parse().expect("an address");
         let launches = Launches::default();
-        let worse: WorseAt = Arc::new(Mutex::new(vec![None; count]));
-        let backends: Vec<Value> = (0..4).map(|number| knowing(&own, number, &launches, &worse)).collect();
+        let faults: FaultByNode = Arc::new(Mutex::new(vec![None; count]));
+        let backends: Vec<Value> =
+            (0..4).map(|number| start_backend(&own, number, &launches, &faults)).collect();
         let (list, discovery, _) = start_discovery(&own);
         let links = Links::new(5);
-        let places: Vec<[SocketAddr; 3]> = {
+        let addresses: Vec<[SocketAddr; 3]> = {
             let _alone = lock_process_start();
-            let held: Vec<_> =
+            let listeners: Vec<_> =
                 (0..count).map(|_| [bind_listener(&own), bind_listener(&own), bind_listener(&own)]).collect();
-            held.iter().map(|places| places.each_ref().map(|(_, at)| *at)).collect()
+            listeners.iter().map(|addresses| addresses.each_ref().map(|(_, at)| *at)).collect()
         };
         let mut common = default_settings();
         common["zones"] = json!(["here", "there"]);
         common["balancers"] = count.into();
         let mut nodes = Vec::new();
-        for (node, [listen, admin, other]) in places.into_iter().enumerate() {
+        for (node, [listen, admin, other]) in addresses.into_iter().enumerate() {
             let folder = std::env::temp_dir().join(format!("yarrowfront-test-{own}-n{node}"));
             std::fs::create_dir_all(&folder).expect("a folder");
             let term = folder.join("term");
@@ -172,8 +176,8 @@
             let entry = |backend: &Value| {
                 let (mut entry, to) = (backend.clone(), backend["name"].as_str().expect("a name"));
                 let at = backend["address"].as_str().and_then(|at| at.parse().ok()).expect("an address");
-                let way = links.open_tcp(&format!("n{node}"), to, at, host).expect("a way");
-                entry["address"] = way.to_string().into();
+                let relay = links.open_tcp(&format!("n{node}"), to, at, host).expect("a way");
+                entry["address"] = relay.to_string().into();
                 entry
             };
             let entries: Vec<Value> = backends.iter().map(entry).collect();
@@ -194,7 +198,7 @@
         std::fs::create_dir_all(&folder).expect("a folder");
         let controllers = Vec::new();
         let mut fleet =
-            Fleet { nodes, links, launches, worse, settings: common, folder, controllers, _list: list };
+            Fleet { nodes, links, launches, faults, settings: common, folder, controllers, _list: list };
         (0..count).for_each(|node| fleet.start(node));
         fleet.nodes.iter().for_each(|node| wait_until_ready(node.admins[0]));
         fleet
@@ -204,7 +208,7 @@
         let process = &mut self.nodes[node];
         let label = [("ROUTER_BUILD", "one")];
         let mut child = start_node_in(&process.folder, &process.folder.join("config.json"), &label);
-        // Nobody reads its log here: it must not wait for that.
+        // The log is drained, so that the node does not block on a full pipe.
         let mut log = child.stderr.take().expect("a log");
         spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
         process.child = Some(child);
@@ -215,7 +219,7 @@
         let _ = (child.kill(), child.wait());
     }
 
-    /// A plan in the fleet's folder: what is changed, and what else it says.
+    /// Writes a plan with this change and further text.
     fn plan(&self, name: &str, change: &str, more: &str) -> PathBuf {
         let folder = self.folder.join(name);
         let mut text = format!(
@@ -223,7 +227,7 @@
              [margins]\npayoff = 0.05\nprofile = 0.1\nerrored = 0.05\nturned_back = 0.05\nextra = 0.2\nslow = 0.4\nmemory_mb = 40\n\
              [odds]\npass = 0.2\n",
             folder.display(),
-            if more.is_empty() { SOON } else { more },
+            if more.is_empty() { SHORT_TIMES } else { more },
         );
         for (node, process) in self.nodes.iter().enumerate() {
             let (site, [admin, other]) = (["here", "there"][node % 2], process.admins);
@@ -235,7 +239,7 @@
         path
     }
 
-    /// A plan for settings that are these but for a change.
+    /// Writes a plan that changes the fleet's settings.
     fn settings_plan(&self, name: &str, more: &str, change: impl Fn(&mut Value)) -> PathBuf {
         let mut settings = self.settings.clone();
         change(&mut settings);
@@ -244,7 +248,7 @@
         self.plan(name, &format!("[change]\nsettings = {:?}", file.display().to_string()), more)
     }
 
-    fn controller(&mut self, plan: &PathBuf, more: &[&str]) -> usize {
+    fn start_controller(&mut self, plan: &PathBuf, more: &[&str]) -> usize {
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
@@ -260,8 +264,8 @@
         self.controllers.len() - 1
     }
 
-    /// How a controller ended: 0 with the new, 2 with the former everywhere, 3 by an error.
-    fn ended(&mut self, controller: usize, seconds: u64) -> Option<i32> {
+    /// Waits for the exit code of a controller: 0 if all nodes have the new version, 2 for the former one, 3 for an error.
+    fn wait_for_exit(&mut self, controller: usize, seconds: u64) -> Option<i32> {
         let start = Instant::now();
         while start.elapsed() < Duration::from_secs(seconds) {
             if let Some(status) = self.controllers[controller].try_wait().expect("a process") {
@@ -269,40 +273,42 @@
             }
             sleep(Duration::from_millis(50));
         }
-        panic!("the controller goes on after {seconds} s: {}", self.log());
+        panic!("the controller is still running after {seconds} s: {}", self.log());
     }
 
     fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    fn told(&self, node: usize) -> Option<Value> {
-        let both = self.nodes[node].admins.iter().filter_map(|at| told(*at));
-        both.max_by_key(|told| (told["state"] == "serving", told["life"].as_u64()))
+    fn report(&self, node: usize) -> Option<Value> {
+        let both = self.nodes[node].admins.iter().filter_map(|at| poll_node(*at));
+        both.max_by_key(|report| (report["state"] == "serving", report["life"].as_u64()))
     }
 
-    /// What the nodes go by, and whether any of it is on trial.
+    /// The versions that the nodes report, and whether any node is on trial.
     fn versions(&self, key: &str) -> (BTreeSet<String>, bool) {
-        let all: Vec<Value> = (0..self.nodes.len()).filter_map(|node| self.told(node)).collect();
-        let versions = all.iter().filter_map(|told| told[key].as_str()).map(str::to_owned).collect();
-        (versions, all.iter().any(|told| !told["trial"].is_null()))
+        let all: Vec<Value> = (0..self.nodes.len()).filter_map(|node| self.report(node)).collect();
+        let versions = all.iter().filter_map(|report| report[key].as_str()).map(str::to_owned).collect();
+        (versions, all.iter().any(|report| !report["trial"].is_null()))
     }
 
-    /// Nodes on which something is on trial.
-    fn tried(&self) -> Vec<usize> {
-        let tried = |node: &usize| self.told(*node).is_some_and(|told| !told["trial"].is_null());
-        (0..self.nodes.len()).filter(tried).collect()
+    /// The nodes that are on trial.
+    fn nodes_on_trial(&self) -> Vec<usize> {
+        let changed_nodes =
+            |node: &usize| self.report(*node).is_some_and(|report| !report["trial"].is_null());
+        (0..self.nodes.len()).filter(changed_nodes).collect()
     }
 
-    /// Several commands at a time at each of these, each client with some pause between two.
+    /// Starts two clients for each of these nodes, with a pause between their commands.
     fn load(&self, nodes: &[usize], pause_ms: u64) -> Load {
-        let over = Arc::new(AtomicBool::new(false));
-        let client = |node: usize, over: Arc<AtomicBool>| {
+        let stopped = Arc::new(AtomicBool::new(false));
+        let client = |node: usize, stopped: Arc<AtomicBool>| {
             let (listen, by) = (self.nodes[node].listen, format!("X-By: {node}\r\n"));
             spawn(move || {
-                let (mut answers, mut kept, mut count) = (Vec::new(), None, 0u32);
-                while !over.load(SeqCst) {
-                    let stream: Option<TcpStream> = kept.take().or_else(|| TcpStream::connect(listen).ok());
+                let (mut answers, mut connection, mut count) = (Vec::new(), None, 0u32);
+                while !stopped.load(SeqCst) {
+                    let stream: Option<TcpStream> =
+                        connection.take().or_else(|| TcpStream::connect(listen).ok());
                     let Some(mut stream) = stream else {
                         answers.push(0);
                         sleep(Duration::from_millis(20));
@@ -316,9 +322,9 @@
                     match reply {
                         Some(reply) => {
                             answers.push(reply.status());
-                            kept = (reply.header("connection") != Some("close")).then_some(stream);
+                            connection = (reply.header("connection") != Some("close")).then_some(stream);
                         }
-                        // An idle connection that ends as a command is sent: the client asks again on another.
+                        // An idle connection that closes while a command is sent: the client retries on another one.
                         None if answers.last() != Some(&0) => answers.push(0),
                         None => answers.push(1),
                     }
@@ -328,17 +334,17 @@
             })
         };
         let clients = nodes.iter().flat_map(|node| [*node; 2]);
-        Load { clients: clients.map(|node| client(node, over.clone())).collect(), over }
+        Load { clients: clients.map(|node| client(node, stopped.clone())).collect(), stopped }
     }
 
-    /// So many of a hundred commands were answered well, and none that may run once has run twice.
-    fn served(&self, load: Load, least: f64) {
-        load.over.store(true, SeqCst);
+    /// Checks the percentage of successful commands, and that no command that may run only once has run twice.
+    fn assert_served(&self, load: Load, min_percent: f64) {
+        load.stopped.store(true, SeqCst);
         let answers: Vec<u16> = load.clients.into_iter().flat_map(|c| c.join().expect("a client")).collect();
         let good = answers.iter().filter(|status| **status == 200).count() as f64;
         let all = answers.len() as f64;
-        let kinds: BTreeSet<&u16> = answers.iter().collect();
-        assert!(all > 100.0 && good / all * 100.0 >= least, "{good} of {all}: {kinds:?}");
+        let statuses: BTreeSet<&u16> = answers.iter().collect();
+        assert!(all > 100.0 && good / all * 100.0 >= min_percent, "{good} of {all}: {statuses:?}");
         let mut launched: HashMap<String, usize> = HashMap::new();
         for (_, launch) in self.launches.lock().expect("launches").iter() {
             if launch.header("x-service-class") == Some("pay") {
@@ -351,20 +357,20 @@
     }
 }
 
-/// Times of a plan that is through soon.
-const SOON: &str = "stages = [\"1 node\", \"1 of each site\", \"100%\"]\nmost_out = 2\n\
+/// Stages and times of a plan that completes soon.
+const SHORT_TIMES: &str = "stages = [\"1 node\", \"1 of each site\", \"100%\"]\nmost_out = 2\n\
     [seconds]\nsettle = 1.0\nwatch = 2.0\nlongest = 40.0\nword = 4.0\nsilent = 2.5\ncommand = 8.0\n";
 
-/// The same of two nodes, by time alone.
-const PAIR: &str = "stages = [\"1 node\", \"100%\"]\nmost_out = 2\n\
+/// The same for two nodes, without a time to settle.
+const TWO_NODE_TIMES: &str = "stages = [\"1 node\", \"100%\"]\nmost_out = 2\n\
     [seconds]\nsettle = 0.0\nwatch = 1.0\nlongest = 30.0\nword = 2.0\nsilent = 2.0\ncommand = 5.0\n";
 
-/// Another payoff, which makes no difference to anybody.
+/// Changes a payoff, which makes no difference to the service.
 fn harmless(settings: &mut Value) {
     settings["profiles"][0]["payoff"] = 1.5.into();
 }
 
-const SLOW: Impairment = Impairment {
+const SLOW_LINK: Impairment = Impairment {
     blocked: false,
     resets_connections: false,
     loss_percent: 0,
@@ -375,105 +381,105 @@
     bytes_per_second: 0,
 };
 
-/// Settings that make no difference come to hold at all six nodes, in their files too; while they are under way no other
-/// controller has a say; clients notice nothing.
+/// Harmless settings are confirmed at all six nodes, also in their files. Meanwhile no other controller can act, and
+/// clients notice nothing.
 #[test]
-fn a_change_without_a_difference() {
+fn harmless_settings_are_confirmed_everywhere() {
     let mut fleet = Fleet::new(6);
     let load = fleet.load(&[0, 1, 2, 3, 4, 5], 8);
     let (before, _) = fleet.versions("settings");
     let plan = fleet.settings_plan("good", "", harmless);
-    let first = fleet.controller(&plan, &[]);
-    wait_until("something is on trial", || !fleet.tried().is_empty());
-    let same = fleet.controller(&plan, &[]);
-    assert_eq!(fleet.ended(same, 10), Some(3), "one controller for a plan");
+    let first = fleet.start_controller(&plan, &[]);
+    wait_until("something is on trial", || !fleet.nodes_on_trial().is_empty());
+    let same = fleet.start_controller(&plan, &[]);
+    assert_eq!(fleet.wait_for_exit(same, 10), Some(3), "only one controller may run a plan");
     let other = fleet.settings_plan("other", "", |settings| settings["profiles"][1]["payoff"] = 2.0.into());
-    let other = fleet.controller(&other, &[]);
-    assert_eq!(fleet.ended(other, 10), Some(3), "another's change is on trial");
-    // A burst in mid-stage is everybody's.
+    let other = fleet.start_controller(&other, &[]);
+    assert_eq!(fleet.wait_for_exit(other, 10), Some(3), "the change of another controller is on trial");
+    // A burst of load during a stage affects changed and unchanged nodes alike.
     let burst = fleet.load(&[0, 1, 2, 3], 1);
     sleep(Duration::from_secs(3));
-    fleet.served(burst, 95.0);
-    assert_eq!(fleet.ended(first, 100), Some(0), "{}", fleet.log());
+    fleet.assert_served(burst, 95.0);
+    assert_eq!(fleet.wait_for_exit(first, 100), Some(0), "{}", fleet.log());
     let (after, on_trial) = fleet.versions("settings");
     assert!(after.len() == 1 && after != before && !on_trial, "{before:?} {after:?} {on_trial}");
-    for (place, node) in fleet.nodes.iter().enumerate() {
+    for (index, node) in fleet.nodes.iter().enumerate() {
         let file = std::fs::read(node.folder.join("config.json")).expect("a file");
         let file: Value = serde_json::from_slice(&file).expect("JSON");
         assert_eq!(file["settings"]["profiles"][0]["payoff"], 1.5);
-        assert_eq!((&file["settings"]["me"], &file["settings"]["zone"]), (&json!(place), &json!(place % 2)));
+        assert_eq!((&file["settings"]["me"], &file["settings"]["zone"]), (&json!(index), &json!(index % 2)));
     }
     let page = std::fs::read_to_string(fleet.folder.join("good/report.md")).expect("a page");
     assert!(
         page.contains("DONE") && page.contains("payoff lost") && page.contains("measure-0.svg"),
         "{page}"
     );
-    fleet.served(load, 99.0);
+    fleet.assert_served(load, 99.0);
 }
 
-/// A changed node whose ways to all backends are slow from then on, as a worse build's are: it is stopped in the first
-/// stage, with no other node changed, and all go by the former again. With the verdict not listened to it goes through.
+/// The links of a changed node to all backends become slow, as with worse settings. The change is stopped in the first
+/// stage, with no other node changed, and all nodes return to the former settings. With the verdict ignored it passes.
 #[test]
-fn a_change_that_does_worse() {
+fn worse_settings_are_rolled_back_in_the_first_stage() {
     let mut fleet = Fleet::new(4);
     let (before, _) = fleet.versions("settings");
-    for deaf in [false, true] {
+    for ignore_verdict in [false, true] {
         let (harmed, others) = (fleet.load(&[0], 8), fleet.load(&[1, 2, 3], 8));
-        let name = if deaf { "deaf" } else { "heard" };
+        let name = if ignore_verdict { "unjudged" } else { "judged" };
         let plan = fleet.settings_plan(name, "", harmless);
-        let controller = fleet.controller(&plan, if deaf { &["--deaf"] } else { &[] });
+        let controller = fleet.start_controller(&plan, if ignore_verdict { &["--deaf"] } else { &[] });
         let start = Instant::now();
-        let mut tried = BTreeSet::new();
+        let mut changed_nodes = BTreeSet::new();
         while fleet.controllers[controller].try_wait().expect("a process").is_none() {
             assert!(start.elapsed() < Duration::from_secs(90), "{}", fleet.log());
-            let now = fleet.tried();
+            let now = fleet.nodes_on_trial();
             for node in 0..4 {
-                let law = if now.contains(&node) { SLOW } else { Impairment::default() };
+                let law = if now.contains(&node) { SLOW_LINK } else { Impairment::default() };
                 (0..4).for_each(|b| fleet.links.set_impairment(&format!("b{b}"), &format!("n{node}"), law));
             }
-            tried.extend(now);
+            changed_nodes.extend(now);
             sleep(Duration::from_millis(100));
         }
         fleet.links.heal();
-        fleet.served(harmed, 0.0);
+        fleet.assert_served(harmed, 0.0);
         let code = fleet.controllers[controller].wait().expect("an end").code();
         let (after, on_trial) = fleet.versions("settings");
         assert!(after.len() == 1 && !on_trial, "{after:?}");
-        if deaf {
-            assert_eq!((code, tried.len()), (Some(0), 4), "{}", fleet.log());
+        if ignore_verdict {
+            assert_eq!((code, changed_nodes.len()), (Some(0), 4), "{}", fleet.log());
             assert_ne!(after, before);
-            fleet.served(others, 0.0);
+            fleet.assert_served(others, 0.0);
         } else {
-            assert_eq!((code, tried), (Some(2), BTreeSet::from([0])), "{}", fleet.log());
+            assert_eq!((code, changed_nodes), (Some(2), BTreeSet::from([0])), "{}", fleet.log());
             assert_eq!(after, before);
-            let page = std::fs::read_to_string(fleet.folder.join("heard/report.md")).expect("a page");
+            let page = std::fs::read_to_string(fleet.folder.join("judged/report.md")).expect("a page");
             assert!(page.contains("GOES BACK"), "{page}");
-            // It dips no deeper than the stage's share: whoever calls at the other nodes notices nothing.
-            fleet.served(others, 99.0);
+            // Clients of the other nodes notice nothing.
+            fleet.assert_served(others, 99.0);
         }
     }
 }
 
-/// Killed at any record that it writes, whole or torn, a controller goes on when it is started again, and all nodes end
-/// with one version that holds.
+/// A controller that is killed at any record of the journal, whole or truncated, continues when it is started again, and
+/// all nodes end with one confirmed version.
 #[test]
-fn killed_at_every_record() {
+fn controller_killed_at_any_record_continues() {
     let at = |number: u64| {
         let mut fleet = Fleet::new(2);
-        let plan = fleet.settings_plan("killed", PAIR, harmless);
+        let plan = fleet.settings_plan("killed", TWO_NODE_TIMES, harmless);
         let (before, _) = fleet.versions("settings");
         let number_text = number.to_string();
         let mut arguments = vec!["--deaf", "--end-at", &number_text];
         arguments.extend(number.is_multiple_of(2).then_some("--torn"));
-        let first = fleet.controller(&plan, &arguments);
-        let code = fleet.ended(first, 60);
-        // Past the last record it is not killed at all.
+        let first = fleet.start_controller(&plan, &arguments);
+        let code = fleet.wait_for_exit(first, 60);
+        // After the last record the controller is not killed at all.
         if code == Some(0) {
             return false;
         }
-        assert_eq!(code, None, "it has been killed");
-        let second = fleet.controller(&plan, &["--deaf"]);
-        let code = fleet.ended(second, 60);
+        assert_eq!(code, None, "the controller must have been killed");
+        let second = fleet.start_controller(&plan, &["--deaf"]);
+        let code = fleet.wait_for_exit(second, 60);
         let (after, on_trial) = fleet.versions("settings");
         assert!(
             code == Some(0) && after.len() == 1 && !on_trial,
@@ -494,43 +500,43 @@
             break;
         }
     }
-    assert!(killed >= 12, "only {killed} records");
+    assert!(killed >= 12, "only {killed} records were reached");
 }
 
-/// A controller that is stopped in mid-stage says nothing more: nodes go back by themselves. Another takes over and is
-/// through; the first, when it goes on, is told that it leads no longer.
+/// When a controller is stopped during a stage its trials expire and the nodes revert by themselves. A second controller
+/// takes over and completes its change; the first one ends with an error when it resumes.
 #[test]
-fn two_controllers() {
+fn second_controller_takes_over() {
     let mut fleet = Fleet::new(2);
     let (before, _) = fleet.versions("settings");
-    let plan = fleet.settings_plan("first", PAIR, harmless);
-    let first = fleet.controller(&plan, &["--deaf"]);
-    wait_until("something is on trial", || !fleet.tried().is_empty());
+    let plan = fleet.settings_plan("first", TWO_NODE_TIMES, harmless);
+    let first = fleet.start_controller(&plan, &["--deaf"]);
+    wait_until("something is on trial", || !fleet.nodes_on_trial().is_empty());
     send_signal(&fleet.controllers[first], "-STOP");
-    let other =
-        fleet.settings_plan("second", PAIR, |settings| settings["profiles"][0]["payoff"] = 7.0.into());
-    let second = fleet.controller(&other, &["--deaf"]);
-    assert_eq!(fleet.ended(second, 10), Some(3), "a change is on trial");
-    wait_until("they go back by themselves", || fleet.versions("settings") == (before.clone(), false));
-    let second = fleet.controller(&other, &["--deaf", "--take-over"]);
-    wait_until("the second's is on trial", || !fleet.tried().is_empty());
+    let other = fleet
+        .settings_plan("second", TWO_NODE_TIMES, |settings| settings["profiles"][0]["payoff"] = 7.0.into());
+    let second = fleet.start_controller(&other, &["--deaf"]);
+    assert_eq!(fleet.wait_for_exit(second, 10), Some(3), "a change is still on trial");
+    wait_until("the nodes revert by themselves", || fleet.versions("settings") == (before.clone(), false));
+    let second = fleet.start_controller(&other, &["--deaf", "--take-over"]);
+    wait_until("the second change is on trial", || !fleet.nodes_on_trial().is_empty());
     send_signal(&fleet.controllers[first], "-CONT");
-    assert_eq!(fleet.ended(first, 10), Some(3), "{}", fleet.log());
-    assert_eq!(fleet.ended(second, 60), Some(0), "{}", fleet.log());
+    assert_eq!(fleet.wait_for_exit(first, 10), Some(3), "{}", fleet.log());
+    assert_eq!(fleet.wait_for_exit(second, 60), Some(0), "{}", fleet.log());
     let file = std::fs::read(fleet.nodes[1].folder.join("config.json")).expect("a file");
     let file: Value = serde_json::from_slice(&file).expect("JSON");
     assert_eq!(file["settings"]["profiles"][0]["payoff"], 7.0);
 }
 
-/// A rule that is loosened is so only when all else holds everywhere: until then both versions keep to the stricter.
+/// A rule is loosened only after everything else is confirmed at all nodes. Until then both versions keep the stricter rule.
 #[test]
-fn a_rule_is_loosened_last() {
+fn loosened_rule_is_applied_last() {
     let mut fleet = Fleet::new(2);
-    let plan = fleet.settings_plan("loose", &format!("loosening = true\n{PAIR}"), |settings| {
+    let plan = fleet.settings_plan("loose", &format!("loosening = true\n{TWO_NODE_TIMES}"), |settings| {
         harmless(settings);
         settings["limits"]["mostLaunches"] = 6.into();
     });
-    let controller = fleet.controller(&plan, &["--deaf"]);
+    let controller = fleet.start_controller(&plan, &["--deaf"]);
     let settings = |node: &Process| -> Value {
         serde_json::from_slice(&call_admin(node.admins[0], "GET /settings").body).expect("JSON")
     };
@@ -541,7 +547,7 @@
         }
         sleep(Duration::from_millis(50));
     }
-    assert_eq!(fleet.ended(controller, 1), Some(0), "{}", fleet.log());
+    assert_eq!(fleet.wait_for_exit(controller, 1), Some(0), "{}", fleet.log());
     let has = |settings: &Value| {
         settings["limits"]["mostLaunches"] == 6 && settings["profiles"][0]["payoff"] == 1.5
     };
@@ -549,10 +555,10 @@
     assert!(fleet.log().contains("leg 1"), "{}", fleet.log());
 }
 
-/// What stands against a plan is found before anything is changed: a node that is not there, settings that are no settings, a
-/// rule that is loosened without a word.
+/// Obstacles are found before anything is changed: a node that is gone, invalid settings, a program with other protocol
+/// versions, and a loosened rule without the operator's consent.
 #[test]
-fn what_stands_against_a_plan() {
+fn obstacles_are_found_before_any_change() {
     let mut fleet = Fleet::new(2);
     let (before, _) = fleet.versions("settings");
     let loose = |settings: &mut Value| settings["limits"]["mostLaunches"] = 6.into();
@@ -561,12 +567,12 @@
     let cases: [(&str, Change, &str); 2] =
         [("loose", loose, "loosens a rule"), ("broken", broken, "mostLaunches")];
     for (name, change, why) in cases {
-        let plan = fleet.settings_plan(name, PAIR, change);
-        let controller = fleet.controller(&plan, &[]);
-        assert_eq!(fleet.ended(controller, 10), Some(3));
+        let plan = fleet.settings_plan(name, TWO_NODE_TIMES, change);
+        let controller = fleet.start_controller(&plan, &[]);
+        assert_eq!(fleet.wait_for_exit(controller, 10), Some(3));
         assert!(fleet.log().contains(why), "{name}: {}", fleet.log());
     }
-    let plan = fleet.program_plan("words", "", PAIR);
+    let plan = fleet.program_plan("words", "", TWO_NODE_TIMES);
     let text = std::fs::read_to_string(&plan).expect("a plan");
     let lines = text.lines().map(|line| {
         if line.starts_with("words = ") {
@@ -576,52 +582,56 @@
         }
     });
     std::fs::write(&plan, lines.collect::<Vec<_>>().join("\n")).expect("a plan");
-    let controller = fleet.controller(&plan, &[]);
-    assert_eq!(fleet.ended(controller, 10), Some(3));
-    assert!(fleet.log().contains("n0 speaks other words than the new program"), "{}", fleet.log());
-    let plan = fleet.settings_plan("gone", PAIR, harmless);
+    let controller = fleet.start_controller(&plan, &[]);
+    assert_eq!(fleet.wait_for_exit(controller, 10), Some(3));
+    assert!(
+        fleet.log().contains("n0 speaks other protocol versions than the new program"),
+        "{}",
+        fleet.log()
+    );
+    let plan = fleet.settings_plan("gone", TWO_NODE_TIMES, harmless);
     fleet.kill(1);
-    let controller = fleet.controller(&plan, &[]);
-    assert_eq!(fleet.ended(controller, 10), Some(3));
-    assert!(fleet.log().contains("n1: nobody listens"), "{}", fleet.log());
+    let controller = fleet.start_controller(&plan, &[]);
+    assert_eq!(fleet.wait_for_exit(controller, 10), Some(3));
+    assert!(fleet.log().contains("n1: connection refused at"), "{}", fleet.log());
     fleet.start(1);
     wait_until_ready(fleet.nodes[1].admins[0]);
     assert_eq!(fleet.versions("settings"), (before, false));
 }
 
-/// A node that does not answer holds it, and when it does it goes on; a changed node that dies takes it back at once, and
-/// starts with the former.
+/// A node that does not answer holds the change until it answers. A changed node that dies causes a rollback at once, and
+/// starts with the former settings.
 #[test]
-fn nodes_that_are_lost() {
+fn lost_nodes_hold_or_roll_back_the_change() {
     let mut fleet = Fleet::new(4);
     let load = fleet.load(&[0, 1], 10);
     let (before, _) = fleet.versions("settings");
     let plan = fleet.settings_plan("lost", "", harmless);
-    let controller = fleet.controller(&plan, &[]);
-    wait_until("the first is changed", || fleet.tried() == [0]);
+    let controller = fleet.start_controller(&plan, &[]);
+    wait_until("the first is changed", || fleet.nodes_on_trial() == [0]);
     send_signal(fleet.nodes[3].child.as_ref().expect("it runs"), "-STOP");
     wait_until("it holds", || fleet.log().contains("holds: missing: n3"));
     sleep(Duration::from_secs(3));
-    assert_eq!(fleet.tried(), [0], "nothing more is changed, and what is on trial is kept");
+    assert_eq!(fleet.nodes_on_trial(), [0], "nothing more may be changed, and the trial must be renewed");
     send_signal(fleet.nodes[3].child.as_ref().expect("it runs"), "-CONT");
     wait_until("it goes on", || fleet.log().contains("goes on"));
     let busiest = 0;
-    load.over.store(true, SeqCst);
+    load.stopped.store(true, SeqCst);
     fleet.kill(busiest);
-    assert_eq!(fleet.ended_with_start(controller, busiest), Some(2), "{}", fleet.log());
+    assert_eq!(fleet.wait_for_exit_with_restart(controller, busiest), Some(2), "{}", fleet.log());
     assert!(fleet.log().contains("n0 is gone after its change"), "{}", fleet.log());
     assert_eq!(fleet.versions("settings"), (before, false));
 }
 
 impl Fleet {
-    /// The same, where a node is started again meanwhile, as a supervisor does.
-    fn ended_with_start(&mut self, controller: usize, node: usize) -> Option<i32> {
+    /// As `wait_for_exit`, with a node restarted during the rollback, as a supervisor does.
+    fn wait_for_exit_with_restart(&mut self, controller: usize, node: usize) -> Option<i32> {
         wait_until("it goes back", || self.log().contains("GOES BACK"));
         self.start(node);
-        self.ended(controller, 30)
+        self.wait_for_exit(controller, 30)
     }
 
-    /// A plan for another program, with the variables that its start has beside a node's own.
+    /// Writes a plan for another program, whose start command sets further environment variables.
     fn program_plan(&self, name: &str, variables: &str, more: &str) -> PathBuf {
         let parent = self.nodes[0].folder.display().to_string();
         let parent = parent.strip_suffix("-n0").expect("a folder by name");
@@ -643,15 +653,15 @@
     }
 }
 
-/// While the ways of all nodes to half of the backends are broken all suffer alike: it is not the change, and when that is
-/// over the change is through.
+/// While the links of all nodes to three of four backends are broken all nodes do worse alike. The change is not blamed and
+/// completes after the outage.
 #[test]
-fn an_outage_in_mid_stage() {
+fn outage_during_a_stage_is_not_blamed_on_the_change() {
     let mut fleet = Fleet::new(4);
     let load = fleet.load(&[0, 1, 2, 3], 10);
     let plan = fleet.settings_plan("outage", "", harmless);
-    let controller = fleet.controller(&plan, &[]);
-    wait_until("the first is changed", || fleet.tried() == [0]);
+    let controller = fleet.start_controller(&plan, &[]);
+    wait_until("the first is changed", || fleet.nodes_on_trial() == [0]);
     sleep(Duration::from_secs(2));
     let broken = Impairment { resets_connections: true, ..Impairment::default() };
     for node in 0..4 {
@@ -661,50 +671,50 @@
     }
     sleep(Duration::from_secs(4));
     fleet.links.heal();
-    assert_eq!(fleet.ended(controller, 120), Some(0), "{}", fleet.log());
-    load.over.store(true, SeqCst);
+    assert_eq!(fleet.wait_for_exit(controller, 120), Some(0), "{}", fleet.log());
+    load.stopped.store(true, SeqCst);
 }
 
-/// Harm that shows in one site alone is found in the stage that reaches that site; the other site's node was no worse.
+/// Harm in one site only is found in the stage that reaches that site. The node of the other site was no worse.
 #[test]
-fn worse_in_one_site() {
+fn harm_in_one_site_is_found_there() {
     let mut fleet = Fleet::new(6);
     let load = fleet.load(&[0, 1, 2, 3, 4, 5], 12);
     let plan = fleet.settings_plan("site", "", harmless);
-    let controller = fleet.controller(&plan, &[]);
+    let controller = fleet.start_controller(&plan, &[]);
     let start = Instant::now();
-    let mut tried = BTreeSet::new();
+    let mut changed_nodes = BTreeSet::new();
     while fleet.controllers[controller].try_wait().expect("a process").is_none() {
         assert!(start.elapsed() < Duration::from_secs(120), "{}", fleet.log());
-        let now = fleet.tried();
+        let now = fleet.nodes_on_trial();
         for node in [1, 3, 5] {
-            let law = if now.contains(&node) { SLOW } else { Impairment::default() };
+            let law = if now.contains(&node) { SLOW_LINK } else { Impairment::default() };
             (0..4).for_each(|b| fleet.links.set_impairment(&format!("b{b}"), &format!("n{node}"), law));
         }
-        tried.extend(now);
+        changed_nodes.extend(now);
         sleep(Duration::from_millis(100));
     }
-    assert_eq!(fleet.ended(controller, 1), Some(2), "{}", fleet.log());
-    assert_eq!(tried, BTreeSet::from([0, 1]), "{}", fleet.log());
+    assert_eq!(fleet.wait_for_exit(controller, 1), Some(2), "{}", fleet.log());
+    assert_eq!(changed_nodes, BTreeSet::from([0, 1]), "{}", fleet.log());
     assert!(fleet.log().contains("stage 1 has passed by its figures"), "{}", fleet.log());
-    load.over.store(true, SeqCst);
+    load.stopped.store(true, SeqCst);
 }
 
-/// A node whose settings it would not take, where nobody has asked it before, and one that is stopped when all go back: the
-/// others go back at once, and that one by itself as soon as it can.
+/// A node is stopped when the rollback begins: the other nodes are reverted at once, and the stopped one when it runs again.
+/// With a node that has settings of its own a change holds and asks an operator.
 #[test]
-fn going_back_with_one_that_cannot() {
+fn rollback_completes_when_a_stopped_node_returns() {
     let mut fleet = Fleet::new(3);
     let (before, _) = fleet.versions("settings");
-    // The last node is of a site that the new settings do not have.
+    // The last node belongs to a site that the new settings do not contain.
     let file = fleet.nodes[2].folder.join("config.json");
     let mut config: Value = serde_json::from_slice(&std::fs::read(&file).expect("a file")).expect("JSON");
     config["settings"]["zones"] = json!(["here", "there", "elsewhere"]);
     config["settings"]["zone"] = 2.into();
     std::fs::write(&file, config.to_string()).expect("a file");
     let plan = fleet.settings_plan("cannot", "stages = [\"1 node\", \"2 nodes\", \"100%\"]\nmost_out = 1\n[seconds]\nsettle = 0.0\nwatch = 1.0\nlongest = 30.0\nword = 6.0\nsilent = 1.5\ncommand = 5.0\n", harmless);
-    let controller = fleet.controller(&plan, &["--deaf"]);
-    wait_until("two are changed", || fleet.tried() == [0, 1]);
+    let controller = fleet.start_controller(&plan, &["--deaf"]);
+    wait_until("two are changed", || fleet.nodes_on_trial() == [0, 1]);
     send_signal(fleet.nodes[1].child.as_ref().expect("it runs"), "-STOP");
     let order = Command::new(env!("CARGO_BIN_EXE_yarrowfront-rollout"))
         .arg("back")
@@ -712,86 +722,91 @@
         .output()
         .expect("an order");
     assert!(order.status.success(), "{order:?}");
-    wait_until("the first is back", || fleet.tried().is_empty());
-    assert!(fleet.controllers[controller].try_wait().expect("a process").is_none(), "one is not back yet");
+    wait_until("the first is back", || fleet.nodes_on_trial().is_empty());
+    assert!(
+        fleet.controllers[controller].try_wait().expect("a process").is_none(),
+        "one node is not reverted yet"
+    );
     send_signal(fleet.nodes[1].child.as_ref().expect("it runs"), "-CONT");
-    assert_eq!(fleet.ended(controller, 30), Some(2), "{}", fleet.log());
+    assert_eq!(fleet.wait_for_exit(controller, 30), Some(2), "{}", fleet.log());
     assert_eq!(fleet.versions("settings"), (before, false));
-    // Started again the last one goes by other settings than the rest, and is asked by nobody: it refuses.
+    // After its restart the last node has other settings than the rest, which `--take-over` does not check beforehand.
     fleet.kill(2);
     fleet.start(2);
     wait_until_ready(fleet.nodes[2].admins[0]);
-    let plan = fleet.settings_plan("refused", PAIR, harmless);
-    let controller = fleet.controller(&plan, &["--deaf", "--take-over"]);
+    let plan = fleet.settings_plan("refused", TWO_NODE_TIMES, harmless);
+    let controller = fleet.start_controller(&plan, &["--deaf", "--take-over"]);
     sleep(Duration::from_secs(3));
     let log = fleet.log();
     assert!(log.contains("HOLDS AND ASKS: n2 has neither the former nor the new"), "{log}");
-    assert_eq!(fleet.tried(), [0; 0], "nothing is changed while a node has something else");
+    assert_eq!(fleet.nodes_on_trial(), [0; 0], "nothing may be changed while a node has neither version");
     let _ = fleet.controllers[controller].kill();
 }
 
-/// Another program takes over at each of three nodes from the one before, and clients lose no command.
+/// Another program takes over at each of three nodes, and clients lose no commands.
 #[test]
-fn another_program() {
+fn program_is_replaced_without_losing_commands() {
     let mut fleet = Fleet::new(3);
     let load = fleet.load(&[0, 1, 2], 10);
     let plan = fleet.program_plan("program", "", "");
-    let controller = fleet.controller(&plan, &[]);
-    assert_eq!(fleet.ended(controller, 120), Some(0), "{}", fleet.log());
+    let controller = fleet.start_controller(&plan, &[]);
+    assert_eq!(fleet.wait_for_exit(controller, 120), Some(0), "{}", fleet.log());
     assert_eq!(fleet.versions("build"), (BTreeSet::from(["0.1.0+two".to_owned()]), false));
-    fleet.served(load, 98.0);
+    fleet.assert_served(load, 98.0);
 }
 
-/// Programs that serve, and worse: with errors, slow after some seconds, with errors or turn-backs for one profile alone.
-/// Each is stopped with no more than one node of each site changed, what may run once ran once, and the former serves everywhere.
+/// Programs that serve worse: with errors, slow after some seconds, or with errors or rejections for one profile only.
+/// Each is stopped with no more than one node of each site changed, no command that may run only once runs twice, and the
+/// former program serves everywhere.
 #[test]
-fn programs_that_do_worse() {
-    let play = |fault: Worse| {
+fn worse_programs_are_rolled_back() {
+    let run = |fault: BuildFault| {
         let mut fleet = Fleet::new(4);
         let load = fleet.load(&[0, 1, 2, 3], 12);
         let plan = fleet.program_plan(&format!("{fault:?}").to_lowercase(), "", "");
-        let controller = fleet.controller(&plan, &[]);
+        let controller = fleet.start_controller(&plan, &[]);
         let (start, mut since) = (Instant::now(), [None; 4]);
         while fleet.controllers[controller].try_wait().expect("a process").is_none() {
             assert!(start.elapsed() < Duration::from_secs(120), "{fault:?}: {}", fleet.log());
             for (node, since) in since.iter_mut().enumerate() {
-                let new = fleet.told(node).is_some_and(|told| told["build"] == "0.1.0+two");
+                let new = fleet.report(node).is_some_and(|report| report["build"] == "0.1.0+two");
                 *since = if new { since.or(Some(Instant::now())) } else { None };
-                let worse =
-                    since.is_some_and(|at| fault != Worse::Slows || at.elapsed() > Duration::from_secs(4));
-                fleet.worse.lock().expect("faults")[node] = worse.then_some(fault);
+                let faults = since
+                    .is_some_and(|at| fault != BuildFault::IsSlow || at.elapsed() > Duration::from_secs(4));
+                fleet.faults.lock().expect("faults")[node] = faults.then_some(fault);
             }
             sleep(Duration::from_millis(100));
         }
-        assert_eq!(fleet.ended(controller, 1), Some(2), "{fault:?}: {}", fleet.log());
+        assert_eq!(fleet.wait_for_exit(controller, 1), Some(2), "{fault:?}: {}", fleet.log());
         let log = fleet.log();
         assert!(log.contains("GOES BACK") && !log.contains("stage 2 has passed"), "{fault:?}: {log}");
         assert_eq!(fleet.versions("build"), (BTreeSet::from(["0.1.0+one".to_owned()]), false), "{fault:?}");
-        // The worst that a stage of two nodes of four can do.
-        fleet.served(load, 40.0);
+        // The worst case with two of four nodes changed.
+        fleet.assert_served(load, 40.0);
     };
     std::thread::scope(|scope| {
-        for fault in [Worse::Errors, Worse::Slows, Worse::OneProfile, Worse::TurnsBack] {
-            scope.spawn(move || play(fault));
+        for fault in [BuildFault::Errors, BuildFault::IsSlow, BuildFault::OneProfile, BuildFault::Rejects] {
+            scope.spawn(move || run(fault));
         }
     });
 }
 
-/// A program that ends at once, one that hangs before it is ready, and one that leaks: each is stopped in the first stage,
-/// and the former serves everywhere.
+/// A program that ends at once, one that hangs before it is ready, and one that leaks memory: each is stopped in the first
+/// stage, and the former program serves everywhere.
 #[test]
-fn programs_that_are_no_good() {
+fn broken_programs_are_stopped_in_the_first_stage() {
     for (fault, why) in
         [("ends", "ends at once"), ("hangs", "not ready within"), ("leaks", "memory has grown")]
     {
         let mut fleet = Fleet::new(2);
         let load = fleet.load(&[0, 1], 15);
-        let more = SOON.replace("command = 8.0", "command = 2.0").replace("watch = 2.0", "watch = 20.0");
+        let more =
+            SHORT_TIMES.replace("command = 8.0", "command = 2.0").replace("watch = 2.0", "watch = 20.0");
         let plan = fleet.program_plan(fault, &format!(", \"ROUTER_FAULT={fault}\""), &more);
-        let controller = fleet.controller(&plan, &[]);
-        assert_eq!(fleet.ended(controller, 60), Some(2), "{fault}: {}", fleet.log());
+        let controller = fleet.start_controller(&plan, &[]);
+        assert_eq!(fleet.wait_for_exit(controller, 60), Some(2), "{fault}: {}", fleet.log());
         assert!(fleet.log().contains(why), "{fault}: {}", fleet.log());
         assert_eq!(fleet.versions("build"), (BTreeSet::from(["0.1.0+one".to_owned()]), false), "{fault}");
-        fleet.served(load, 97.0);
+        fleet.assert_served(load, 97.0);
     }
 }
