--- a/crates/rollout-run/src/admin_client.rs
+++ b/crates/rollout-run/src/admin_client.rs
@@ -54,9 +54,9 @@
 }
 
 /// Sends an order of the leader to a node.
-fn put_order(at: SocketAddr, leader: &Leader, mut word: Value) -> ActionOutcome {
-    (word["term"], word["by"]) = (leader.term.into(), leader.name.clone().into());
-    match call(at, "PUT", "/rollout", &word.to_string(), ORDER_TIMEOUT) {
+fn put_order(at: SocketAddr, leader: &Leader, mut order: Value) -> ActionOutcome {
+    (order["term"], order["by"]) = (leader.term.into(), leader.name.clone().into());
+    match call(at, "PUT", "/rollout", &order.to_string(), ORDER_TIMEOUT) {
         Ok((200, _)) => ActionOutcome::Done,
         Ok((status @ (400 | 404 | 409 | 413 | 422 | 500), why)) => {
             ActionOutcome::Refused(format!("{status}: {}", why.trim()))
@@ -73,8 +73,8 @@
 
 /// The digest that these settings have at a node, or why the node would reject them.
 pub fn validate_settings(at: SocketAddr, settings: &Value) -> Result<String, String> {
-    let word = json!({"what": "weigh", "settings": settings});
-    call_expecting_ok(at, "PUT", "/rollout", &word.to_string(), ORDER_TIMEOUT)
+    let order = json!({"what": "weigh", "settings": settings});
+    call_expecting_ok(at, "PUT", "/rollout", &order.to_string(), ORDER_TIMEOUT)
         .map(|digest| digest.trim().to_owned())
 }
 
--- a/crates/rollout-run/src/report.rs
+++ b/crates/rollout-run/src/report.rs
@@ -72,15 +72,15 @@
         Record::ActionFinished { node, action, error: Some(error) } => {
             format!("{node}: {}: {error}", action.as_str())
         }
-        Record::Hold { reason, needs_operator: true } => format!("HOLDS AND ASKS: {reason}"),
-        Record::Hold { reason, .. } => format!("holds: {reason}"),
-        Record::Resumed => "goes on".to_owned(),
+        Record::Hold { reason, needs_operator: true } => format!("ON HOLD, OPERATOR NEEDED: {reason}"),
+        Record::Hold { reason, .. } => format!("on hold: {reason}"),
+        Record::Resumed => "resumed".to_owned(),
         Record::Passed { stage, grounds } => format!("stage {} has passed by {grounds}", stage + 1),
         Record::Ordered { order } => format!("operator order: {order:?}").to_lowercase(),
-        Record::RollbackStarted { reason } => format!("GOES BACK: {reason}"),
+        Record::RollbackStarted { reason } => format!("ROLLING BACK: {reason}"),
         Record::Confirming => "all stages have passed; trials are being confirmed".to_owned(),
         Record::Done => "DONE: all nodes have the new version".to_owned(),
-        Record::RolledBack => "TAKEN BACK: all nodes have the former version".to_owned(),
+        Record::RolledBack => "ROLLED BACK: all nodes have the former version".to_owned(),
     }
 }
 
--- a/crates/rollout-run/src/run.rs
+++ b/crates/rollout-run/src/run.rs
@@ -318,8 +318,8 @@
     let reports = || polls.iter().filter_map(|(poll, _)| poll.report());
     // A controller that continues finds the state it left: nodes on trial, nodes that are gone, two versions.
     let is_own_leader = |leader: &str| {
-        let leads = |record: &Record| matches!(record, Record::Leadership { leader: by, .. } if by == leader);
-        journal.records.iter().any(|(_, record)| leads(record))
+        let is_its_term = |record: &Record| matches!(record, Record::Leadership { leader: recorded, .. } if recorded == leader);
+        journal.records.iter().any(|(_, record)| is_its_term(record))
     };
     let foreign_trial = reports().find(|report| report.trial.is_some() && !is_own_leader(&report.leader));
     if let Some(report) = foreign_trial.filter(|_| !options.take_over) {
--- a/crates/rollout-run/tests/processes.rs
+++ b/crates/rollout-run/tests/processes.rs
@@ -176,7 +176,7 @@
             let entry = |backend: &Value| {
                 let (mut entry, to) = (backend.clone(), backend["name"].as_str().expect("a name"));
                 let at = backend["address"].as_str().and_then(|at| at.parse().ok()).expect("an address");
-                let relay = links.open_tcp(&format!("n{node}"), to, at, host).expect("a way");
+                let relay = links.open_tcp(&format!("n{node}"), to, at, host).expect("a relay");
                 entry["address"] = relay.to_string().into();
                 entry
             };
@@ -453,7 +453,7 @@
             assert_eq!((code, changed_nodes), (Some(2), BTreeSet::from([0])), "{}", fleet.log());
             assert_eq!(after, before);
             let page = std::fs::read_to_string(fleet.folder.join("judged/report.md")).expect("a page");
-            assert!(page.contains("GOES BACK"), "{page}");
+            assert!(page.contains("ROLLING BACK"), "{page}");
             // Clients of the other nodes notice nothing.
             fleet.assert_served(others, 99.0);
         }
@@ -610,11 +610,11 @@
     let controller = fleet.start_controller(&plan, &[]);
     wait_until("the first is changed", || fleet.nodes_on_trial() == [0]);
     send_signal(fleet.nodes[3].child.as_ref().expect("it runs"), "-STOP");
-    wait_until("it holds", || fleet.log().contains("holds: missing: n3"));
+    wait_until("the change is on hold", || fleet.log().contains("on hold: missing: n3"));
     sleep(Duration::from_secs(3));
     assert_eq!(fleet.nodes_on_trial(), [0], "nothing more may be changed, and the trial must be renewed");
     send_signal(fleet.nodes[3].child.as_ref().expect("it runs"), "-CONT");
-    wait_until("it goes on", || fleet.log().contains("goes on"));
+    wait_until("the change resumes", || fleet.log().contains("resumed"));
     let busiest = 0;
     load.stopped.store(true, SeqCst);
     fleet.kill(busiest);
@@ -626,7 +626,7 @@
 impl Fleet {
     /// As `wait_for_exit`, with a node restarted during the rollback, as a supervisor does.
     fn wait_for_exit_with_restart(&mut self, controller: usize, node: usize) -> Option<i32> {
-        wait_until("it goes back", || self.log().contains("GOES BACK"));
+        wait_until("the rollback begins", || self.log().contains("ROLLING BACK"));
         self.start(node);
         self.wait_for_exit(controller, 30)
     }
@@ -738,7 +738,7 @@
     let controller = fleet.start_controller(&plan, &["--deaf", "--take-over"]);
     sleep(Duration::from_secs(3));
     let log = fleet.log();
-    assert!(log.contains("HOLDS AND ASKS: n2 has neither the former nor the new"), "{log}");
+    assert!(log.contains("ON HOLD, OPERATOR NEEDED: n2 has neither the former nor the new"), "{log}");
     assert_eq!(fleet.nodes_on_trial(), [0; 0], "nothing may be changed while a node has neither version");
     let _ = fleet.controllers[controller].kill();
 }
@@ -779,7 +779,7 @@
         }
         assert_eq!(fleet.wait_for_exit(controller, 1), Some(2), "{fault:?}: {}", fleet.log());
         let log = fleet.log();
-        assert!(log.contains("GOES BACK") && !log.contains("stage 2 has passed"), "{fault:?}: {log}");
+        assert!(log.contains("ROLLING BACK") && !log.contains("stage 2 has passed"), "{fault:?}: {log}");
         assert_eq!(fleet.versions("build"), (BTreeSet::from(["0.1.0+one".to_owned()]), false), "{fault:?}");
         // The worst case with two of four nodes changed.
         fleet.assert_served(load, 40.0);
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -17,7 +17,7 @@
 /// How often the lease of a trial is renewed within its duration.
 const RENEWALS_PER_LEASE: u64 = 4;
 /// How long unchanged nodes have to do as well as usual before a hold because of them ends.
-const CALM_PERIOD: Micros = Micros(10_000_000);
+const RECOVERY_PERIOD: Micros = Micros(10_000_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
@@ -97,6 +97,7 @@
     changed: Option<(Timestamp, u64)>,
     /// Its memory in kB and its file descriptors when the new version had settled.
     baseline: Option<(u64, u64)>,
+    /// When the lease of the trial was last renewed.
     renewed_at: Option<Timestamp>,
     /// When the first action but a renewal began. Until then the node's seconds count as those of an unchanged node.
     first_action_at: Option<Timestamp>,
@@ -106,6 +107,7 @@
     has_restarted: bool,
 }
 
+/// The controller of a rolling change.
 #[derive(Clone, Debug)]
 pub struct Controller {
     pub plan: Plan,
@@ -121,17 +123,23 @@
     /// still no verdict.
     watched_since: Option<Timestamp>,
     verdict_due: Option<Timestamp>,
-    calm_since: Option<Timestamp>,
+    /// Since when unchanged nodes have done as well as usual.
+    healthy_since: Option<Timestamp>,
+    /// Since when the nodes are being confirmed or rolled back.
     finishing_since: Option<Timestamp>,
+    /// An operator has accepted the current stage.
     is_accepted: bool,
     /// At least one stage was passed by comparison or by an operator.
     has_compared: bool,
     pub verdict: Verdict,
     /// Ignores the verdict, for tests that show what it contributes.
     pub ignore_verdict: bool,
+    /// Reported seconds that have not been judged yet: the node, whether it counts as changed, and its report.
     pending_seconds: BTreeMap<u64, Vec<(NodeId, bool, SecondReport)>>,
     last_judged_second: u64,
+    /// Records that `next_records` will return.
     pending_records: Vec<Record>,
+    /// The beginning of the current stage has been recorded.
     stage_recorded: bool,
 }
 
@@ -150,7 +158,7 @@
             is_paused: false,
             watched_since: None,
             verdict_due: None,
-            calm_since: None,
+            healthy_since: None,
             finishing_since: None,
             is_accepted: false,
             has_compared: false,
@@ -165,7 +173,7 @@
     }
 
     /// Continues from the journal of an earlier controller. The nodes report their versions themselves; a stage that had
-    /// not passed is watched anew.
+    /// not passed is watched again from its start.
     pub fn resume<'a>(&mut self, records: impl Iterator<Item = &'a Record>) {
         for record in records {
             match record {
@@ -298,7 +306,7 @@
     /// Takes the outcome of an action.
     pub fn action_finished(&mut self, now: Timestamp, id: NodeId, action: Action, outcome: ActionOutcome) {
         let state = &mut self.nodes[id.0];
-        if state.in_progress.is_some_and(|(doing, _)| doing == action) {
+        if state.in_progress.is_some_and(|(current, _)| current == action) {
             state.in_progress = None;
         }
         // A node that falls silent right after an action may no longer have the version that it last reported. Otherwise it
@@ -504,19 +512,20 @@
             }
         }
         if !self.verdict.is_fleet_degraded() {
-            self.calm_since.get_or_insert(now);
+            self.healthy_since.get_or_insert(now);
         } else {
-            self.calm_since = None;
+            self.healthy_since = None;
         }
         let is_degraded = matches!(self.hold, Some(HoldReason::FleetDegraded));
-        let has_recovered = self.calm_since.is_some_and(|at| !is_degraded || now.since(at) >= CALM_PERIOD);
+        let has_recovered =
+            self.healthy_since.is_some_and(|at| !is_degraded || now.since(at) >= RECOVERY_PERIOD);
         // Nodes that have not answered yet are missing only after they have had time to answer.
         let names = |ids: &[NodeId]| ids.iter().map(|id| self.node_name(*id)).collect::<Vec<_>>();
         let hold = match () {
             () if self.is_paused => Some(HoldReason::Paused),
             () if foreign.is_some() => {
                 let name = foreign.map(|id| self.node_name(id)).unwrap_or_default();
-                Some(HoldReason::Blocked(format!("{name} has neither the former nor the new")))
+                Some(HoldReason::Blocked(format!("{name} has neither the former nor the new version")))
             }
             () if missing.iter().any(|id| self.nodes[id.0].in_progress.is_none()) => {
                 Some(HoldReason::Missing(names(&missing)))
--- a/crates/rollout/src/simulation.rs
+++ b/crates/rollout/src/simulation.rs
@@ -285,8 +285,8 @@
                 let id =
                     self.controller.plan.node_ids().find(|id| self.controller.plan.node(*id).name == *node);
                 let Some(id) = id else { continue };
-                let came = self.execute(id, *action);
-                self.controller.action_finished(self.now, id, *action, came);
+                let outcome = self.execute(id, *action);
+                self.controller.action_finished(self.now, id, *action, outcome);
             }
             if let Record::RollbackStarted { reason } = &record {
                 self.reason = reason.clone();
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -173,7 +173,7 @@
         let mut profile_counts: Vec<BTreeMap<(&str, bool), CommandCounts>> =
             vec![BTreeMap::new(); self.site_count];
         let mut slow_counts: Vec<[(f64, f64); 2]> = vec![[(0.0, 0.0); 2]; self.site_count];
-        let mut unchanged_latencies: BTreeMap<u64, f64> = BTreeMap::new();
+        let mut second_latencies: BTreeMap<u64, f64> = BTreeMap::new();
         for (node, changed, report) in second {
             let site = self.site_of[node.0];
             for (name, counts) in &report.profiles {
@@ -184,7 +184,7 @@
                 side.1 += f64::from(*count);
                 side.0 += if *at >= self.slow_from { f64::from(*count) } else { 0.0 };
                 if !changed {
-                    *unchanged_latencies.entry(*at).or_default() += f64::from(*count);
+                    *second_latencies.entry(*at).or_default() += f64::from(*count);
                 }
             }
         }
@@ -249,7 +249,7 @@
                 double_runs.0
             ));
         }
-        self.update_slow_threshold(unchanged_latencies);
+        self.update_slow_threshold(second_latencies);
         self.update_usual_loss(unchanged_lost, unchanged_ended);
     }
 
--- a/crates/rollout/tests/plays.rs
+++ b/crates/rollout/tests/plays.rs
@@ -41,18 +41,22 @@
 fn outage_at_all_nodes_is_not_blamed_on_the_change() {
     let model = ServiceModel { outage: Some((1_020, 60, 30.0)), ..ServiceModel::default() };
     let mut simulation = Simulation::new(test_plan(12, SHORT_TIMES), model, Harm::default(), 3);
-    let mut held = 0;
+    let mut seconds_on_hold = 0;
     let mut stages_passed = 0;
     while !simulation.controller.is_finished() && simulation.now.0 < 5_000_000_000 {
         simulation.step();
-        held += usize::from(simulation.controller.hold_reason() == Some(&HoldReason::FleetDegraded));
+        seconds_on_hold +=
+            usize::from(simulation.controller.hold_reason() == Some(&HoldReason::FleetDegraded));
         let suffering = (1_030..1_080).contains(&(simulation.now.0 / 1_000_000));
         stages_passed += usize::from(
             suffering && simulation.journal.last().is_some_and(|r| matches!(r, Record::Passed { .. })),
         );
     }
     assert_eq!(simulation.controller.phase, Phase::Done, "{:?}", simulation.journal.last());
-    assert!(held > 30 && stages_passed == 0, "held for {held} s, {stages_passed} stages passed meanwhile");
+    assert!(
+        seconds_on_hold > 30 && stages_passed == 0,
+        "on hold for {seconds_on_hold} s, {stages_passed} stages passed meanwhile"
+    );
 }
 
 /// Without any commands the change holds and asks an operator. It never passes a stage by itself.
--- a/crates/view/src/share.rs
+++ b/crates/view/src/share.rs
@@ -75,19 +75,19 @@
 impl SlotOccupancy {
     /// Counts the occupancy of the configured slots.
     pub fn from_view(view: &View, slots: u32, now: Timestamp, takeover_delay: Micros) -> SlotOccupancy {
-        let mut held: BTreeMap<u32, (u32, bool, bool)> = BTreeMap::new();
+        let mut holders: BTreeMap<u32, (u32, bool, bool)> = BTreeMap::new();
         let mut extra_nodes = 0;
-        let mine = view.info();
-        let own = [(view.name(), mine, MemberState::Alive, Timestamp(0))];
+        let own_info = view.info();
+        let own = [(view.name(), own_info, MemberState::Alive, Timestamp(0))];
         let others = view.members().map(|(name, m)| (name, &m.info, m.state, m.state_since));
         for (_, info, state, since) in own.into_iter().chain(others) {
             // A node that has been gone for less than the delay may still be running.
-            let gone = !state.is_present() && now.since(since) >= takeover_delay;
-            if gone {
+            let is_gone = !state.is_present() && now.since(since) >= takeover_delay;
+            if is_gone {
                 continue;
             }
             if info.slots == slots && info.slot < slots {
-                let slot = held.entry(info.slot).or_default();
+                let slot = holders.entry(info.slot).or_default();
                 slot.0 += 1;
                 slot.1 |= state == MemberState::Alive;
                 extra_nodes += u32::from(slot.0 > 1);
@@ -95,13 +95,13 @@
                 extra_nodes += 1;
             }
         }
-        let single = |slot: &&(u32, bool, bool)| slot.0 == 1 && slot.1;
+        let has_live_holder = |slot: &&(u32, bool, bool)| slot.0 == 1 && slot.1;
         SlotOccupancy {
-            live: held.values().filter(single).count() as u32,
-            missing: slots - held.len() as u32,
+            live: holders.values().filter(has_live_holder).count() as u32,
+            missing: slots - holders.len() as u32,
             extra_nodes,
-            owns_slot: mine.slots == slots && held.get(&mine.slot).is_some_and(|slot| slot.0 == 1),
-            preceding: held.range(..mine.slot).count() as u32,
+            owns_slot: own_info.slots == slots && holders.get(&own_info.slot).is_some_and(|slot| slot.0 == 1),
+            preceding: holders.range(..own_info.slot).count() as u32,
         }
     }
 
@@ -145,9 +145,9 @@
     pub fn update(&mut self, now: Timestamp, view: &View, slots: u32, index: u32) -> Share {
         let occupancy = SlotOccupancy::from_view(view, slots.max(1), now, self.timing.takeover_delay);
         let is_recent = |at: Timestamp| now.since(at) <= self.timing.release_after;
-        let heard = view.present_count() == 1 || view.last_answered().is_some_and(is_recent);
+        let has_recent_answer = view.present_count() == 1 || view.last_answered().is_some_and(is_recent);
         self.resumed(view.running_since());
-        self.decide(now, &occupancy, heard, slots.max(1), index)
+        self.decide(now, &occupancy, has_recent_answer, slots.max(1), index)
     }
 
     /// Tells the tracker that the node started, or resumed after a stall, at `since`. A majority seen before that no
@@ -158,17 +158,17 @@
         }
     }
 
-    /// Decides the share by the rule in the module documentation. `heard` is whether another node has answered recently.
+    /// Decides the share by the rule in the module documentation. `has_recent_answer` is whether another node has answered recently.
     pub fn decide(
         &mut self,
         now: Timestamp,
         occupancy: &SlotOccupancy,
-        heard: bool,
+        has_recent_answer: bool,
         slots: u32,
         index: u32,
     ) -> Share {
         let release = self.timing.release_after;
-        let majority = occupancy.has_majority(slots) && (heard || slots == 1);
+        let majority = occupancy.has_majority(slots) && (has_recent_answer || slots == 1);
         if !majority {
             self.majority_since = None;
         }
@@ -176,29 +176,30 @@
             self.majority_since = self.majority_since.or(Some(now));
             self.majority_seen = Some(now);
         }
-        let settled = |span: Micros| self.majority_since.is_some_and(|since| now.since(since) >= span);
-        let seen = self.majority_seen.is_some_and(|at| at >= self.started_at && now.since(at) < release);
+        let settled_for = |span: Micros| self.majority_since.is_some_and(|since| now.since(since) >= span);
+        let recently_seen =
+            self.majority_seen.is_some_and(|at| at >= self.started_at && now.since(at) < release);
         let valid_until = now + release;
-        let half = Share { valid_until, ..ShareTracker::fallback(slots, index, now) };
+        let half_share = Share { valid_until, ..ShareTracker::fallback(slots, index, now) };
         // With a single slot its owner has the whole share from its start on, as it has without a view, so nothing is
         // left for another node.
-        if !occupancy.owns_slot && (slots == 1 || !settled(self.timing.takeover_delay)) {
+        if !occupancy.owns_slot && (slots == 1 || !settled_for(self.timing.takeover_delay)) {
             return Share { nodes: NO_SHARE, index: 0, valid_until, reason: ShareReason::ExtraNodes };
         }
         // The other nodes notice a returning node only when its updates have spread. Until then they may still leave it
         // no more than a half share.
-        self.holds_back = !seen || self.holds_back && !settled(self.timing.takeover_delay);
+        self.holds_back = !recently_seen || self.holds_back && !settled_for(self.timing.takeover_delay);
         if self.holds_back {
             return Share {
-                reason: if seen { ShareReason::Settling } else { ShareReason::NoMajority },
-                ..half
+                reason: if recently_seen { ShareReason::Settling } else { ShareReason::NoMajority },
+                ..half_share
             };
         }
-        let missing = if settled(self.timing.takeover_delay) { occupancy.missing } else { 0 };
+        let missing = if settled_for(self.timing.takeover_delay) { occupancy.missing } else { 0 };
         // The nodes present divide what the half shares of the missing slots leave.
-        let holders = u64::from(slots - missing + occupancy.extra_nodes).max(1);
-        let (whole, left) = (u64::from(2 * slots), u64::from(2 * slots - missing));
-        let nodes = (holders * whole).div_ceil(left) as u32;
+        let node_count = u64::from(slots - missing + occupancy.extra_nodes).max(1);
+        let (half_shares, remaining) = (u64::from(2 * slots), u64::from(2 * slots - missing));
+        let nodes = (node_count * half_shares).div_ceil(remaining) as u32;
         let reason = match () {
             () if occupancy.extra_nodes > 0 => ShareReason::ExtraNodes,
             () if missing > 0 => ShareReason::SlotsMissing,
@@ -207,7 +208,7 @@
         let index = if reason == ShareReason::Configured {
             index
         } else {
-            spread_index(occupancy.preceding, holders as u32, nodes)
+            spread_index(occupancy.preceding, node_count as u32, nodes)
         };
         Share { nodes, index, valid_until, reason }
     }
