--- a/crates/rollout-run/src/run.rs
+++ b/crates/rollout-run/src/run.rs
@@ -23,6 +23,7 @@
 /// The time between two polls of all nodes. Less than a second, because stages are judged by whole seconds.
 const TICK: Duration = Duration::from_millis(400);
 
+/// The options of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Options {
     /// Continues even if another controller's change is on trial.
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -19,6 +19,7 @@
 /// How long unchanged nodes have to do as well as usual before a hold because of them ends.
 const RECOVERY_PERIOD: Micros = Micros(10_000_000);
 
+/// The phase of a rolling change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Advancing,
@@ -61,6 +62,7 @@
         matches!(self, HoldReason::Undecided(_) | HoldReason::Blocked(_))
     }
 
+    /// The reason as text, for the journal.
     pub fn text(&self) -> String {
         match self {
             HoldReason::Paused => "paused by an operator".to_owned(),
@@ -202,6 +204,7 @@
         matches!(self.plan.change, Change::Settings(_))
     }
 
+    /// Whether all nodes have one version.
     pub fn is_finished(&self) -> bool {
         matches!(self.phase, Phase::Done | Phase::RolledBack)
     }
@@ -231,6 +234,7 @@
         matches!(self.version_at(id), NodeVersion::OnTrial | NodeVersion::New)
     }
 
+    /// The outcome of the last poll of a node that counts.
     pub fn last_poll(&self, id: NodeId) -> &PollOutcome {
         &self.nodes[id.0].last_poll
     }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -65,15 +65,15 @@
         Spread { squares: variance * weight, weight, mean: 0.0 }
     }
 
-    /// The expected deviation of the next difference; `per` is the sum of 1/n over the two sides.
-    pub fn expected(&self, per: f64) -> f64 {
-        (self.squares / self.weight * per).sqrt()
+    /// The expected deviation of the next difference; `inverse_counts` is the sum of 1/n over the two sides.
+    pub fn expected(&self, inverse_counts: f64) -> f64 {
+        (self.squares / self.weight * inverse_counts).sqrt()
     }
 
     /// Learns from a difference, after the bet on it.
-    pub fn observe(&mut self, difference: f64, per: f64) {
+    pub fn observe(&mut self, difference: f64, inverse_counts: f64) {
         let expected = self.squares / self.weight;
-        let square = (difference - self.mean).powi(2) / per.max(1e-12);
+        let square = (difference - self.mean).powi(2) / inverse_counts.max(1e-12);
         // Clipped as in the bets, so that one outlier does not distort the deviation of all later seconds.
         self.squares += square.min(expected * MAX_DEVIATIONS * MAX_DEVIATIONS);
         self.weight += 1.0;
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -10,6 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub usize);
 
+/// A node of the plan.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
@@ -67,6 +68,7 @@
     Share(f64),
 }
 
+/// A checked plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     pub name: String,
@@ -85,6 +87,7 @@
     pub folder: String,
 }
 
+/// The timings of a plan. The file states them in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
     /// For how long after its change a node's seconds are ignored: it is cold, and its clients reconnect.
--- a/crates/rollout/src/settings_diff.rs
+++ b/crates/rollout/src/settings_diff.rs
@@ -4,6 +4,7 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
+/// The effect of a difference on the rules that hold for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RuleChange {
     Neutral,
@@ -12,6 +13,7 @@
     Loosening,
 }
 
+/// A difference between two settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     pub path: String,
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -30,12 +30,15 @@
     pub margin: f64,
     /// The part of the false stop probability that this measure may use.
     odds_part: f64,
+    /// The bet against "no worse than the harmless part of the margin", and the one against "worse by the margin".
     harm_bet: Bet,
     no_harm_bet: Bet,
     spread: Spread,
     pub band: ConfidenceBand,
     /// The commands of this stage at changed and at unchanged nodes.
     pub commands: (f64, f64),
+    /// Seconds that wait to be combined: the difference, the commands of changed and of unchanged nodes, and the sum of
+    /// the inverse counts.
     waiting: Vec<(f64, f64, f64, f64)>,
 }
 
@@ -55,16 +58,16 @@
     /// Adds one second.
     fn observe(&mut self, sites: &[(Side, Side)]) {
         let both = sites.iter().filter(|((_, c), (_, u))| *c > 0.0 && *u > 0.0);
-        let (mut changed, mut other, mut per, mut difference) = (0.0, 0.0, 0.0, 0.0);
+        let (mut changed, mut other, mut inverse_counts, mut difference) = (0.0, 0.0, 0.0, 0.0);
         let all: f64 = both.clone().map(|((_, c), _)| c).sum();
         for ((bad, count), (bad_other, count_other)) in both {
             let weight = count / all;
             difference += weight * (bad / count - bad_other / count_other);
-            per += weight * weight * (1.0 / count + 1.0 / count_other);
+            inverse_counts += weight * weight * (1.0 / count + 1.0 / count_other);
             (changed, other) = (changed + count, other + count_other);
         }
         if all > 0.0 {
-            self.waiting.push((difference, changed, other, per));
+            self.waiting.push((difference, changed, other, inverse_counts));
         }
         // Seconds with few commands are combined. That depends on the number of commands only and not on their outcome.
         let sum: f64 = self.waiting.iter().map(|w| w.1).sum();
@@ -73,20 +76,22 @@
         }
         let waiting = std::mem::take(&mut self.waiting);
         let difference = waiting.iter().map(|w| w.0 * w.1 / sum).sum();
-        let per: f64 = waiting.iter().map(|w| w.3 * (w.1 / sum).powi(2)).sum();
-        let deviation = self.spread.expected(per).max(0.25 / sum);
+        let inverse_counts: f64 = waiting.iter().map(|w| w.3 * (w.1 / sum).powi(2)).sum();
+        let deviation = self.spread.expected(inverse_counts).max(0.25 / sum);
         self.harm_bet.observe(difference, deviation);
         self.no_harm_bet.observe(-difference, deviation);
-        self.spread.observe(difference, per);
-        self.band.observe(difference, 1.0 / per);
+        self.spread.observe(difference, inverse_counts);
+        self.band.observe(difference, 1.0 / inverse_counts);
         self.commands.0 += sum;
         self.commands.1 += waiting.iter().map(|w| w.2).sum::<f64>();
     }
 
+    /// Whether harm is established at the false stop probability.
     pub fn is_worse(&self, odds: &Odds) -> bool {
         self.harm_bet.refuted(odds.false_stop * self.odds_part)
     }
 
+    /// Whether harm beyond the margin is excluded at the false pass probability.
     pub fn is_no_worse(&self, odds: &Odds) -> bool {
         self.no_harm_bet.refuted(odds.false_pass)
     }
@@ -106,14 +111,17 @@
     Undecided(Vec<String>),
 }
 
+/// The running comparison of changed with unchanged nodes.
 #[derive(Clone, Debug)]
 pub struct Verdict {
     margins: Margins,
     odds: Odds,
+    /// The index of each node's site.
     site_of: Vec<usize>,
     site_count: usize,
     /// Payoff, errored, rejected, extra launches and slow, followed by the profiles in the order of their first command.
     pub measures: Vec<Measure>,
+    /// For each profile the index of its measure, and its commands at unchanged nodes in this stage.
     profiles: BTreeMap<String, (usize, f64)>,
     /// The latency histogram of unchanged nodes with exponentially decaying weights, and the latency in microseconds above
     /// which their slowest 5% lie.
@@ -313,6 +321,7 @@
         (self.unchanged_loss.0, self.unchanged_loss.1)
     }
 
+    /// The verdict on the current stage.
     pub fn evaluate(&self) -> StageVerdict {
         if let Some(violation) = &self.violation {
             return StageVerdict::Worse(violation.clone());
--- a/crates/view/src/member.rs
+++ b/crates/view/src/member.rs
@@ -14,6 +14,7 @@
 /// How much longer than the shortest one a suspicion without confirmation lasts.
 const MAX_SUSPICION_FACTOR: f64 = 2.5;
 
+/// The knowledge about one member.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub generation: Generation,
--- a/crates/view/src/view/mod.rs
+++ b/crates/view/src/view/mod.rs
@@ -62,6 +62,7 @@
     pub reported_by: String,
 }
 
+/// The kind of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
     Joined,
@@ -124,6 +125,7 @@
     pub stalls: u64,
 }
 
+/// Why a probe was sent.
 #[derive(Clone)]
 enum ProbePurpose {
     /// A probe of this node's current round.
@@ -134,6 +136,7 @@
     Rival,
 }
 
+/// A tracked probe whose ack is awaited.
 #[derive(Clone)]
 struct PendingProbe {
     purpose: ProbePurpose,
@@ -340,7 +343,7 @@
 
     /// When `handle_timeout` is to be called next.
     pub fn next_timeout(&self) -> Timestamp {
-        let indirect = self.round_probes.iter().filter_map(|round| round.indirect_at).min();
+        let indirect = self.round_probes.iter().filter_map(|round_probe| round_probe.indirect_at).min();
         let timer = self.timers.first().map(|(at, _)| *at);
         let expiry = self.pending_probes.values().map(|probe| probe.expires_at).min();
         let soonest = [indirect, timer, expiry].into_iter().flatten().min();
@@ -669,10 +672,10 @@
             }
             Kind::PingReq => self.handle_ping_req(now, &datagram),
             Kind::Nack => {
-                if let Some(round) =
-                    self.round_probes.iter_mut().find(|round| round.probe_id == datagram.probe_id)
+                if let Some(round_probe) =
+                    self.round_probes.iter_mut().find(|round_probe| round_probe.probe_id == datagram.probe_id)
                 {
-                    round.nacks += 1;
+                    round_probe.nacks += 1;
                 }
             }
             Kind::Checksums => self.handle_checksums(now, at, &datagram),
--- a/crates/view/src/view/probe.rs
+++ b/crates/view/src/view/probe.rs
@@ -116,36 +116,39 @@
     /// to be probed in another round first.
     pub(super) fn end_round(&mut self, now: Timestamp) -> Vec<String> {
         let (mut retries, reporter) = (Vec::new(), self.name.clone());
-        for round in std::mem::take(&mut self.round_probes) {
+        for round_probe in std::mem::take(&mut self.round_probes) {
             // Relays that have not answered either, not even with a nack, indicate trouble at this node.
-            self.adjust_local_health(1 + round.indirect_count.saturating_sub(round.nacks) as i32);
-            let Some(member) = self.members.get_mut(&round.target) else { continue };
+            self.adjust_local_health(1 + round_probe.indirect_count.saturating_sub(round_probe.nacks) as i32);
+            let Some(member) = self.members.get_mut(&round_probe.target) else { continue };
             member.probes_lost += 1;
             self.lost_probe_share += 0.05 * (1.0 - self.lost_probe_share);
             if member.state == MemberState::Alive
                 && self.lost_probe_share > LOSSY_PROBE_SHARE
-                && !round.is_retry
+                && !round_probe.is_retry
             {
-                retries.push(round.target);
-            } else if member.state == MemberState::Alive && member.generation == round.generation {
-                self.set_state(now, &round.target, MemberState::Suspect, &reporter);
-                self.gossip.add(&round.target);
-            } else if member.state == MemberState::Suspect && self.confirm_suspicion(&round.target, &reporter)
+                retries.push(round_probe.target);
+            } else if member.state == MemberState::Alive && member.generation == round_probe.generation {
+                self.set_state(now, &round_probe.target, MemberState::Suspect, &reporter);
+                self.gossip.add(&round_probe.target);
+            } else if member.state == MemberState::Suspect
+                && self.confirm_suspicion(&round_probe.target, &reporter)
             {
-                self.gossip_confirmation(&round.target);
+                self.gossip_confirmation(&round_probe.target);
             }
         }
         retries
     }
 
     /// Records another node's suspicion, which shortens the timeout. Returns false if it adds nothing.
-    pub(super) fn confirm_suspicion(&mut self, name: &str, by: &str) -> bool {
+    pub(super) fn confirm_suspicion(&mut self, name: &str, suspecter: &str) -> bool {
         let (interval, members) = (self.config.timing.probe_interval, self.present_count);
         let Some(member) = self.members.get_mut(name) else { return false };
-        if member.suspected_by.len() > MAX_CONFIRMATIONS || member.suspected_by.iter().any(|one| one == by) {
+        if member.suspected_by.len() > MAX_CONFIRMATIONS
+            || member.suspected_by.iter().any(|known| known == suspecter)
+        {
             return false;
         }
-        member.suspected_by.push(by.to_owned());
+        member.suspected_by.push(suspecter.to_owned());
         let timeout = member.state_since + suspicion_timeout(interval, members, member.suspected_by.len());
         self.set_timer(name, Some(timeout));
         true
@@ -217,19 +220,23 @@
         let Some(probe) = self.pending_probes.get(&datagram.probe_id) else { return };
         match &probe.purpose {
             ProbePurpose::Direct => {
-                let found = self.round_probes.iter().position(|round| round.probe_id == datagram.probe_id);
-                let Some(round) = found.map(|index| &self.round_probes[index]) else { return };
-                let direct = datagram.sender == round.target && datagram.generation >= round.generation;
-                if !direct && datagram.target.as_deref() != Some(round.target.as_str()) {
+                let found = self
+                    .round_probes
+                    .iter()
+                    .position(|round_probe| round_probe.probe_id == datagram.probe_id);
+                let Some(round_probe) = found.map(|index| &self.round_probes[index]) else { return };
+                let direct =
+                    datagram.sender == round_probe.target && datagram.generation >= round_probe.generation;
+                if !direct && datagram.target.as_deref() != Some(round_probe.target.as_str()) {
                     return;
                 }
-                let round = self.round_probes.swap_remove(found.unwrap_or_default());
+                let round_probe = self.round_probes.swap_remove(found.unwrap_or_default());
                 let rtt = now.since(probe.sent_at);
                 self.last_answered = Some(now);
                 self.lost_probe_share +=
-                    0.05 * (f64::from(u8::from(round.indirect_at.is_none())) - self.lost_probe_share);
-                if let Some(member) = self.members.get_mut(&round.target) {
-                    if direct && round.indirect_at.is_some() {
+                    0.05 * (f64::from(u8::from(round_probe.indirect_at.is_none())) - self.lost_probe_share);
+                if let Some(member) = self.members.get_mut(&round_probe.target) {
+                    if direct && round_probe.indirect_at.is_some() {
                         let before = member.rtt.unwrap_or(rtt);
                         member.rtt = Some(Micros((before.0 * 7 + rtt.0) / 8));
                     } else {
--- a/crates/view/src/wire.rs
+++ b/crates/view/src/wire.rs
@@ -16,6 +16,7 @@
 const GENERATION_LIMIT: u64 = 100_000_000_000_000_000;
 const INCARNATION_LIMIT: u32 = 1 << 31;
 
+/// The kind of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum Kind {
@@ -62,6 +63,7 @@
     pub info: Option<NodeInfo>,
 }
 
+/// A datagram between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Datagram {
