--- a/crates/rollout-run/src/run.rs
+++ b/crates/rollout-run/src/run.rs
@@ -21,7 +21,7 @@
 use yarrowfront::times::Timestamp;
 
 /// The time between two polls of all nodes. Less than a second, because stages are judged by whole seconds.
-const TICK: Duration = Duration::from_millis(400);
+const NODE_POLL_INTERVAL: Duration = Duration::from_millis(400);
 
 /// The options of a run.
 #[derive(Clone, Copy, Debug, Default)]
@@ -467,7 +467,7 @@
                 sampled_at = Instant::now();
                 self.record_samples(&controller)?;
             }
-            sleep(TICK.saturating_sub(tick.elapsed()));
+            sleep(NODE_POLL_INTERVAL.saturating_sub(tick.elapsed()));
         }
         Ok(if controller.phase == Phase::Done { Outcome::Done } else { Outcome::RolledBack })
     }
--- a/crates/rollout/tests/plays.rs
+++ b/crates/rollout/tests/plays.rs
@@ -47,9 +47,9 @@
         simulation.step();
         seconds_on_hold +=
             usize::from(simulation.controller.hold_reason() == Some(&HoldReason::FleetDegraded));
-        let suffering = (1_030..1_080).contains(&(simulation.now.0 / 1_000_000));
+        let is_degraded = (1_030..1_080).contains(&(simulation.now.0 / 1_000_000));
         stages_passed += usize::from(
-            suffering && simulation.journal.last().is_some_and(|r| matches!(r, Record::Passed { .. })),
+            is_degraded && simulation.journal.last().is_some_and(|r| matches!(r, Record::Passed { .. })),
         );
     }
     assert_eq!(simulation.controller.phase, Phase::Done, "{:?}", simulation.journal.last());
--- a/crates/view/src/node_info.rs
+++ b/crates/view/src/node_info.rs
@@ -18,7 +18,7 @@
 #[cbor(transparent)]
 pub struct Incarnation(#[n(0)] pub u32);
 
-/// The state of a member. Of two reports with the same incarnation the variant that stands later here wins.
+/// The state of a member. Of two reports with the same incarnation the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(index_only)]
 pub enum MemberState {
