--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -1,12 +1,12 @@
 //! Connections from clients: accepted, counted, and closed when there is no more room or the node stops.
 
-use crate::guests::{close_idle, Guest, Guests};
-use crate::intake::Intake;
-use crate::lengths::Followed;
+use crate::client_connections::{close_idle, Guest, Guests};
+use crate::client_service::Intake;
 use crate::log::note;
 use crate::node::Node;
+use crate::observed_stream::Watched;
+use crate::request_framing::Followed;
 use crate::transport::Transport;
-use crate::watched::Watched;
 use hyper::server::conn::http1;
 use hyper_util::rt::TokioIo;
 use hyper_util::service::TowerToHyperService;
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,17 +1,17 @@
 //! The second address, where operators call: one call to a connection, answered by one line that says what is
 //! now so. A call that is answered with yes has taken effect before.
 
-use crate::call::{call, Call, Refusal};
+use crate::admin_request::{call, Call, Refusal};
+use crate::config::build;
 use crate::counts;
-use crate::desk::Desk;
+use crate::dispatcher::Desk;
 use crate::fleet::Fleet;
 use crate::handover::Peer;
+use crate::lifecycle::Stop;
 use crate::limits::Limits;
 use crate::log::note;
 use crate::reply::{plain, Reply};
 use crate::sites::Sites;
-use crate::start::build;
-use crate::stop::Stop;
 use crate::transport::Transport;
 use crate::trial::{Trial, Word};
 use http_body_util::{BodyExt, Limited};
--- a/crates/node/src/call.rs
+++ b/crates/node/src/admin_request.rs
@@ -1,7 +1,7 @@
 //! Operators' calls: what a method and a path ask for, and what is done of it at this process.
 
-use crate::desk::Desk;
-use crate::stop::Stop;
+use crate::dispatcher::Desk;
+use crate::lifecycle::Stop;
 use hyper::Method;
 use percent_encoding::percent_decode_str;
 use serde::{Deserialize, Serialize};
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/client_service.rs
@@ -1,8 +1,8 @@
 //! What a client sends: routes it, reads a command's head and body, and refuses what is not one.
 
 use crate::bodies::{Start, Unread};
-use crate::cargo::{Cargo, Load, TIME_LEFT};
-use crate::guests::Guest;
+use crate::client_connections::Guest;
+use crate::launch_types::{Cargo, Load, TIME_LEFT};
 use crate::list::mark;
 use crate::node::Node;
 use crate::reply::{onward, plain, turn_back, Reply};
--- a/crates/node/src/desk.rs
+++ b/crates/node/src/dispatcher.rs
@@ -1,10 +1,10 @@
 //! Owns the decision module and the commands in hand. Every call goes straight through; what the module wants
 //! besides is handed on as errands. No borrow lasts beyond a call.
 
-use crate::cargo::Done;
 use crate::counts::{Account, Counts};
+use crate::launch_types::Done;
 use crate::names::Names;
-use crate::witness::Witness;
+use crate::site_evidence::Witness;
 use hyper::header::HeaderValue;
 use serde_json::{json, Value};
 use slab::Slab;
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,12 +1,12 @@
 //! The view of the fleet on a socket: datagrams in and out, what this node tells of itself, and what operators and the
 //! decisions are told of the others. Only where an operators' file asks for it.
 
-use crate::desk::{Desk, Portion};
+use crate::config::{at, build, seeds};
+use crate::dispatcher::{Desk, Portion};
 use crate::handover::Peer;
+use crate::lifecycle::Stop;
 use crate::list::mark;
 use crate::log::note;
-use crate::start::{at, build, seeds};
-use crate::stop::Stop;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -3,12 +3,12 @@
 //! queue that nobody reads, and all that must outlive a process. Then each tells the other what operators say and
 //! how much of the common budgets it holds, until one of them ends.
 
+use crate::admin_request::Call;
 use crate::bodies::Room;
-use crate::call::Call;
-use crate::desk::Desk;
+use crate::dispatcher::Desk;
+use crate::lifecycle::Stop;
 use crate::limits::Limits;
 use crate::log::note;
-use crate::stop::Stop;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
--- a/crates/node/src/launch.rs
+++ b/crates/node/src/launch.rs
@@ -1,8 +1,8 @@
 //! One launch: a command's bytes to one backend, and what came of it.
 
 use crate::bodies::{Out, Over, Start};
-use crate::cargo::{Answer, Cargo, Done, Load, Reins, TIME_LEFT};
-use crate::desk::Desk;
+use crate::dispatcher::Desk;
+use crate::launch_types::{Answer, Cargo, Done, Load, Reins, TIME_LEFT};
 use crate::log::note;
 use crate::pool::{Exchange, NoLease, Pool};
 use crate::probe;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,17 +4,18 @@
 
 mod accept;
 mod admin;
+mod admin_request;
 mod bodies;
-mod call;
-mod cargo;
+mod client_connections;
+mod client_service;
+mod config;
 mod counts;
-mod desk;
+mod dispatcher;
 mod fleet;
-mod guests;
 mod handover;
-mod intake;
 mod launch;
-mod lengths;
+mod launch_types;
+mod lifecycle;
 mod limits;
 mod list;
 mod list_age;
@@ -23,21 +24,20 @@
 mod message_reader;
 mod names;
 mod node;
+mod observed_stream;
 mod pool;
 mod probe;
 mod reload;
 mod reply;
+mod request_framing;
 mod serve;
 mod signals;
+mod site_evidence;
 mod sites;
-mod start;
-mod stop;
 mod transport;
 mod trial;
-mod watched;
-mod witness;
 
-use crate::desk::{Clock, Desk};
+use crate::dispatcher::{Clock, Desk};
 use crate::log::note;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -60,7 +60,7 @@
     let ended = runtime.map_err(|e| format!("runtime: {e}")).and_then(|runtime| {
         LocalSet::new().block_on(&runtime, async {
             let signals = signals::Signals::listen().map_err(|e| format!("signals: {e}"))?;
-            run(start::Start::read(|name| std::env::var(name).ok())?, signals).await
+            run(config::Start::read(|name| std::env::var(name).ok())?, signals).await
         })
     });
     match ended {
@@ -82,7 +82,7 @@
     )
 }
 
-async fn run(start: start::Start, signals: signals::Signals) -> Result<(), String> {
+async fn run(start: config::Start, signals: signals::Signals) -> Result<(), String> {
     let limits = Rc::new(start.limits);
     log::allow(limits.notes_per_s);
     let clock = Clock::start();
@@ -91,7 +91,7 @@
     let said = (start.terms.full_may_have_run, start.terms.longest_come_back);
     let (errand, mut errands) = mpsc::unbounded_channel();
     let module = Balancer::new(start.terms, start.seed, clock.now());
-    let witness = start.sites.as_ref().map(|_| Rc::new(witness::Witness::default()));
+    let witness = start.sites.as_ref().map(|_| Rc::new(site_evidence::Witness::default()));
     let counts = start.trial.as_ref().map(|terms| Rc::new(counts::Counts::new(terms.seconds)));
     let desk =
         Rc::new(Desk::new(module, start.names, clock, limits.tick, errand, (counts, witness.clone()), said));
@@ -102,7 +102,7 @@
     if let Some(Err(why)) = start.known.map(|known| lister.told(&known, true)) {
         return Err(format!("known: {why}"));
     }
-    let stop = Rc::new(stop::Stop::new());
+    let stop = Rc::new(lifecycle::Stop::new());
     let path = handover::meeting(start.folder, start.listen);
     let heritage = match &path {
         Some(path) => handover::inherit(path, &limits)?,
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -1,6 +1,6 @@
 //! The list of backends, as messages of discovery's and the configuration tell it.
 
-use crate::desk::{Desk, Line};
+use crate::dispatcher::{Desk, Line};
 use crate::log::note;
 use serde_json::Value;
 use std::cell::Cell;
--- a/crates/node/src/list_watches.rs
+++ b/crates/node/src/list_watches.rs
@@ -4,7 +4,7 @@
 //! former address is waited for before the present one is called, and a watch there goes on until the present one has
 //! answered: no call is made that tells nobody anything, and no node asks twice before others have been answered once.
 
-use crate::desk::Desk;
+use crate::dispatcher::Desk;
 use crate::limits::Limits;
 use crate::list::Lister;
 use crate::list_age::ListAge;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,11 +1,11 @@
 //! All that the stages of a command share.
 
 use crate::bodies::Room;
-use crate::desk::Desk;
+use crate::dispatcher::Desk;
 use crate::launch::Launcher;
+use crate::lifecycle::Stop;
 use crate::limits::Limits;
 use crate::sites::Sites;
-use crate::stop::Stop;
 use std::rc::Rc;
 
 pub struct Node {
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -4,8 +4,8 @@
 use crate::bodies::{Out, Over, Room, Start};
 use crate::limits::Limits;
 use crate::log::note;
+use crate::observed_stream::{Watch, Watched};
 use crate::transport::{is_local, Transport};
-use crate::watched::{Watch, Watched};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -1,7 +1,7 @@
 //! Asks a backend for its load, and reads load reports.
 
 use crate::bodies::{Out, Start};
-use crate::desk::Desk;
+use crate::dispatcher::Desk;
 use crate::limits::Limits;
 use crate::log::note;
 use crate::pool::{Exchange, Pool};
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,13 +1,13 @@
 //! A new configuration while the node serves: SIGHUP, and what is taken over from the file; and settings on trial, which
 //! come by a call and go again unless they are confirmed.
 
-use crate::desk::Desk;
+use crate::config::{at, Start};
+use crate::dispatcher::Desk;
 use crate::fleet::{Fleet, Own};
+use crate::lifecycle::Stop;
 use crate::limits::Limits;
 use crate::log::{line, note};
 use crate::sites::Sites;
-use crate::start::{at, Start};
-use crate::stop::Stop;
 use crate::trial::{replace, Answer, Asked, On, Trial, Word};
 use hyper::StatusCode;
 use serde_json::Value;
--- a/crates/node/src/lengths.rs
+++ b/crates/node/src/request_framing.rs
@@ -4,9 +4,9 @@
 //! connection, which hyper looks for only while it holds nothing behind the command in hand: what comes behind one is
 //! kept here until its turn.
 
-use crate::guests::Guest;
+use crate::client_connections::Guest;
+use crate::observed_stream::Watch;
 use crate::transport::Transport;
-use crate::watched::Watch;
 use std::future::Future;
 use std::io;
 use std::pin::{pin, Pin};
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,11 +1,11 @@
 //! A command's life, from the moment it is in hand to its answer.
 
 use crate::bodies::{Out, Start};
-use crate::cargo::{Answer, Cargo, Done, Reins};
+use crate::client_connections::Busy;
 use crate::counts::{Account, End};
-use crate::desk::Desk;
-use crate::guests::Busy;
+use crate::dispatcher::Desk;
 use crate::launch::Launch;
+use crate::launch_types::{Answer, Cargo, Done, Reins};
 use crate::log::note;
 use crate::node::Node;
 use crate::reply::{plain, turn_back, Reply};
--- a/crates/node/src/sites.rs
+++ b/crates/node/src/sites.rs
@@ -2,10 +2,10 @@
 //! told what that says. Only where an operators' file asks for it.
 
 use crate::counts::End;
-use crate::desk::Desk;
+use crate::dispatcher::Desk;
 use crate::fleet::Fleet;
 use crate::log::note;
-use crate::witness::{Came, Witness};
+use crate::site_evidence::{Came, Witness};
 use serde_json::{json, Value};
 use sites::door::{Door, Look, Said};
 use sites::going::Whose;
