--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -1,4 +1,5 @@
-//! Connections from clients: accepted, counted, and closed when there is no more room or the node stops.
+//! Connections from clients: accepting and counting them, and closing them when sockets run short or the
+//! node stops.
 
 use crate::client_connections::{close_idle, Guest, Guests};
 use crate::client_service::Intake;
@@ -21,28 +22,29 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Listens there; beside a process of the same user that does, if both share it.
+/// Binds and listens. With `shared`, several processes of the same user may listen on the address
+/// (`SO_REUSEPORT`).
 pub fn bind(address: SocketAddr, backlog: u32, shared: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A node that starts again finds its own old connections still winding down.
+    // After a restart, old connections of this address may still be in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(shared)?;
     socket.bind(address)?;
     socket.listen(backlog)
 }
 
-/// Accepts may fail so often in a row before there is a pause: one that fails by chance, or for a connection that has gone,
-/// says nothing of those behind it.
+/// This many accepts may fail in a row before there is a pause. A single failure, such as for a connection
+/// that was closed before it was accepted, says nothing about the connections queued behind it.
 const FAILURES_BEFORE_PAUSE: u32 = 8;
 
-/// Accepts that failed one after another.
+/// Counts accepts that failed in a row.
 #[derive(Default)]
 struct Failures {
     in_a_row: u32,
 }
 
 impl Failures {
-    /// Waits where the cause lasts, as the want of descriptors does.
+    /// Pauses if the failures persist, as they do when file descriptors run out.
     async fn another(&mut self, pause: Duration) {
         self.in_a_row += 1;
         if self.in_a_row > FAILURES_BEFORE_PAUSE {
@@ -55,7 +57,7 @@
     }
 }
 
-/// Accepts until the node stops and all that was taken is answered.
+/// Accepts connections until the node stops and all accepted commands are answered.
 pub async fn accept(listener: Rc<TcpListener>, node: Rc<Node>) {
     let guests = Rc::new(Guests::default());
     tokio::task::spawn_local(send_away(guests.clone(), node.clone()));
@@ -69,10 +71,12 @@
             close_idle(&guests.here.borrow(), node.limits.settle);
         }
         let accepted = tokio::select! {
-            // A new process takes them: what waits in the kernel's queue is in its queue too.
+            // The new process accepts from now on. It has the same listening socket, so it also takes what
+            // is in the kernel's queue.
             () = node.stop.succession(!succeeded) => continue,
             accepted = listener.accept(), if held < most && !succeeded => accepted,
-            // Until one goes the kernel keeps the others. Silent ones must not stop that for ever.
+            // At the limit, further connections wait in the kernel's queue until one closes. The sleep lets
+            // the loop close idle ones, as silent connections must not block accepting for ever.
             () = guests.left.notified(), if held >= most => continue,
             () = sleep(node.limits.settle), if held >= most => continue,
             () = &mut over => break,
@@ -88,7 +92,7 @@
             }
         }
     }
-    // What the kernel holds has been accepted as far as its client can tell.
+    // For their clients, connections in the kernel's queue are established already, so they are served too.
     let mut idle = pin!(node.stop.past(node.limits.idle_on));
     loop {
         let accepted = tokio::select! {
@@ -101,7 +105,8 @@
                 failures.over();
                 welcome(stream, &guests, &node);
             }
-            // Descriptors may be short just now: nobody is left behind for that.
+            // File descriptors may run out for a moment. That is no reason to abandon the queued
+            // connections.
             Ok(Err(_)) => failures.another(node.limits.accept_pause).await,
             Err(_) => break,
         }
@@ -116,9 +121,11 @@
             guests.left.notified().await;
         }
     };
-    // Nothing is waited for but commands in hand: answers that flow go on until the process is killed.
+    // The node waits only for commands in flight. Answers that are still streaming continue until the
+    // process is killed.
     let owed = async {
         node.stop.past(node.limits.end_by.get()).await;
+        // A stalled client is waited for no longer than `body_silent`.
         while guests.owed(node.limits.body_silent) {
             sleep(node.limits.settle).await;
         }
@@ -129,7 +136,7 @@
     }
 }
 
-/// While the operators send clients away, ends the connections on which nothing is open, as they come to be so.
+/// While operators have clients drained, closes each connection as soon as nothing is in progress on it.
 async fn send_away(guests: Rc<Guests>, node: Rc<Node>) {
     let settle = node.limits.settle;
     loop {
@@ -145,10 +152,11 @@
     let stream = Transport::new(stream);
     let limits = &node.limits;
     if guests.here.borrow().len() >= limits.client_sockets() {
-        // An idle one makes room; the surplus sockets are there for the time that it takes to go.
+        // Closing an idle connection makes room. The surplus sockets cover the time until it is closed.
         close_idle(&guests.here.borrow(), limits.settle);
     } else if guests.known.get() > limits.kept_sockets() {
-        // So many asked once and stayed: those that have been idle for a while go, one for each that comes.
+        // Too many clients keep an idle connection: for each new connection, one that has been idle for a
+        // while is closed.
         close_idle(&guests.here.borrow(), limits.first_wait);
     }
     if let Some(counts) = node.desk.counts() {
@@ -170,26 +178,29 @@
         let ended = loop {
             let due = guest.due(&limits).max(Instant::now() + limits.settle);
             tokio::select! {
-                // First what has come on it: a command that is read by now is answered before the end.
+                // Input comes first: a command that was already read is answered before the connection
+                // closes.
                 biased;
-                // A client that goes ends it: whatever was in hand is dropped and told to the module.
+                // When the client closes, the connection ends: the commands in flight are dropped, and the
+                // balancer is informed.
                 _ = poll_fn(|cx| connection.poll_without_shutdown(cx)) => break true,
                 () = ready(()), if closing => {
                     Pin::new(&mut connection).graceful_shutdown();
                     closing = false;
                 }
                 () = guest.look.notified() => {
-                    // Its client's end lay behind something that nobody reads just now.
+                    // The client's close was detected behind data that is not being read at present.
                     if guest.gone.get() {
                         break true;
                     }
                     if guest.close.take() {
-                        // What the kernel already has for it is seen and read before it ends.
+                        // Yield once, so that data already in the kernel's buffer is read before the
+                        // connection closes.
                         yield_now().await;
                         closing = true;
                     }
                 }
-                // Looked for at each turn.
+                // The loop then checks for the client's close on each turn.
                 () = sleep(limits.settle), if guest.blind() => {}
                 () = sleep(limits.settle), if guest.evicted.get() => {
                     if !guest.owed(limits.body_silent) {
@@ -212,8 +223,8 @@
     });
 }
 
-/// Ends a connection from this side, and reads on until its client does so too, or for so long: closed with something
-/// unread the kernel resets it, and the answer that is on its way is lost.
+/// Closes the sending side, then reads until the client closes too or the wait is over. If the connection
+/// were closed with unread data, the kernel would reset it and the answer in transit would be lost.
 async fn linger(mut stream: Transport, wait: Duration) {
     let reading = async {
         let mut rest = [0; 4096];
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,5 +1,5 @@
-//! The second address, where operators call: one call to a connection, answered by one line that says what is
-//! now so. A call that is answered with yes has taken effect before.
+//! The admin listener for operators: one request per connection, answered with one line about the new state.
+//! A request that is answered with success has already taken effect.
 
 use crate::admin_request::{call, Call, Refusal};
 use crate::config::build;
@@ -35,12 +35,13 @@
 /// A connection from an operator.
 struct Caller {
     came: Instant,
-    /// Its call is here, whole.
+    /// The request was received completely.
     heard: Cell<bool>,
+    /// Notified to close the connection.
     go: Notify,
 }
 
-/// What the calls are answered from.
+/// What the requests are answered from.
 pub struct Admin {
     pub desk: Rc<Desk>,
     pub stop: Rc<Stop>,
@@ -49,31 +50,31 @@
     pub fleet: Option<Rc<Fleet>>,
     pub trial: Option<Rc<Trial>>,
     pub sites: Option<Rc<Sites>>,
-    /// Of the settings that hold.
+    /// The digest of the settings in force.
     pub digest: Rc<Cell<u64>>,
     pub name: String,
-    /// Which words this build speaks with others, by kind and number.
+    /// The protocols that this build speaks with others, with their versions.
     pub words: String,
 }
 
 impl Admin {
     async fn answer(&self, caller: &Caller, request: Request<Incoming>) -> Reply {
         let (head, body) = request.into_parts();
-        // But for one no call has a body; one that comes all the same is read, or its connection's end would take the
-        // answer.
+        // Only a rollout request has a body. Any other body is read too, because closing the connection with
+        // unread data would lose the answer.
         let most =
             self.trial.as_ref().filter(|_| head.uri.path() == "/rollout").map(|t| t.terms.settings_bytes);
         let body = Limited::new(body, most.unwrap_or(self.limits.admin_body_bytes));
         let Ok(body) = body.collect().await else {
-            return plain(StatusCode::PAYLOAD_TOO_LARGE, "a call has no body, or not so large a one");
+            return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large for this request");
         };
         caller.heard.set(true);
         match call(&head.method, head.uri.path()) {
             Ok(Call::Rollout) => self.rollout(&body.to_bytes()).await,
             Ok(call) => self.carry_out(call).await,
-            Err(Refusal::NoSuchPath) => plain(StatusCode::NOT_FOUND, "no such call"),
+            Err(Refusal::NoSuchPath) => plain(StatusCode::NOT_FOUND, "no such path"),
             Err(Refusal::Method(right)) => {
-                let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED, &format!("this takes {right}"));
+                let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED, &format!("the method must be {right}"));
                 reply.headers_mut().insert(ALLOW, HeaderValue::from_static(right));
                 reply
             }
@@ -92,30 +93,30 @@
         }
         match call.carry_out(&self.desk, &self.stop) {
             Some(now) => {
-                // It holds in both processes, where there are two, before the yes.
+                // If there are two processes, both have applied it before the success is reported.
                 self.peer.tell(&call).await;
                 note!("admin: {now}");
                 plain(StatusCode::OK, &now)
             }
             None => {
-                note!("admin: {call:?}: never listed");
-                plain(StatusCode::NOT_FOUND, "no backend of this name was ever listed")
+                note!("admin: {call:?}: this backend was never listed");
+                plain(StatusCode::NOT_FOUND, "no backend with this name was ever listed")
             }
         }
     }
 
     fn fleet(&self, people: bool) -> Reply {
         match &self.fleet {
-            None => plain(StatusCode::NOT_FOUND, "no view of the fleet is kept here"),
+            None => plain(StatusCode::NOT_FOUND, "no fleet view is configured"),
             Some(fleet) if people => plain(StatusCode::OK, fleet.page().trim_end()),
             Some(fleet) => as_json(&fleet.told()),
         }
     }
 
-    /// What this node has done, which settings it goes by, and what it takes of its machine.
+    /// The node's statistics, the digest of its settings, and its resource usage.
     fn counts(&self, after: u64) -> Reply {
         let (Some(trial), Some(counts)) = (&self.trial, self.desk.counts()) else {
-            return plain(StatusCode::NOT_FOUND, "nothing is counted here");
+            return plain(StatusCode::NOT_FOUND, "no statistics are kept: rollout is not configured");
         };
         let now = self.desk.clock.now();
         let mut told = counts.told(now, after);
@@ -146,7 +147,7 @@
 
     fn sites(&self) -> Reply {
         match &self.sites {
-            None => plain(StatusCode::NOT_FOUND, "no plan for the loss of sites is gone by here"),
+            None => plain(StatusCode::NOT_FOUND, "no site failover plan is configured"),
             Some(sites) => as_json(&sites.told()),
         }
     }
@@ -158,13 +159,16 @@
                 note!("admin: {now}");
                 plain(StatusCode::OK, &now)
             }
-            None => plain(StatusCode::NOT_FOUND, "no such site in the plan, or none of lost, hold and free"),
+            None => plain(
+                StatusCode::NOT_FOUND,
+                "the site is not in the plan, or the action is not one of lost, hold and free",
+            ),
         }
     }
 
     async fn settings(&self) -> Reply {
         let Some(trial) = &self.trial else {
-            return plain(StatusCode::NOT_FOUND, "no settings are told here");
+            return plain(StatusCode::NOT_FOUND, "rollout is not configured");
         };
         match trial.ask(Word::Tell).await {
             Ok(settings) => as_json(&serde_json::from_str(&settings).unwrap_or_default()),
@@ -174,10 +178,10 @@
 
     async fn rollout(&self, body: &[u8]) -> Reply {
         let Some(trial) = &self.trial else {
-            return plain(StatusCode::NOT_FOUND, "no rolling change is taken part in here");
+            return plain(StatusCode::NOT_FOUND, "rollout is not configured");
         };
         if self.stop.stopping() || self.stop.succeeded() {
-            return plain(StatusCode::SERVICE_UNAVAILABLE, "this process is going");
+            return plain(StatusCode::SERVICE_UNAVAILABLE, "this process is stopping or has been succeeded");
         }
         match trial.told(body).await {
             Ok(now) => plain(StatusCode::OK, &now),
@@ -202,7 +206,7 @@
         }
     }
 
-    /// Takes calls for as long as the process lives.
+    /// Accepts requests for as long as the process lives.
     pub async fn run(self: Rc<Admin>, listener: TcpListener) {
         let callers: Rc<RefCell<Slab<Rc<Caller>>>> = Rc::default();
         let left = Rc::new(Notify::new());
@@ -215,7 +219,8 @@
                     continue;
                 }
             };
-            // The one that has said nothing whole for longest makes room: a call takes no time once it is here.
+            // At the limit, the oldest connection without a complete request is closed: a complete one is
+            // answered at once.
             while callers.borrow().len() >= self.limits.admin_sockets {
                 if let Some(oldest) = oldest(&callers.borrow()) {
                     oldest.go.notify_one();
@@ -259,7 +264,7 @@
     reply
 }
 
-/// The first to come of those whose call is not here yet.
+/// The oldest connection whose request was not received completely.
 fn oldest(callers: &Slab<Rc<Caller>>) -> Option<Rc<Caller>> {
     let silent = callers.iter().map(|(_, caller)| caller).filter(|caller| !caller.heard.get());
     silent.min_by_key(|caller| caller.came).cloned()
--- a/crates/node/src/admin_request.rs
+++ b/crates/node/src/admin_request.rs
@@ -1,4 +1,4 @@
-//! Operators' calls: what a method and a path ask for, and what is done of it at this process.
+//! Operators' requests: parsing a method and a path, and carrying the request out in this process.
 
 use crate::dispatcher::Desk;
 use crate::lifecycle::Stop;
@@ -6,46 +6,48 @@
 use percent_encoding::percent_decode_str;
 use serde::{Deserialize, Serialize};
 
-/// What a call asks for.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Call {
+    /// Whether the node is ready.
     Ready,
-    /// The view of the fleet, for programs or for people.
+    /// The fleet view, as JSON or as plain text.
     Fleet {
         plain: bool,
     },
-    /// Counts since the start, and of the whole seconds after that one.
+    /// Statistics since the start and of each complete second after this one.
     Counts {
         after: u64,
     },
-    /// What is known of other sites, and what is let in; an operator's word on one.
+    /// The state of the sites and what is admitted; and an operator's declaration about one site.
     Sites,
     Site {
         name: String,
         word: String,
     },
-    /// The settings that the node goes by.
+    /// The settings in force.
     Settings,
-    /// A word of whoever leads a rolling change; it stands in the body.
+    /// A request of a rollout's leader, which is in the body.
     Rollout,
+    /// Takes a backend out of service for maintenance, or puts it back.
     Maint {
         name: String,
         out: bool,
     },
-    /// Whether clients are to be sent away.
+    /// Starts or ends the draining of clients.
     Drain(bool),
 }
 
-/// Why a call is none.
+/// Why a request is invalid.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Refusal {
     NoSuchPath,
-    /// The method that would be right there.
+    /// The path exists with this method only.
     Method(&'static str),
 }
 
-/// What a method and a path ask for.
+/// Parses a method and a path.
 pub fn call(method: &Method, path: &str) -> Result<Call, Refusal> {
     let (call, right) = match path {
         "/healthcheck" => (Call::Ready, Method::GET),
@@ -84,7 +86,7 @@
 }
 
 impl Call {
-    /// Does what is asked, and says what is now so; nothing of a backend that was never listed.
+    /// Carries the request out and describes the new state; `None` if the backend was never listed.
     pub fn carry_out(&self, desk: &Desk, stop: &Stop) -> Option<String> {
         match self {
             Call::Ready
--- a/crates/node/src/bodies.rs
+++ b/crates/node/src/bodies.rs
@@ -1,5 +1,5 @@
-//! Bodies of commands and answers: read whole up to a window, past that passed on as they come, and counted for as
-//! long as any part of one is held.
+//! Bodies of requests and answers. They are buffered up to a window; what is larger is streamed. The memory
+//! of all bodies counts against one budget for as long as any part of it is held.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -16,16 +16,16 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, timeout_at, Instant, Sleep};
 
-/// Why a body could not be read.
+/// The reason why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
     TooLarge,
-    /// The node holds as many bytes as it may.
+    /// The node's memory budget for bodies is used up.
     NoRoom,
     Broken,
-    /// It does not get on.
+    /// It arrives too slowly.
     Late,
-    /// Nobody waits for it any more.
+    /// The command is no longer waiting for it.
     GivenUp,
 }
 
@@ -37,16 +37,16 @@
 
 impl std::error::Error for Unread {}
 
-/// The bytes that all bodies together may take. Shared by both directions.
+/// The memory budget of all bodies together, requests and answers.
 #[derive(Clone)]
 pub struct Room {
     most: usize,
     held: Arc<AtomicUsize>,
-    /// What the other process of this node holds.
+    /// Bytes held by the other process of this node.
     others: Arc<AtomicUsize>,
 }
 
-/// One body's bytes and its part of the room.
+/// The buffered bytes of one body, counted against the budget.
 struct Kept {
     bytes: Vec<u8>,
     room: Room,
@@ -75,7 +75,7 @@
     }
 }
 
-/// A part of the room that a body has for as long as it flows: what it holds of it at a time comes to no more.
+/// The reservation that a streaming body keeps in the budget: it never buffers more than this at a time.
 pub struct Window(Room, usize);
 
 impl Drop for Window {
@@ -87,22 +87,23 @@
 /// How a body is read.
 #[derive(Clone, Copy)]
 pub struct Reading {
-    /// Read whole up to here.
+    /// Bodies up to this many bytes are buffered completely.
     pub window: usize,
-    /// More than this is none.
+    /// The maximum size in bytes; larger bodies are rejected.
     pub most: usize,
-    /// How long it may be silent, and the bytes a second that give it more time until the window is full.
+    /// How long the sender may send nothing, and the minimum rate in bytes per second: until the window is
+    /// full, each received byte extends the deadline accordingly.
     pub silent: Duration,
     pub rate: usize,
-    /// So long after its first bytes it is passed on as it comes, if it has not come whole by then; none where it
-    /// is read up to the window in any case.
+    /// If the body is not complete this long after its first bytes, it is streamed from then on. With `None`
+    /// it is always buffered up to the window.
     pub early: Option<Duration>,
 }
 
-/// What has been read.
+/// The result of reading a body.
 pub enum Start {
     Whole(Bytes),
-    /// There is more of it than is held.
+    /// The body is larger than the window, or is streamed early.
     Flows(Flow),
 }
 
@@ -131,8 +132,8 @@
         Ok(Window(self.clone(), bytes))
     }
 
-    /// A body, or its start where there is more of it than a window. One that is told to be too large is refused
-    /// at once.
+    /// Reads a body, or the beginning of one that exceeds the window. A body whose announced length exceeds
+    /// the maximum is rejected at once.
     pub async fn read(
         &self,
         mut body: Incoming,
@@ -200,37 +201,40 @@
     }
 }
 
-/// How a body that flows has ended.
+/// How a streaming body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Over {
     Whole,
-    /// Whoever it comes from broke it off, or it was too large.
+    /// The sender broke it off, or it was too large.
     Broken,
 }
 
-/// A body that is passed on as it comes: whoever reads it slowly slows whoever writes it.
+/// A body that is passed on while it arrives. A slow reader slows down the sender (backpressure).
 pub struct Flow {
     first: Option<Bytes>,
-    /// Until it has ended.
+    /// `None` once the body has ended.
     rest: Option<Incoming>,
-    /// Whoever writes it is owed an answer, and reads it only if not cut off.
+    /// The sender is a client that is owed an answer. It reads the answer only if the body is drained rather
+    /// than cut off.
     linger: bool,
     passed: usize,
     most: usize,
     silent: Duration,
-    /// Since when whoever writes it has been waited for.
+    /// The timeout for the next data from the sender, started when the reader had to wait for it.
     since: Option<Pin<Box<Sleep>>>,
-    #[allow(dead_code, reason = "held for the room that it takes")]
+    #[allow(dead_code, reason = "held for its reservation in the memory budget")]
     window: Window,
-    /// Told how it ended, once.
+    /// Called once with how the body ended.
     over: Option<Box<dyn FnOnce(Over)>>,
-    /// What must live until it has ended.
+    /// Kept alive until the body has ended.
     kept: Option<Rc<dyn Any>>,
-    /// The connection that it comes on has been dropped: what then looks like its end is none.
+    /// The connection that carries it was dropped: an end of the body that is seen afterwards is not its
+    /// real end.
     cut: Rc<Cell<bool>>,
 }
 
-/// Whoever reads from a connection holds this; dropped with it, it cuts what was still coming.
+/// Held by the task that reads from the connection. When it is dropped with the connection, it marks the
+/// body as cut off.
 pub struct Cut(pub Rc<Cell<bool>>);
 
 impl Drop for Cut {
@@ -244,17 +248,17 @@
         self.over = Some(Box::new(over));
     }
 
-    /// Keeps something until it has ended.
+    /// Keeps a value alive until the body has ended.
     pub fn keep(&mut self, kept: Rc<dyn Any>) {
         self.kept = Some(kept);
     }
 
-    /// To be dropped with the connection that it comes on.
+    /// Returns a guard that must be dropped together with the connection that carries the body.
     pub fn cut(&self) -> Cut {
         Cut(self.cut.clone())
     }
 
-    /// How long whoever writes it may be silent, and whether it is a client.
+    /// Sets how long the sender may send nothing, and whether the sender is a client.
     pub fn patience(&mut self, silent: Duration, client: bool) {
         (self.silent, self.linger) = (silent, client);
     }
@@ -275,10 +279,12 @@
     }
 }
 
-/// How long a body is read on after its command has been answered: an honest one of a few hundred kB takes as long.
+/// How long a body is drained after its command was answered; a well-behaved client needs this long for a
+/// few hundred kB.
 const LINGER: Duration = Duration::from_secs(5);
 
-/// Reads on and drops what comes: a connection that is closed with something unread takes the answer with it.
+/// Reads and discards the rest of a body. If the connection were closed with unread data, the kernel would
+/// reset it and the client would lose the answer.
 fn linger(mut body: Incoming) {
     let rest = async move { while let Some(Ok(_)) = body.frame().await {} };
     drop(tokio::task::spawn_local(timeout(LINGER, rest)));
@@ -322,7 +328,7 @@
                 }
                 Some(Ok(frame)) => frame.into_data(),
             };
-            // Trailers belong to the connection that they came on.
+            // Trailers apply only to the connection on which they arrived.
             let Ok(data) = data else { continue };
             self.passed += data.len();
             if self.passed > self.most {
@@ -345,7 +351,7 @@
     }
 }
 
-/// A body as it goes out, on either side.
+/// An outgoing body, to a backend or to a client.
 pub enum Out {
     Whole(Full<Bytes>),
     Flows(Flow),
--- a/crates/node/src/client_connections.rs
+++ b/crates/node/src/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections from clients that are here, and what is open on each of them.
+//! The open connections from clients, and which requests and commands are in progress on each of them.
 
 use crate::limits::Limits;
 use slab::Slab;
@@ -12,48 +12,57 @@
 /// A connection from a client.
 pub struct Guest {
     guests: Rc<Guests>,
+    /// Commands in flight on this connection.
     pub commands: Cell<usize>,
-    /// Heads that hyper has handed on, and which of them told two lengths.
+    /// The number of request heads that hyper has delivered, and the number of the first head that stated
+    /// two body lengths.
     heads: Cell<usize>,
     pub clash: Cell<Option<usize>>,
-    /// Heads that hyper has handed on and that are not answered, and whether part of another is here.
+    /// The number of requests that hyper has delivered and that are not answered yet, and whether part of a
+    /// further request was received.
     open: Cell<usize>,
     pub part: Cell<bool>,
-    /// A whole command has come on it.
+    /// A complete command has been received on it.
     known: Cell<bool>,
     idle_since: Cell<Instant>,
     pub came: Instant,
-    /// Whoever drives it is to look at it again: at what follows, and whether it is blind.
+    /// Notifies the connection's task to check its state again: what follows the current request, and
+    /// whether it can still detect the client's close.
     pub look: Notify,
-    /// To be closed once what is in hand is answered.
+    /// Close the connection once the commands in flight are answered.
     pub close: Cell<bool>,
-    /// What its client has sent may lie unread, and with it the client's end; that was seen all the same.
+    /// Data from the client may be waiting unread, which hides the client's close behind it; and whether
+    /// that close was detected nevertheless.
     unread: Cell<bool>,
     pub gone: Cell<bool>,
-    /// Who reads it, to be told when what was kept behind a command may be handed on.
+    /// The waker of the task that reads from it, woken when the data held back behind a command may be
+    /// delivered.
     reader: Cell<Option<Waker>>,
-    /// Since when its client has not read on, and something is still to be written to it.
+    /// Since when the client has accepted no data although some is waiting to be written.
     stuck: Cell<Option<Instant>>,
-    /// To be closed, even in the middle of a head that does not get on.
+    /// Close the connection even in the middle of a head that makes no progress.
     pub evicted: Cell<bool>,
 }
 
 #[derive(Default)]
 pub struct Guests {
     pub here: RefCell<Slab<Rc<Guest>>>,
-    /// Commands in hand, over all connections.
+    /// Commands in flight on all connections.
     pub commands: Cell<usize>,
-    /// Connections that have had a command.
+    /// The number of connections that have received a command.
     pub known: Cell<usize>,
+    /// Notified when a connection has ended.
     pub left: Notify,
 }
 
+/// Keeps a command counted as in flight while it exists.
 pub struct Busy(Rc<Guest>);
 
+/// Keeps a request counted as unanswered while it exists.
 pub struct Open(Rc<Guest>);
 
 impl Guests {
-    /// Whether an answer is owed on any of them (`Guest::owed`).
+    /// Whether an answer is owed on any connection (see `Guest::owed`).
     pub fn owed(&self, most: Duration) -> bool {
         self.here.borrow().iter().any(|(_, guest)| guest.owed(most))
     }
@@ -83,14 +92,15 @@
         }
     }
 
-    /// A head has been read. False if it told two lengths, so that nobody knows where its command ends.
+    /// Records that hyper has delivered a head. Returns false if it stated two body lengths, so that the end
+    /// of its body is ambiguous.
     pub fn head(&self) -> bool {
         self.heads.set(self.heads.get() + 1);
         self.idle_since.set(Instant::now());
         self.clash.get() != Some(self.heads.get())
     }
 
-    /// When it has been silent, or in the middle of a head, for too long.
+    /// When the connection will have been idle, or stuck in the middle of a head, for too long.
     pub fn due(&self, limits: &Limits) -> Instant {
         match self.known.get() {
             true => self.idle_since.get() + limits.guest_idle,
@@ -98,7 +108,7 @@
         }
     }
 
-    /// Has it end once what is in hand is answered.
+    /// Closes the connection once the commands in flight are answered.
     pub fn close(&self) {
         self.close.set(true);
         self.look.notify_one();
@@ -109,19 +119,20 @@
         self.close();
     }
 
-    /// Something from its client is open on it for as long as this lives.
+    /// Counts a request as unanswered for as long as the returned guard exists.
     pub fn open(self: &Rc<Guest>) -> Open {
         self.open.set(self.open.get() + 1);
         Open(self.clone())
     }
 
-    /// Of so many heads that have been read, the last one's command is not answered: hyper has still to hand it on, its
-    /// answer is not made, or still flows.
+    /// Given the number of heads that were read, whether the last one is not answered yet: hyper has still
+    /// to deliver it, its answer is not ready, or the answer is still streaming.
     pub fn in_hand(&self, heads: usize) -> bool {
         self.heads.get() < heads || self.open.get() > 0 || self.commands.get() > 0
     }
 
-    /// Tells this one once the command in hand is answered: hyper takes it that whoever has nothing to read does so.
+    /// Wakes this reader once the command in flight is answered: hyper assumes that a reader that returned
+    /// no data will wake it.
     pub fn when_answered(&self, reader: &Waker) {
         self.reader.set(Some(reader.clone()));
     }
@@ -132,38 +143,38 @@
         }
     }
 
-    /// Whether something may lie unread from now on.
+    /// Records whether unread data may be waiting from now on.
     pub fn unread(&self, may: bool) {
         self.unread.set(may);
     }
 
-    /// A command is in hand, and its client's end would not be read.
+    /// A command is in flight, and the client's close would not be detected.
     pub fn blind(&self) -> bool {
         self.unread.get() && self.commands.get() > 0
     }
 
-    /// Whether its client would not take all that was written just now.
+    /// Records whether the client has accepted all data of the latest write.
     pub fn writes(&self, stuck: bool) {
         self.stuck.set(stuck.then(|| self.stuck.get().unwrap_or_else(Instant::now)));
     }
 
-    /// An answer is owed on it: its command is in hand, or its client still has to read the rest of it, for which it
-    /// has so long.
+    /// Whether an answer is owed: a command is in flight, or the client still has to read the rest of an
+    /// answer and has not been stalled for this long yet.
     pub fn owed(&self, most: Duration) -> bool {
         self.commands.get() > 0 || self.stuck.get().is_some_and(|since| since.elapsed() < most)
     }
 
-    /// Part of a command is here, or all of one that is not answered.
+    /// Part of a request was received, or all of one that is not answered.
     fn begun(&self) -> bool {
         self.open.get() > 0 || self.part.get()
     }
 
-    /// Nothing that its client has sent is lost when it ends now.
+    /// Whether closing the connection now loses nothing that the client has sent.
     pub fn idle(&self, least: Duration) -> bool {
         !self.begun() && self.commands.get() == 0 && self.idle_since.get().elapsed() >= least
     }
 
-    /// A command is on it for as long as this lives.
+    /// Counts a command as in flight for as long as the returned guard exists.
     pub fn busy(self: &Rc<Guest>) -> Busy {
         if !self.known.replace(true) {
             self.guests.known.set(self.guests.known.get() + 1);
@@ -173,13 +184,13 @@
         Busy(self.clone())
     }
 
-    /// Whether there are more connections than are to be kept.
+    /// Whether there are more connections than may be kept open between commands.
     pub fn crowded(&self, limits: &Limits) -> bool {
         self.guests.known.get() > limits.kept_sockets()
             || self.guests.here.borrow().len() > limits.client_sockets()
     }
 
-    /// Whether there are more commands in hand than there is room for.
+    /// Whether there are more commands in flight than are allowed.
     pub fn full(&self, limits: &Limits) -> bool {
         self.guests.commands.get() > limits.client_sockets()
     }
@@ -210,15 +221,15 @@
     }
 }
 
-/// Closes the connection that has been idle for longest, if any is: first of those with nothing of a command on them,
-/// and of those on which no command has come yet. One that has just come is not idle: it would be closed with its first
-/// command unread.
+/// Closes the connection that has been idle longest, if there is one. Connections on which nothing of a
+/// request was received come first, and among those the ones that never had a command. A connection that was
+/// just accepted does not count as idle, because it would be closed before its first command is read.
 pub fn close_idle(guests: &Slab<Rc<Guest>>, least: Duration) {
     let idle = guests.iter().map(|(_, g)| g).filter(|g| g.commands.get() == 0 && g.stuck.get().is_none());
     let idle = idle.filter(|g| g.idle_since.get().elapsed() >= least);
-    // Whoever has sent part of a command goes last: the rest may be on its way.
+    // Connections with part of a request come last, because the rest may be on its way.
     if let Some(guest) = idle.min_by_key(|g| (g.begun(), g.known.get(), g.idle_since.get())) {
-        // Looked at again only after it had the time to go.
+        // This resets the idle time, so that the connection is not picked again before it had time to close.
         guest.idle_since.set(Instant::now());
         guest.evict();
     }
--- a/crates/node/src/client_service.rs
+++ b/crates/node/src/client_service.rs
@@ -1,4 +1,5 @@
-//! What a client sends: routes it, reads a command's head and body, and refuses what is not one.
+//! The service that handles client requests: routes them, reads a command's head and body, and rejects
+//! invalid requests.
 
 use crate::bodies::{Start, Unread};
 use crate::client_connections::Guest;
@@ -31,7 +32,7 @@
 const REPEAT: &str = "x-repeat";
 const FACTS: &str = "x-facts";
 
-/// The node as a service: one for each connection.
+/// The node as a `tower` service; each connection has its own.
 #[derive(Clone)]
 pub struct Intake {
     pub node: Rc<Node>,
@@ -54,9 +55,9 @@
         Box::pin(async move {
             let mut reply = match clear {
                 true => node.answer(&guest, request).await,
-                false => plain(StatusCode::BAD_REQUEST, "two lengths"),
+                false => plain(StatusCode::BAD_REQUEST, "ambiguous body length"),
             };
-            // Where a client got one thing wrong, what stands behind it may be anything.
+            // After a client error the boundaries of what follows on the connection cannot be trusted.
             let wrong = reply.status().is_client_error();
             if wrong || guest.crowded(&node.limits) || node.stop.leaving() {
                 reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -72,7 +73,7 @@
         match request.uri().path() {
             "/up" if request.method() == Method::GET => {
                 return match self.stop.leaving() || !self.desk.told() {
-                    true => plain(StatusCode::SERVICE_UNAVAILABLE, "not taking commands"),
+                    true => plain(StatusCode::SERVICE_UNAVAILABLE, "not accepting commands"),
                     false => plain(StatusCode::OK, "up"),
                 };
             }
@@ -86,21 +87,22 @@
         };
         let left = command.ends.since(command.arrived);
         let (head, body) = request.into_parts();
-        // At a stop what is still to come then would not be answered in time.
+        // During a stop the rest of the body would arrive too late for an answer.
         let given_up = self.stop.past(self.limits.idle_on);
         let body = match self.room.read(body, self.limits.commands, given_up).await {
             Ok(body) => body,
             Err(Unread::TooLarge) => return plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large"),
-            Err(Unread::Broken) => return plain(StatusCode::BAD_REQUEST, "body broken off"),
-            // It was never launched: a turn-back is true.
-            Err(Unread::NoRoom) => return plain(StatusCode::SERVICE_UNAVAILABLE, "too many bytes held"),
+            Err(Unread::Broken) => return plain(StatusCode::BAD_REQUEST, "body was not received completely"),
+            // No launch was made, so the command certainly has not run.
+            Err(Unread::NoRoom) => return plain(StatusCode::SERVICE_UNAVAILABLE, "body memory exhausted"),
             Err(Unread::GivenUp) => return plain(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
-            Err(Unread::Late) => return plain(StatusCode::REQUEST_TIMEOUT, "body not here in time"),
+            Err(Unread::Late) => return plain(StatusCode::REQUEST_TIMEOUT, "body was not received in time"),
         };
-        // Taken from here on: now nothing closes its connection before its answer is out.
+        // From here on the command is accepted, and its connection is not closed before the answer is
+        // written.
         let busy = guest.busy();
         if guest.full(&self.limits) {
-            // It was never launched: a turn-back is true.
+            // No launch was made, so the command certainly has not run.
             return plain(StatusCode::SERVICE_UNAVAILABLE, "too many commands");
         }
         let ticket = match &self.sites {
@@ -110,12 +112,13 @@
                 let known = names.known(command.profile).map(|(name, profile)| (name, profile.goal_time));
                 match known.map_or(Ok(None), |(name, goal)| sites.ask(name, goal, guest.came)) {
                     Ok(ticket) => ticket,
-                    // It was never launched: a turn-back is true.
+                    // No launch was made, so the command certainly has not run.
                     Err(span) => return turn_back(span),
                 }
             }
         };
-        // Its time counts from its last byte; from here if that is still to come, and again from there.
+        // The command's time counts from its last byte: from now if the body is complete, otherwise from now
+        // and again when the last byte arrives.
         command.arrived = self.desk.clock.now();
         command.ends = command.arrived + left;
         let path = head.uri.path_and_query().cloned().unwrap_or_else(|| PathAndQuery::from_static("/api"));
@@ -127,7 +130,7 @@
             Start::Flows(mut flow) => {
                 flow.patience(self.limits.body_silent, true);
                 command.coming = true;
-                // hyper drops this future with the connection, and the rest of the body with it.
+                // When the connection closes, hyper drops this future together with the rest of the body.
                 _cut = Some(flow.cut());
                 guest.look.notify_one();
                 Load::Flows(RefCell::new(Some(flow)))
@@ -137,28 +140,30 @@
         serve(self, command, id, cargo, (busy, ticket)).await
     }
 
-    /// The few fields that the decisions need.
+    /// Parses the few header fields that the balancer's decisions need.
     fn command(&self, method: &Method, headers: &HeaderMap) -> Result<Command, String> {
         let text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
         if text(ID).is_none_or(str::is_empty) || headers.get_all(ID).iter().count() != 1 {
-            return Err(format!("{ID} is missing, or there are more of them"));
+            return Err(format!("{ID} must be present exactly once"));
         }
         let name = text(PROFILE).ok_or_else(|| format!("{PROFILE} is missing"))?;
         let names = self.desk.names();
-        let (profile, by) = names.profile(name).ok_or_else(|| format!("{PROFILE} is unknown"))?;
+        let (profile, by) =
+            names.profile(name).ok_or_else(|| format!("{PROFILE} is not a configured profile"))?;
         if method != Method::GET && method != Method::POST {
-            return Err("only GET and POST are commands".into());
+            return Err("a command must use the method GET or POST".into());
         }
-        // Without its tag a repeat would not be known as one.
+        // Without its key a repeat could not be recognized as one.
         if by.effect == Effect::Tagged && text(TAG).is_none_or(str::is_empty) {
             return Err(format!("{TAG} is missing"));
         }
         let left = text(TIME_LEFT).ok_or_else(|| format!("{TIME_LEFT} is missing"))?;
-        let left: u64 = left.parse().map_err(|_| format!("{TIME_LEFT} is not whole milliseconds"))?;
+        let left: u64 =
+            left.parse().map_err(|_| format!("{TIME_LEFT} is not a whole number of milliseconds"))?;
         let left = Duration::from_millis(left).min(self.limits.longest_command);
         let now = self.desk.clock.now();
         let mut command = Command::new(CommandId(0), profile, now, Span(left.as_micros() as u64));
-        // A guess that cannot be read is none.
+        // A hint that cannot be parsed is ignored.
         command.hint = text(HINT).and_then(|h| h.parse().ok()).map(Span);
         command.repeat = text(REPEAT) == Some("1");
         command.key = text(FACTS).map_or(0, key);
@@ -166,8 +171,8 @@
     }
 }
 
-/// What the command is about, of its further facts (`name=value,name=value`): the same number for the same key
-/// at every node; 0 where there is none.
+/// A hash of the `nameKey` among the command's further facts (`name=value,name=value`). It is the same at
+/// every node for the same key; 0 means that there is no key.
 fn key(facts: &str) -> u64 {
     let pairs = facts.split(',').filter_map(|pair| pair.split_once('='));
     let key = pairs.filter(|(name, _)| name.trim() == "nameKey").map(|(_, value)| value.trim()).next();
@@ -178,7 +183,8 @@
 mod tests {
     use super::key;
 
-    /// Nodes that read another key, or none, would each go their own way with it.
+    /// If nodes parsed different keys from the same header, or none, they would send related commands to
+    /// different backends.
     #[test]
     fn keys_among_the_facts() {
         let same = key("nameKey=5c0f");
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! What the node is told at start: the variables, and the file they name.
+//! The configuration of the node: environment variables, and the file that they name.
 
 use crate::limits::Limits;
 use crate::names::Names;
@@ -12,30 +12,33 @@
 use yarrowfront_view::terms::ViewTerms;
 
 pub struct Start {
+    /// The complete configuration of a process.
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// A folder that the node's processes share, if there is one.
+    /// A directory that the node's processes share, if there is one.
     pub folder: Option<String>,
-    /// Where operators call.
+    /// The address for operators' requests.
     pub admin: Option<SocketAddr>,
     pub seed: u64,
     pub terms: Terms,
     pub names: Names,
     pub limits: Limits,
-    /// The list as this node last had it.
+    /// The list as this node last had it, as a cache for the start.
     pub known: Option<Value>,
-    /// The operators' file of the view of the fleet, where one is named: without it there is none.
+    /// The operators' file for the fleet view, if one is named; without it the node keeps no view.
     pub view: Option<ViewTerms>,
-    /// The operators' file of rolling changes, where one is named: without it nothing is counted or taken on trial.
+    /// The operators' file for rollouts, if one is named; without it the node keeps no statistics and
+    /// accepts no trial settings.
     pub trial: Option<TrialTerms>,
-    /// The operators' plan for the loss of sites, where one is named: without it everything is let in.
+    /// The operators' site failover plan, if one is named; without it the node admits every command.
     pub sites: Option<Plan>,
-    /// All of the file, to tell what another one changes.
+    /// The whole file, to determine later what a new one changes.
     pub file: Value,
 }
 
-/// The program's version, with a label that its operators give it (`ROUTER_BUILD`), to tell two builds apart.
+/// The program's version with an optional label from its operators (`ROUTER_BUILD`), which tells two builds
+/// of a version apart.
 pub fn build() -> String {
     let label = std::env::var("ROUTER_BUILD").ok().filter(|label| !label.is_empty());
     let version = env!("CARGO_PKG_VERSION");
@@ -44,38 +47,38 @@
     })
 }
 
-/// Walks down to a value and names the key if it isn't there.
+/// Looks up a value by a dotted path; the error names the path.
 pub fn at<'a>(value: &'a Value, path: &str) -> Result<&'a Value, String> {
     let found = path.split('.').try_fold(value, |v, key| v.get(key));
     found.filter(|v| !v.is_null()).ok_or_else(|| format!("{path} is missing"))
 }
 
 fn text(value: &Value, path: &str) -> Result<String, String> {
-    at(value, path)?.as_str().map(str::to_owned).ok_or_else(|| format!("{path} is not a text"))
+    at(value, path)?.as_str().map(str::to_owned).ok_or_else(|| format!("{path} is not a string"))
 }
 
 fn address(text: &str, path: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{path} is not an address with a port: {text}"))
+    text.parse().map_err(|_| format!("{path} is not an IP address with a port: {text}"))
 }
 
 fn number(value: &Value, path: &str) -> Result<f64, String> {
     let n = at(value, path)?.as_f64().filter(|n| (1.0..1e15).contains(n));
-    n.ok_or_else(|| format!("{path} is not a number from 1 on"))
+    n.ok_or_else(|| format!("{path} is not a number of at least 1"))
 }
 
 fn nanos(value: &Value, path: &str) -> Result<Duration, String> {
     number(value, path).map(|n| Duration::from_nanos(n as u64))
 }
 
-/// The texts of a list, or of one key of its objects; none where there is no such list.
+/// The strings in an array, or under one key of its objects. An absent array counts as empty.
 fn texts(value: &Value, path: &str, key: Option<&str>) -> Result<Vec<String>, String> {
     let Ok(list) = at(value, path) else { return Ok(Vec::new()) };
-    let list = list.as_array().ok_or_else(|| format!("{path} is not a list"))?;
+    let list = list.as_array().ok_or_else(|| format!("{path} is not an array"))?;
     let item = |(i, v): (usize, &Value)| {
         let v = key.map_or(Some(v), |k| v.get(k));
         v.and_then(Value::as_str).map(str::to_owned).ok_or_else(|| match key {
-            Some(key) => format!("{path}[{i}].{key} is not a text"),
-            None => format!("{path}[{i}] is not a text"),
+            Some(key) => format!("{path}[{i}].{key} is not a string"),
+            None => format!("{path}[{i}] is not a string"),
         })
     };
     let found: Vec<String> = list.iter().enumerate().map(item).collect::<Result<_, String>>()?;
@@ -85,7 +88,7 @@
     }
 }
 
-/// The operators' file of the view, with the seeds that a file of their own names.
+/// The operators' file for the fleet view, with the seeds from their separate file, if it names one.
 fn view(path: &str) -> Result<ViewTerms, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("fleet: {path}: {e}"))?;
     let mut view = ViewTerms::from_toml(&text).map_err(|why| format!("fleet: {path}: {why}"))?;
@@ -95,19 +98,19 @@
     Ok(view)
 }
 
-/// The operators' file of rolling changes.
+/// The operators' file for rollouts.
 fn trial(path: &str) -> Result<TrialTerms, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("rollout: {path}: {e}"))?;
     TrialTerms::from_toml(&text).map_err(|why| format!("rollout: {path}: {why}"))
 }
 
-/// The operators' plan for the loss of sites.
+/// The operators' site failover plan.
 fn plan(path: &str) -> Result<Plan, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("sites: {path}: {e}"))?;
     Plan::from_toml(&text).map_err(|why| format!("sites: {path}: {why}"))
 }
 
-/// One address a line; empty lines and those that begin with `#` say nothing.
+/// One address per line; empty lines and lines that begin with `#` are ignored.
 pub fn seeds(path: &str) -> Result<Vec<SocketAddr>, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("seeds_file: {path}: {e}"))?;
     let lines = text.lines().map(str::trim).enumerate();
@@ -125,9 +128,9 @@
         Start::of(file, variable)
     }
 
-    /// The same of a file that is read already.
+    /// The same for a file that has been parsed already.
     pub fn of(file: Value, variable: impl Fn(&str) -> Option<String>) -> Result<Start, String> {
-        // A variable that is set goes before the file: the two say the same unless somebody means it.
+        // An environment variable takes precedence over the file: they differ only if somebody intends it.
         let told = |name: &str, key: &str| match variable(name) {
             Some(text) => Ok((text, name.to_owned())),
             None => text(&file, key).map(|text| (text, key.to_owned())),
@@ -143,7 +146,7 @@
         };
         let admin = admin.map(|(text, key)| address(&text, &key).map(|at| (at, key))).transpose()?;
         if let Some((_, key)) = admin.as_ref().filter(|(at, _)| *at == listen) {
-            return Err(format!("{key} is where clients connect: {listen}"));
+            return Err(format!("{key} must differ from the listening address for clients: {listen}"));
         }
         let admin = admin.map(|(at, _)| at);
         let seed = text(&file, "seed")?;
@@ -169,7 +172,8 @@
             nanos(&file, "settings.limits.connIdle")?,
             Duration::from_micros(longest.0),
         )?;
-        // The pool lets go of connections before their backend does: only those it has count.
+        // The pool closes idle connections before their backend does, so its idle timeout is the one that
+        // counts.
         terms.conn_idle = Span(limits.backend_idle.get().as_micros() as u64);
         let known = file.get("known").filter(|k| !k.is_null()).cloned();
         let folder = variable("TMPDIR");
@@ -186,7 +190,7 @@
             false => None,
         };
         if trial.is_some() && admin.is_none() {
-            return Err("rollout: nobody can call without an admin address".to_owned());
+            return Err("rollout: an admin address is required".to_owned());
         }
         Ok(Start {
             name,
--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -1,5 +1,6 @@
-//! Counts of this node's work in steps of a second, by which a rolling change compares it with the others. Kept only
-//! where an operators' file asks for it; bounded by the seconds kept and by `PROFILES`.
+//! Statistics of this node's work in intervals of one second, by which a rollout compares nodes with each
+//! other. Kept only if a rollout file is configured. Their size is bounded by the number of seconds kept and
+//! by the maximum number of profiles.
 
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
@@ -10,13 +11,13 @@
 use yarrowfront::terms::{Effect, Profile};
 use yarrowfront::times::{Moment, Span};
 
-/// Of what is told, and of the words of a rolling change.
+/// The version of the statistics' format and of the rollout requests.
 pub const VERSION: u32 = 1;
-/// Profiles that are counted by name; what comes under a further one is counted as `OTHERS`.
+/// The number of profiles that are counted by name; all others are counted together as `OTHERS`.
 const PROFILES: usize = 32;
 const OTHERS: &str = "(others)";
-/// A second's times are held in buckets of an eighth of a doubling each, from 32 us to two minutes: those of several
-/// nodes are added bucket by bucket, and a quantile is told to a tenth.
+/// Latencies are kept per second in logarithmic buckets, eight per doubling, from 32 us to two minutes. The
+/// buckets of several nodes can be added up, and a quantile is accurate to a tenth.
 const PARTS: f64 = 8.0;
 const FIRST: f64 = 32.0;
 const BUCKETS: usize = 176;
@@ -27,11 +28,11 @@
     Finished,
     TurnedBack,
     Errored,
-    /// Its client went before it had an answer.
+    /// The client disconnected before it had an answer.
     Left,
 }
 
-/// Of one profile, or of all.
+/// The counters of one profile, or of all profiles.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Tally {
     taken: u32,
@@ -40,10 +41,11 @@
     turned_back: u32,
     errored: u32,
     left: u32,
-    /// Payoff of the commands that have ended, and of those within the goal time.
+    /// The payoff of all commands that have ended, and of those that were answered within the goal time.
     asked: f64,
     served: f64,
-    /// Launches, those beyond each command's first, and those of what may run once after one that may have run.
+    /// All launches, those beyond each command's first, and those of once-only commands after a launch that
+    /// may have run.
     launches: u32,
     extra: u32,
     twice: u32,
@@ -70,7 +72,7 @@
     }
 }
 
-/// Launches by how they ended, in the order of `WORDS`.
+/// The number of launches by outcome, in the order of `WORDS`.
 type Outcomes = [u32; 8];
 const WORDS: [&str; 8] =
     ["finished", "errored", "full", "timed_out", "unreachable", "broken", "cancelled", "unsent"];
@@ -90,14 +92,14 @@
 
 #[derive(Default)]
 struct Second {
-    /// Of Unix time.
+    /// In seconds of Unix time.
     at: u64,
     by: Vec<Tally>,
     outcomes: Outcomes,
     connections: u32,
     probes: u32,
     lists: u32,
-    /// Times of the finished, as (bucket, count) in the order of buckets.
+    /// Latencies of the finished commands, as pairs of bucket and count, sorted by bucket.
     times: Vec<(u8, u32)>,
 }
 
@@ -109,7 +111,7 @@
     connections: u64,
     probes: u64,
     lists: u64,
-    /// Since the start, mergeable with others of its kind; microseconds.
+    /// Latencies since the start in microseconds; histograms of several nodes can be merged.
     times: Histogram<u32>,
 }
 
@@ -123,13 +125,13 @@
     steps.min((BUCKETS - 1) as f64) as u8
 }
 
-/// Where a bucket begins, in microseconds.
+/// The lower bound of a bucket in microseconds.
 fn begins(bucket: u8) -> u64 {
     (FIRST * (f64::from(bucket) / PARTS).exp2()) as u64
 }
 
 impl Counts {
-    /// Keeps so many of the last seconds.
+    /// Keeps the statistics of this many seconds.
     pub fn new(kept: usize) -> Counts {
         let times =
             Histogram::new_with_bounds(32, 120_000_000, 2).unwrap_or_else(|_| unreachable!("good bounds"));
@@ -146,7 +148,7 @@
         Counts { kept, inner: RefCell::new(inner) }
     }
 
-    /// The second that it is now, and all of the tallies beside it.
+    /// Calls a function with the inner state, which then has an entry for the present second.
     fn now<T>(&self, now: Moment, call: impl FnOnce(&mut Inner) -> T) -> T {
         let inner = &mut *self.inner.borrow_mut();
         let at = now.0 / 1_000_000;
@@ -176,7 +178,8 @@
         self.tally(now, profile, |tally| tally.taken += 1);
     }
 
-    /// A launch goes out; `extra` beyond the command's first, `twice` if what may run once may have run already.
+    /// Counts a launch; `extra` if it is not the command's first, `twice` if the command is once-only and
+    /// may have run already.
     fn launched(&self, now: Moment, profile: &str, extra: bool, twice: bool) {
         self.tally(now, profile, |tally| {
             tally.launches += 1;
@@ -185,12 +188,12 @@
         });
     }
 
-    /// A command is over, by its answer or without one.
+    /// Counts a command that has ended, with or without an answer.
     fn ended(&self, now: Moment, name: &str, (payoff, goal): (f64, Span), arrived: Moment, end: End) {
         let took = now.since(arrived);
         self.tally(now, name, |tally| {
             let in_goal = end == End::Finished && took <= goal;
-            // A client that went of its own accord has asked for nothing that could be served.
+            // A client that has given up has no payoff to serve any more.
             tally.asked += if end == End::Left { 0.0 } else { payoff };
             tally.served += if in_goal { payoff } else { 0.0 };
             match end {
@@ -245,8 +248,8 @@
         });
     }
 
-    /// All since the start, and the whole seconds after that one. Times in microseconds: of a second as pairs of a
-    /// bucket's beginning and how many are in it.
+    /// Totals since the start, and every complete second after the given one. Latencies are in microseconds;
+    /// those of a second are pairs of a bucket's lower bound and its count.
     pub fn told(&self, now: Moment, after: u64) -> Value {
         let inner = self.inner.borrow();
         let by = |tallies: &[Tally]| -> Value {
@@ -279,7 +282,7 @@
     }
 }
 
-/// What is counted of one command.
+/// Records the statistics of one command.
 pub struct Account {
     counts: Rc<Counts>,
     name: String,
@@ -288,7 +291,7 @@
     once: bool,
     launched: u32,
     out: u32,
-    /// A launch of it has ended in a way that does not prove that it never ran.
+    /// A launch has ended whose outcome does not prove that it never ran.
     ran: bool,
     over: bool,
 }
@@ -301,20 +304,21 @@
         Account { counts, name: name.to_owned(), payoff, goal, once, launched, out, ran, over }
     }
 
-    /// A launch of it goes out.
+    /// Counts a launch that is sent.
     pub fn launched(&mut self, now: Moment) {
         let twice = self.once && (self.ran || self.out > 0);
         self.counts.launched(now, &self.name, self.launched > 0, twice);
         (self.launched, self.out) = (self.launched + 1, self.out + 1);
     }
 
-    /// A launch of it has ended; with what that proves of whether it ran.
+    /// Records the end of a launch and whether it proves that the backend did not run the command.
     pub fn outcome(&mut self, proves_not_run: bool) {
         self.out = self.out.saturating_sub(1);
         self.ran |= !proves_not_run;
     }
 
-    /// Its client has its answer, or has gone. What is said after the first time counts for nothing.
+    /// Counts the end of the command: the client has its answer or has disconnected. Only the first call
+    /// counts.
     pub fn over(&mut self, now: Moment, arrived: Moment, end: End) {
         if !std::mem::replace(&mut self.over, true) {
             self.counts.ended(now, &self.name, (self.payoff, self.goal), arrived, end);
@@ -337,14 +341,14 @@
     }
 }
 
-/// What the process takes of its machine: memory in kB, open descriptors, CPU time in milliseconds since its start.
-/// What cannot be read is 0.
+/// The resident memory in kB, the number of open file descriptors, and the CPU time in milliseconds since
+/// the start. A value that cannot be read is 0.
 pub fn taken() -> (u64, usize, u64) {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
     let memory = memory.trim().trim_end_matches(" kB").parse().unwrap_or(0);
     let descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, |dir| dir.count().saturating_sub(1));
-    // Nanoseconds on a CPU: one thread does all the work.
+    // The time on a CPU in nanoseconds. The file covers the main thread, which does all the work.
     let schedstat = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     let cpu: u64 = schedstat.split(' ').next().and_then(|ns| ns.parse().ok()).unwrap_or(0);
     (memory, descriptors, cpu / 1_000_000)
@@ -355,8 +359,9 @@
     use super::*;
     use yarrowfront::terms::Among;
 
-    /// A second is told once it is over and only once, its counts sum to the total, and old ones are forgotten: a rolling
-    /// change that read a half second, or one twice, would compare what was never there.
+    /// Each second is reported once, after it is complete; its counters add up to the totals, and old
+    /// seconds are dropped. A rollout that read an incomplete second, or one second twice, would compare
+    /// wrong figures.
     #[test]
     fn seconds_add_up() {
         let counts = Counts::new(5);
@@ -385,8 +390,9 @@
         assert_eq!(seconds[1]["times"], json!([]));
     }
 
-    /// What may run once and is launched again after it may have run is a broken rule, which stops a rolling change at
-    /// once; a launch that never ran, and one of what may run often, is none.
+    /// A once-only command that is launched again after it may have run violates a guarantee, which stops a
+    /// rollout at once. A launch that never ran, or a second launch of a repeatable command, must not count
+    /// as a violation.
     #[test]
     fn second_runs() {
         let cases = [
@@ -415,7 +421,8 @@
         }
     }
 
-    /// What a command's counts take: `cargo test --release -p yarrowfront-node --lib -- --ignored --nocapture`.
+    /// Measures the cost of the statistics per command: `cargo test --release -p yarrowfront-node --lib --
+    /// --ignored --nocapture`.
     #[test]
     #[ignore = "measures"]
     fn what_it_costs() {
@@ -425,7 +432,7 @@
         let (counts, many) = (Rc::new(Counts::new(300)), 1_000_000u64);
         let start = std::time::Instant::now();
         for number in 0..many {
-            // Two thousand commands a second, of four profiles.
+            // Two thousand commands per second with four profiles.
             let now = Moment(number * 500);
             let name = ["list", "book", "pay", "count"][number as usize % 4];
             let mut account = Account::open(counts.clone(), now, name, &profile);
@@ -437,7 +444,8 @@
         println!("{:.0} ns a command", start.elapsed().as_nanos() as f64 / many as f64);
     }
 
-    /// Names by the thousand, and times of any length, take no more room than stated.
+    /// Neither thousands of profile names nor extreme latencies may take more memory than the documented
+    /// bounds.
     #[test]
     fn bounded() {
         let counts = Counts::new(3);
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -1,5 +1,6 @@
-//! Owns the decision module and the commands in hand. Every call goes straight through; what the module wants
-//! besides is handed on as errands. No borrow lasts beyond a call.
+//! Owns the balancer (the decision module) and the commands in flight. Each call goes straight to the
+//! balancer; the actions that it requests in return are sent to a queue. No borrow of the inner state lasts
+//! longer than one call, so none is held across an await.
 
 use crate::counts::{Account, Counts};
 use crate::launch_types::Done;
@@ -21,7 +22,8 @@
 use yarrowfront::terms::Terms;
 use yarrowfront::times::{Moment, Span};
 
-/// Unix time at start and a monotonic clock from there: a list's start times compare, and nothing runs back.
+/// The Unix time at process start plus the monotonic time since then: start times in the list are Unix times
+/// and can be compared with it, and it never goes backwards.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix: u64,
@@ -38,7 +40,7 @@
         Moment(self.unix + self.start.elapsed().as_micros() as u64)
     }
 
-    /// When the process began.
+    /// The time at which the process started.
     pub fn began(&self) -> Moment {
         Moment(self.unix)
     }
@@ -48,16 +50,19 @@
     }
 }
 
-/// A line of the list as the module takes it, and where that backend is; none for one that is gone.
+/// One entry of the list as the balancer takes it, and the address of its backend; `None` for a backend that
+/// is gone.
 pub type Line = (Listed, Option<SocketAddr>);
 
+/// A command that was accepted and is not finished yet.
 struct InHand {
     command: Command,
-    /// What its client calls it.
+    /// The client's id for the command (`x-correlation-id`).
     id: HeaderValue,
-    /// The module wants it placed again.
+    /// Notified when the balancer wants `place` to be called again for this command.
     again: Rc<Notify>,
-    /// Its client has its answer or has gone; only launches are still out.
+    /// The client has its answer or has disconnected; the command stays only until its remaining launches
+    /// have ended.
     left: bool,
 }
 
@@ -65,21 +70,23 @@
     module: Balancer,
     names: Rc<Names>,
     hands: Slab<InHand>,
-    /// What the clients call the commands in hand.
+    /// The clients' ids of all commands in flight.
     open: HashSet<HeaderValue>,
     ids: HashMap<String, BackendId>,
-    /// By id; those of backends that are gone stay known.
+    /// Indexed by `BackendId`. A backend that is gone keeps its id and has no address.
     addresses: Vec<Option<SocketAddr>>,
     commands: u32,
-    /// A backend that says that it is full may have run the command.
+    /// A backend that reports itself full may nevertheless have run the command.
     full_may_have_run: bool,
-    /// The longest time to come back that may be told; none where none may.
+    /// The longest `Retry-After` that may be sent; zero if none may be sent.
     longest_come_back: Span,
-    /// How many share what all share, and this node's place among them, as a view of the fleet tells it.
+    /// The number of nodes that share the common budgets and this node's index among them, as the fleet view
+    /// has it; `None` without a view.
     portion: Option<Portion>,
 }
 
-/// As one of so many nodes, at that place among them; past its time the other two hold, which need no view.
+/// This node's index among the nodes that share the common budgets, and how many they are. After `until` the
+/// pair `without` applies, which does not depend on the fleet view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Portion {
     pub nodes: u32,
@@ -88,21 +95,24 @@
     pub without: (u32, u32),
 }
 
+/// The owner of the balancer and of all state that changes together with it.
 pub struct Desk {
     pub clock: Clock,
     tick: Duration,
     inner: RefCell<Inner>,
     errands: mpsc::UnboundedSender<Errand>,
-    /// The module's own time to be asked has moved.
+    /// Notified when the time of the balancer's next timer has changed.
     moved: Notify,
+    /// Whether a list of backends has been received or read from the cache.
     told: Cell<bool>,
-    /// When discovery last said anything.
+    /// When discovery last sent anything.
     heard: Cell<Option<Instant>>,
-    /// The list as discovery tells it, for a process that comes after this one.
+    /// The list's version and entries in discovery's format, kept for the process that takes over from this
+    /// one.
     entries: RefCell<(u64, BTreeMap<String, Value>)>,
     counts: Option<Rc<Counts>>,
     witness: Option<Rc<Witness>>,
-    /// Ids of commands that another process of this node has in hand.
+    /// Client ids of the commands that the other process of this node has in flight.
     elsewhere: RefCell<HashSet<String>>,
 }
 
@@ -138,11 +148,12 @@
         Desk { clock, tick, inner, errands, moved, told, heard, entries, counts, witness, elsewhere }
     }
 
-    /// One call of the module, and the errands that came of it.
+    /// Makes one call of the balancer and carries out or queues the actions that it requests.
     fn ask<T>(&self, call: impl FnOnce(&mut Inner, Moment) -> T) -> T {
         let now = self.clock.now();
         let inner = &mut *self.inner.borrow_mut();
-        // A process that was stopped, or a view that has got stuck, must not go on by what it knew.
+        // A process that was suspended, or one whose fleet view has stalled, must not use an outdated
+        // position.
         if let Some(old) = inner.portion.take_if(|portion| portion.until < now) {
             inner.module.fleet(old.without.0, old.without.1);
         }
@@ -155,7 +166,7 @@
                         held.again.notify_one();
                     }
                 }
-                // Nobody listens only when the node is coming down.
+                // The receiver is dropped only while the node shuts down.
                 other => drop(self.errands.send(other)),
             }
         }
@@ -165,7 +176,7 @@
         value
     }
 
-    /// Asks for errands whenever the module's own time has come.
+    /// Calls the balancer whenever its next timer is due.
     pub async fn upkeep(&self) {
         loop {
             let pause = self.pause(&self.inner.borrow(), None);
@@ -179,7 +190,8 @@
         }
     }
 
-    /// Takes a command in hand; none if one that is called so is in hand: it would run twice.
+    /// Registers a command and returns its handle; `None` if a command with the same client id is in flight,
+    /// since a second one would run the command twice.
     pub fn take(&self, mut command: Command, id: HeaderValue) -> Option<(Hand, Rc<Notify>)> {
         if id.to_str().is_ok_and(|id| self.elsewhere.borrow().contains(id)) {
             return None;
@@ -199,12 +211,12 @@
         self.ask(|inner, now| inner.module.place(now, hand, &mut inner.hands[hand.0 as usize].command))
     }
 
-    /// This command is to have its end now: what may be said, as it may have run or not.
+    /// Ends this command now. The answer depends on whether any launch of it may have run.
     pub fn give_up(&self, hand: Hand) -> Say {
         self.ask(|inner, _| inner.module.give_up(&mut inner.hands[hand.0 as usize].command))
     }
 
-    /// A launch of this command has ended; `spent` if it cannot be sent again.
+    /// Records that a launch of this command has ended; `spent` if the command cannot be sent again.
     pub fn after(&self, hand: Hand, done: &Done, spent: bool) -> Say {
         if let Some(counts) = &self.counts {
             counts.outcome(self.clock.now(), done.outcome);
@@ -218,7 +230,8 @@
             command.closed |= done.outcome == Outcome::Finished;
             command.spent = spent;
             let say = inner.module.after(now, hand, command, done.number, done.outcome);
-            // By the order of fields that it was read in: after a switch that may be another.
+            // A report is used only if it was parsed with the present order of its fields, which a reload
+            // may have changed.
             let report = done.report.as_ref().filter(|(turn, _)| *turn == inner.names.turn);
             inner.module.report(now, done.backend, true, None, report.map_or(&[], |(_, values)| values));
             inner.let_go(key);
@@ -226,28 +239,30 @@
         })
     }
 
-    /// Whether a launch is out that began with its first bytes, and its last one is still to come.
+    /// Whether a launch is out that was started before the request body was complete, and the body still is
+    /// not.
     pub fn coming(&self, hand: Hand) -> bool {
         let command = &self.inner.borrow().hands[hand.0 as usize].command;
         command.coming && command.out() > 0
     }
 
-    /// The last byte of its body is on its way: its time counts from here.
+    /// Records that the last byte of the request body has been passed on: the command's time counts from
+    /// now.
     pub fn flowed(&self, hand: Hand) {
         self.ask(|inner, now| inner.module.came_whole(now, &mut inner.hands[hand.0 as usize].command));
     }
 
-    /// Where an operators' file asks for them.
+    /// Present only if a rollout file is configured.
     pub fn counts(&self) -> Option<&Rc<Counts>> {
         self.counts.as_ref()
     }
 
-    /// From when on a command's time counts.
+    /// The time from which the command's deadlines are counted.
     pub fn arrived(&self, hand: Hand) -> Moment {
         self.inner.borrow().hands[hand.0 as usize].command.arrived
     }
 
-    /// What is counted of a command in hand, from here on; none where nothing is counted.
+    /// Starts the statistics of a command in flight; `None` if no statistics are kept.
     pub fn account(&self, hand: Hand) -> Option<Account> {
         let counts = self.counts.clone()?;
         let inner = self.inner.borrow();
@@ -255,12 +270,12 @@
         Some(Account::open(counts, self.clock.now(), name, profile))
     }
 
-    /// The names that the module's ids have now.
+    /// The names that currently belong to the balancer's ids.
     pub fn names(&self) -> Rc<Names> {
         self.inner.borrow().names.clone()
     }
 
-    /// Goes by other names and terms from this call on; held commands are asked for again by them.
+    /// Replaces the names and the settings. Held commands are placed again under the new settings.
     pub fn switch(&self, names: Names, terms: Terms) {
         self.ask(|inner, _| {
             inner.names = Rc::new(names);
@@ -280,7 +295,8 @@
         self.inner.borrow().longest_come_back
     }
 
-    /// Of these sites, how many of their backends are listed ready, and how many of those have just started.
+    /// For each of these sites: how many of its backends are listed as ready, and how many of those are
+    /// still warming up.
     pub fn listed_by_site(&self, names: &[String], now: Moment, warm: Span) -> (Vec<u32>, Vec<u32>) {
         let (mut ready, mut cold) = (vec![0; names.len()], vec![0; names.len()]);
         for entry in self.entries.borrow().1.values() {
@@ -298,7 +314,7 @@
         self.inner.borrow().full_may_have_run
     }
 
-    /// What a view of the fleet says from now on of who shares what all share.
+    /// Takes over the position in the fleet that the fleet view has computed.
     pub fn share(&self, portion: Portion) {
         let (same, lapsed) = {
             let before = self.inner.borrow().portion;
@@ -315,20 +331,20 @@
         });
     }
 
-    /// Commands in hand, commands taken since the start, backends on the list, its version, and how long ago
-    /// discovery last said anything.
+    /// Returns the commands in flight, the commands accepted since the start, the backends on the list, the
+    /// list's version, and how long ago discovery last sent anything.
     pub fn load(&self) -> (usize, u32, usize, u64, Option<Duration>) {
         let inner = self.inner.borrow();
         let (version, backends) = (self.entries.borrow().0, inner.addresses.iter().flatten().count());
         (inner.open.len(), inner.commands, backends, version, self.heard.get().map(|at| at.elapsed()))
     }
 
-    /// Discovery has said something.
+    /// Records that discovery has sent something.
     pub fn heard_list(&self) {
         self.heard.set(Some(Instant::now()));
     }
 
-    /// Its client has its answer, or has gone: true if it had none.
+    /// Records that the client has its answer or has disconnected; true if it had no answer.
     pub fn leave(&self, hand: Hand) -> bool {
         self.ask(|inner, _| {
             let held = &mut inner.hands[hand.0 as usize];
@@ -342,7 +358,8 @@
         })
     }
 
-    /// Until when this launch may be written, as it is now: what held when it was placed may have ended while it waited.
+    /// The time until which this launch may still be written. It is computed anew, as the conditions under
+    /// which the launch was placed may have changed while it waited for a connection.
     pub fn stands(&self, hand: Hand, number: u8) -> Moment {
         let inner = self.inner.borrow();
         inner.module.stands(&inner.hands[hand.0 as usize].command, number)
@@ -353,18 +370,19 @@
         self.pause(&inner, Some(&inner.hands[hand.0 as usize].command))
     }
 
-    /// The module's time to be asked again, for a command or for the node, as the runtime can keep it.
+    /// How long until the balancer's next timer, for one command or for the node, rounded up to the
+    /// runtime's timer resolution.
     fn pause(&self, inner: &Inner, command: Option<&Command>) -> Option<Duration> {
         let span = inner.module.wait(self.clock.now(), command)?;
         Some(Duration::from_micros(span.0).max(self.tick))
     }
 
-    /// The number of a command's last launch.
+    /// The number of the command's newest launch.
     pub fn last_launch(&self, hand: Hand) -> u8 {
         (self.inner.borrow().hands[hand.0 as usize].command.launched() - 1) as u8
     }
 
-    /// What a probe found.
+    /// Records the result of a probe.
     pub fn probed(&self, backend: BackendId, found: bool, trip: Span, values: &[f32]) {
         if let Some(counts) = &self.counts {
             counts.probed(self.clock.now());
@@ -396,17 +414,18 @@
         }
     }
 
-    /// From then on news that this node has not heard counts as known to it; none while nothing is missed.
+    /// From this moment on the node is held to list changes that it may not have received; `None` while it
+    /// may have missed none.
     pub fn list_binds_from(&self, binds: Option<Moment>) {
         self.ask(|inner, _| inner.module.list_binds_from(binds));
     }
 
-    /// Whether there is a list to go by, an old one too.
+    /// Whether there is a list of backends to use, even an old one.
     pub fn told(&self) -> bool {
         self.told.get()
     }
 
-    /// The id of the backend that discovery calls so, a new one for a new name.
+    /// Returns the id of the backend with this name in discovery; a new name gets a new id.
     pub fn id(&self, name: &str) -> BackendId {
         let inner = &mut *self.inner.borrow_mut();
         if let Some(&id) = inner.ids.get(name) {
@@ -418,45 +437,46 @@
         id
     }
 
-    /// What discovery calls it, for the log.
+    /// The backend's name in discovery, for the log.
     pub fn name(&self, backend: BackendId) -> String {
         let inner = self.inner.borrow();
         let found = inner.ids.iter().find(|(_, id)| **id == backend);
         found.map(|(name, _)| name.clone()).unwrap_or_default()
     }
 
-    /// The process before this one runs, or has ended: until then what is spare of the launches is its own.
+    /// Tells the balancer whether the previous process of this node still runs: until it ends, the spare
+    /// part of the launch budget belongs to that process.
     pub fn beside(&self, other: bool) {
         self.ask(|inner, now| inner.module.beside(now, other));
     }
 
-    /// The id of a backend that was ever listed.
+    /// The id of a backend that has been listed at any time since the start.
     pub fn known(&self, name: &str) -> Option<BackendId> {
         self.inner.borrow().ids.get(name).copied()
     }
 
-    /// Leaves a backend out, or uses it again, from this call on.
+    /// Takes a backend out of service for maintenance, or puts it back, from this call on.
     pub fn maint(&self, backend: BackendId, out: bool) {
         self.ask(|inner, now| inner.module.maint(now, backend, out));
-        // The next process too is to know that it is cold.
+        // The process that takes over must also know that the backend has to warm up again.
         let name = self.name(backend);
         if let Some(entry) = self.entries.borrow_mut().1.get_mut(&name).filter(|_| !out) {
             since(entry, self.clock.now().0 / 1000);
         }
     }
 
-    /// The names of all that are left out by the operators' word.
+    /// The names of all backends that operators have taken out of service.
     pub fn left_out(&self) -> Vec<String> {
         let inner = self.inner.borrow();
         let out = |(_, id): &(&String, &BackendId)| inner.module.is_left_out(**id);
         inner.ids.iter().filter(out).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Keeps a message of discovery's for a process that comes after this one.
+    /// Stores a message of discovery for the process that takes over from this one.
     pub fn keep(&self, index: u64, whole: bool, entries: &[Value]) {
         let (at, kept) = &mut *self.entries.borrow_mut();
         *at = index;
-        // A whole list leaves nothing of the one before but when its backends were said to have started.
+        // A snapshot replaces the stored list. Only the start times of the backends are kept.
         let mut before = if whole { std::mem::take(kept) } else { BTreeMap::new() };
         for entry in entries {
             let text = |key| entry.get(key).and_then(Value::as_str);
@@ -473,7 +493,7 @@
         }
     }
 
-    /// The list as it stands, in discovery's form.
+    /// The present list in discovery's format.
     pub fn list_now(&self) -> Value {
         let (index, kept) = &*self.entries.borrow();
         json!({"index": index, "snapshot": true, "endpoints": kept.values().collect::<Vec<_>>()})
@@ -484,7 +504,8 @@
         inner.open.iter().filter_map(|id| id.to_str().ok()).map(str::to_owned).collect()
     }
 
-    /// Commands with these ids are in hand elsewhere: here they would run twice.
+    /// Sets the client ids of the commands that the other process has in flight. Accepting one of them here
+    /// would run it twice.
     pub fn elsewhere(&self, ids: Vec<String>) {
         *self.elsewhere.borrow_mut() = ids.into_iter().collect();
     }
@@ -494,12 +515,12 @@
     }
 }
 
-/// When an entry of the list says that its backend started, in milliseconds.
+/// The time at which the backend started according to its list entry, in milliseconds of Unix time.
 fn start(entry: &Value) -> u64 {
     entry.get("since_ms").and_then(Value::as_f64).unwrap_or(0.0) as u64
 }
 
-/// It started then, unless the entry tells of a later start.
+/// Sets the start time of an entry unless the entry has a later one.
 fn since(entry: &mut Value, millis: u64) {
     if start(entry) < millis {
         entry["since_ms"] = millis.into();
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The view of the fleet on a socket: datagrams in and out, what this node tells of itself, and what operators and the
-//! decisions are told of the others. Only where an operators' file asks for it.
+//! The fleet view on a UDP socket: exchanges datagrams, publishes this node's own state, and provides the
+//! state of the others to operators and to the balancer. Runs only if a fleet file is configured.
 
 use crate::config::{at, build, seeds};
 use crate::dispatcher::{Desk, Portion};
@@ -25,29 +25,32 @@
 use yarrowfront_view::view::{View, What};
 use yarrowfront_view::wire::LARGEST;
 
-/// Datagrams read in one go: a flood of them must not keep commands waiting for longer than one of their own steps.
+/// The number of datagrams that are read at once: a flood of them must not delay commands for longer than
+/// the processing of one command takes.
 const AT_ONCE: usize = 32;
-/// Between two goes while more are waiting. With the above, up to 16,000 a second are read; the kernel drops the rest.
+/// The pause between two such reads while more datagrams are waiting. The two constants limit the rate to
+/// 16,000 datagrams per second; the kernel drops the rest.
 const BREATH: Duration = Duration::from_millis(2);
-/// Between two looks at this node's own state and its portion.
+/// The interval at which this node's own state is published and its position in the fleet is updated.
 const LOOK: Span = Span::millis(200);
-/// Between two tries to listen where a process before this one still does.
+/// The interval between two attempts to bind the address while a previous process still has it.
 const BIND: Duration = Duration::from_millis(50);
-/// Between two looks at the file of seeds.
+/// The interval between two reads of the seeds file.
 const SEEDS: Duration = Duration::from_secs(5);
-/// A view's changes that are kept for operators.
+/// The number of changes of the view that are kept for operators.
 const KEPT: usize = 64;
 
-/// The view by sites.
+/// The members of the fleet by site.
 pub struct BySite {
+    /// For each site, the number of members that are alive and of all that are known.
     pub of: BTreeMap<String, (u32, u32)>,
-    /// This node sees nobody, or no majority.
+    /// This node sees no other member, or no majority.
     pub isolated: bool,
-    /// The earliest life that is here in another site.
+    /// The earliest incarnation of a live member in another site.
     pub oldest_elsewhere: Option<u64>,
 }
 
-/// What the node's configuration says of it.
+/// What the configuration says about this node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Own {
     pub site: String,
@@ -62,7 +65,7 @@
         let zones = &desk.names().zones;
         let site = at(file, "settings.zones").ok().and_then(|z| z.get(whole("settings.zone") as usize));
         let site = site.and_then(Value::as_str).or(zones.first().map(String::as_str)).unwrap_or_default();
-        // What is each node's own is no difference between two settings.
+        // The digest compares nodes, so it leaves out the settings that differ between them by design.
         let mut settings = file.get("settings").cloned().unwrap_or_default();
         if let Some(settings) = settings.as_object_mut() {
             settings.retain(|key, _| key != "me" && key != "zone");
@@ -88,16 +91,16 @@
     socket: RefCell<Option<Rc<UdpSocket>>>,
     looked: Cell<Moment>,
     seeds_read: Cell<Instant>,
-    /// Changes of late, the newest last.
+    /// Recent changes of the view, the newest last.
     lately: RefCell<Vec<(Moment, String)>>,
-    /// Something else than a datagram or the view's time is to be seen to.
+    /// Notified when the loop has to act on something other than a datagram or the view's own timer.
     moved: Notify,
 }
 
 type Parts = (Rc<Desk>, Rc<Stop>, Rc<Peer>);
 
 impl Fleet {
-    /// A later life than the one given, if any.
+    /// Creates the view with an incarnation that is later than `before`.
     pub fn new(
         terms: ViewTerms,
         name: &str,
@@ -111,7 +114,7 @@
         peer.life.set(life.0);
         let card = card(address, &own, Phase::JOINING);
         let sharer = Sharer::new(now, terms.times);
-        // Two processes of one node draw differently.
+        // The seed differs between the two processes of a node.
         let view = View::new(now, terms, name, life, card, seed ^ life.0);
         Rc::new(Fleet {
             view: RefCell::new(view),
@@ -130,18 +133,18 @@
         })
     }
 
-    /// Whether these terms can be gone by without a new start.
+    /// Whether this configuration can be adopted without a restart.
     pub fn may_follow(&self, terms: &ViewTerms) -> Result<(), String> {
         let view = self.view.borrow();
         match (terms.listen, terms.address, &terms.fleet)
             == (view.terms.listen, view.terms.address, &view.terms.fleet)
         {
             true => Ok(()),
-            false => Err("fleet: fleet, listen and address take a restart to change".to_owned()),
+            false => Err("fleet: fleet, listen and address can be changed only by a restart".to_owned()),
         }
     }
 
-    /// Goes by another operators' file, and by what the configuration now says of this node.
+    /// Adopts a reloaded fleet file and this node's reloaded configuration.
     pub fn follow(&self, terms: ViewTerms, own: Own) {
         *self.sharer.borrow_mut() = Sharer::new(self.desk.clock.now(), terms.times);
         self.view.borrow_mut().follow(self.desk.clock.now(), terms);
@@ -150,14 +153,14 @@
         self.moved.notify_one();
     }
 
-    /// Keeps the view for as long as the process lives. While a new process of this node has the connections it has
-    /// the view too.
+    /// Keeps the view for as long as the process lives. While a new process of this node accepts the
+    /// connections, that process also keeps the view.
     pub async fn run(self: Rc<Fleet>) {
         let mut before = false;
         loop {
             let Some(socket) = self.listen().await else { continue };
             if std::mem::replace(&mut before, true) {
-                // The other process is gone, and was of a later life.
+                // The other process has ended, and its incarnation was later than this one's.
                 self.view.borrow_mut().raise_life(self.desk.clock.now(), Life(0));
             }
             note!("fleet: listening on {}", self.address);
@@ -218,7 +221,7 @@
                     self.view.borrow_mut().heard(self.desk.clock.now(), from, &bytes[..size]);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return count,
-                // A datagram sent to nobody comes back as an error of the next one.
+                // If a destination had no listener, the kernel reports that on a later call.
                 Err(_) => {}
             }
         }
@@ -228,7 +231,7 @@
     fn send(&self, socket: &UdpSocket) {
         loop {
             let Some((to, bytes)) = self.view.borrow_mut().outgoing() else { break };
-            // What the kernel has no room for is lost, as anything may be.
+            // A datagram that the kernel does not accept is lost, like any other datagram may be.
             let _ = socket.try_send_to(&bytes, to);
         }
         loop {
@@ -239,7 +242,8 @@
                     format!("{} (life {}): {}, by {}", change.name, change.life.0, what.word(), change.by)
                 }
             };
-            // Each kind has its own lines a second: a death is not to be hidden by what led to it.
+            // Each kind of change has its own rate limit, so that a death is not suppressed by the changes
+            // that preceded it.
             match change.what {
                 What::Dead | What::Left | What::Displaced => note!("fleet: {text}"),
                 What::Suspected | What::Refuted | What::Raised => note!("fleet: {text}"),
@@ -254,7 +258,7 @@
         self.peer.life.set(self.view.borrow().life().0);
     }
 
-    /// Tells of this node what is now so, and takes from the view what the decisions may know.
+    /// Publishes this node's present state, and passes on to the balancer what it uses of the view.
     fn look(&self) {
         let now = self.desk.clock.now();
         if now < self.looked.get() + LOOK {
@@ -290,7 +294,7 @@
         }
     }
 
-    /// The file of seeds may say something else by now.
+    /// Reads the seeds file again, which may have changed.
     fn read_seeds(&self) {
         if self.seeds_read.get().elapsed() < SEEDS {
             return;
@@ -300,11 +304,11 @@
         let Some(file) = view.terms.seeds_file.clone() else { return };
         match seeds(&file) {
             Ok(seeds) => view.terms.seeds = seeds,
-            Err(why) => note!("fleet: the seeds stay as they were: {why}"),
+            Err(why) => note!("fleet: keeping the previous seeds: {why}"),
         }
     }
 
-    /// Who is here of each site, of all that are known there, this node among them.
+    /// The live and the known members of each site, including this node.
     pub fn sites(&self) -> BySite {
         let (view, share) = (self.view.borrow(), self.share.get());
         let mut of: BTreeMap<String, (u32, u32)> = BTreeMap::new();
@@ -323,7 +327,7 @@
         BySite { of, isolated, oldest_elsewhere }
     }
 
-    /// Says that this node goes, at the end of a planned stop.
+    /// Announces at the end of a planned stop that this node is leaving.
     pub fn leave(&self) {
         let socket = self.socket.borrow().clone();
         if let Some(socket) = socket.filter(|_| !self.stop.succeeded()) {
@@ -332,7 +336,8 @@
         }
     }
 
-    /// The view for programs: times are spans before now in milliseconds, bytes and counts since the start.
+    /// The view as JSON. Times are ages in milliseconds; byte counts and other counts are totals since the
+    /// start.
     pub fn told(&self) -> Value {
         let (view, own, now) = (self.view.borrow(), self.own.borrow(), self.desk.clock.now());
         let age = |at: Moment| now.since(at).0 / 1000;
@@ -369,7 +374,7 @@
         })
     }
 
-    /// The same for people.
+    /// The view as plain text.
     pub fn page(&self) -> String {
         let (view, now) = (self.view.borrow(), self.desk.clock.now());
         let seconds = |at: Moment| format!("{:.1} s", now.since(at).micros() / 1e6);
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -1,7 +1,7 @@
-//! The process before this one and the one after it, which are one node while both run. They find each other by a
-//! Unix socket in `$TMPDIR`: the new one is given the listening socket itself, so that no connection waits in a
-//! queue that nobody reads, and all that must outlive a process. Then each tells the other what operators say and
-//! how much of the common budgets it holds, until one of them ends.
+//! The handover to a new process of the same node. The old and the new process act as one node while both
+//! run. They meet at a Unix socket in `$TMPDIR`. The old one passes the listening socket itself, so that no
+//! connection waits in a queue that nobody accepts from, and all state that must survive. Until one of them
+//! ends, each then tells the other what operators request and how much of the shared budgets it uses.
 
 use crate::admin_request::Call;
 use crate::bodies::Room;
@@ -32,68 +32,77 @@
 use tokio::task::AbortHandle;
 use tokio::time::{interval, sleep, timeout};
 
-/// Of the words below. Another version is as nobody there.
+/// The version of the messages below. A process with another version is treated as absent.
 pub const VERSION: u32 = 1;
 
-/// What one process says to the other: one JSON object a line.
+/// A message between the two processes: one JSON object per line.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Word {
     Hello {
         version: u32,
     },
-    /// There is no room for another process.
+    /// There are two processes already, or the node is stopping.
     No {
         why: String,
     },
     State(State),
-    /// The new process can take connections, and the old one takes none from here on.
+    /// From the new process: it can accept connections, and the old one must stop accepting.
     Ready,
+    /// From the old process: it has stopped accepting.
     Left,
+    /// A request of an operator that the other process carries out too.
     Call(Call),
+    /// The request was carried out.
     Done,
+    /// What the sender uses of the shared budgets.
     Held {
         clients: usize,
         backends: usize,
         bytes: usize,
-        /// What clients call the commands in hand: elsewhere they would run twice.
+        /// Client ids of the commands in flight, which would run twice if the other process accepted them
+        /// too.
         ids: Vec<String>,
     },
 }
 
-/// What must outlive a process.
+/// The state that must survive a process.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct State {
     pub left_out: Vec<String>,
     pub drained: bool,
-    /// In discovery's form.
+    /// In discovery's format.
     pub list: Value,
-    /// Of the view of the fleet, where one is kept: the new process begins a later life.
+    /// The incarnation in the fleet view, if there is one: the new process takes a later one.
     #[serde(default)]
     pub life: u64,
 }
 
-/// What a process that runs already has given this one.
+/// What the old process has passed to this one.
 pub struct Heritage {
     pub state: State,
     pub listener: std::net::TcpListener,
     pub stream: StdUnixStream,
 }
 
-/// Where the processes of the node that listens there find each other; nowhere without a folder of their own.
+/// The path of the socket at which the processes of the node with this listening address meet; `None`
+/// without a shared directory.
 pub fn meeting(folder: Option<String>, listen: SocketAddr) -> Option<PathBuf> {
     folder.filter(|folder| !folder.is_empty()).map(|folder| Path::new(&folder).join(format!("{listen}.sock")))
 }
 
-/// Asks a process that runs already for what it has. None where nobody is, or nobody who answers as one should;
-/// an error where there is no room for this one.
+/// Asks a running process of this node to hand over. `None` if there is none or it does not answer
+/// correctly; an error if it refuses.
 pub fn inherit(path: &Path, limits: &Limits) -> Result<Option<Heritage>, String> {
     let Ok(stream) = StdUnixStream::connect(path) else { return Ok(None) };
     match talk(&stream, limits) {
         Ok(Ok((state, listener))) => Ok(Some(Heritage { state, listener, stream })),
         Ok(Err(why)) => Err(why),
         Err(error) => {
-            note!("handover: no use in the process at {}: {error}; starting as from nothing", path.display());
+            note!(
+                "handover: cannot use the process at {}: {error}; starting as from nothing",
+                path.display()
+            );
             Ok(None)
         }
     }
@@ -115,14 +124,14 @@
             given = sockets.last();
         }
     }
-    // Byte by byte: what follows the line is for whoever reads on.
+    // Read byte by byte: what follows this line belongs to the later reader.
     let mut text = Vec::new();
     let mut reader = BufReader::with_capacity(1, stream.take(limits.line_bytes as u64));
     reader.read_until(b'\n', &mut text)?;
     match (serde_json::from_slice(&text)?, given) {
         (Word::State(state), Some(socket)) => Ok(Ok((state, std::net::TcpListener::from(socket)))),
         (Word::No { why }, _) => Ok(Err(why)),
-        _ => Err(io::Error::other("it has given no socket")),
+        _ => Err(io::Error::other("it has sent no socket")),
     }
 }
 
@@ -132,18 +141,18 @@
     Ok(line)
 }
 
-/// What the other process says. One for as long as the link lasts: it reads ahead.
+/// The reader of the other process's messages. There is one for the whole connection, as it buffers data.
 type Reader = tokio::io::BufReader<OwnedReadHalf>;
 
-/// The other process, for as long as it is there.
+/// The connection to the other process.
 struct Link {
     out: mpsc::UnboundedSender<Word>,
-    /// What waits for the other's word that it is done, in order.
+    /// The requests that wait for the other process's confirmation, oldest first.
     waiting: RefCell<VecDeque<oneshot::Sender<()>>>,
 }
 
 impl Link {
-    /// Says something that the other answers, and waits for that.
+    /// Sends a message that the other process confirms, and waits for the confirmation.
     async fn ask(&self, word: Word, wait: Duration) -> bool {
         let (done, answer) = oneshot::channel();
         self.waiting.borrow_mut().push_back(done);
@@ -157,7 +166,7 @@
     }
 }
 
-/// Which of two processes this is.
+/// Whether this is the older or the newer of the two processes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Side {
     Old,
@@ -170,16 +179,16 @@
     limits: Rc<Limits>,
     room: Room,
     path: Option<PathBuf>,
-    /// Weak, as the kernel's queue must close with the one who reads it.
+    /// Weak, because the kernel's queue must close when the accept loop, which reads it, ends.
     listener: Weak<TcpListener>,
     link: RefCell<Option<Rc<Link>>>,
-    /// A new process is being told what there is: until it is, or is gone, there is no room for another.
+    /// State is being passed to a new process. Until that has succeeded or failed, another one is refused.
     telling: Cell<bool>,
-    /// What waits at the door; another door takes its place.
+    /// The task that accepts new processes; a new listener replaces it.
     door: Cell<Option<AbortHandle>>,
-    /// Connections are taken, or are about to be.
+    /// Connections are being accepted, or are about to be.
     ready: Cell<bool>,
-    /// This process's life in the view of the fleet, where one is kept.
+    /// This process's incarnation in the fleet view, if there is one.
     pub life: Cell<u64>,
 }
 
@@ -200,12 +209,13 @@
         self.ready.get()
     }
 
-    /// Whether the other process of this node is there.
+    /// Whether the other process of this node is running.
     pub fn beside(&self) -> bool {
         self.link.borrow().is_some()
     }
 
-    /// Has the old process, if there is one, take no more connections; then this one is ready, and may be asked itself.
+    /// Tells the old process, if there is one, to stop accepting connections. Then this process is ready and
+    /// may itself be succeeded.
     pub async fn take_over(self: &Rc<Peer>, old: Option<StdUnixStream>) {
         if let Some(stream) = old {
             let stream = stream.set_nonblocking(true).and_then(|()| UnixStream::from_std(stream));
@@ -216,7 +226,7 @@
                     self.desk.beside(true);
                     tokio::task::spawn_local(self.clone().follow(Reader::new(read), link.clone(), Side::New));
                     if !link.ask(Word::Ready, self.limits.peer_wait).await {
-                        note!("handover: the old process has not said that it takes no more connections");
+                        note!("handover: the old process has not confirmed that it stopped accepting");
                     }
                 }
                 Err(error) => note!("handover: {error}"),
@@ -226,17 +236,18 @@
         self.open_door();
     }
 
-    /// Carries out on the other side too what operators have said here, if there is one.
+    /// Has the other process, if there is one, carry out an operator's request as well.
     pub async fn tell(&self, call: &Call) {
         let link = self.link.borrow().clone();
         if let Some(link) = link {
             if !link.ask(Word::Call(call.clone()), self.limits.peer_wait / 2).await {
-                note!("handover: the other process has not said that it does so too");
+                note!("handover: the other process has not confirmed an operator's request");
             }
         }
     }
 
-    /// Listens for a process that comes after this one. A file of one that is gone is replaced whole.
+    /// Listens for a successor. The socket file is replaced atomically, since a process that has ended may
+    /// have left one.
     fn open_door(self: &Rc<Peer>) {
         let Some(path) = &self.path else { return };
         let new = path.with_extension("new");
@@ -249,7 +260,7 @@
                     before.abort();
                 }
             }
-            Err(error) => note!("handover: {}: {error}; none is possible from here", path.display()),
+            Err(error) => note!("handover: {}: {error}; no handover is possible", path.display()),
         }
     }
 
@@ -265,13 +276,13 @@
         }
     }
 
-    /// Somebody is at the door: a new process, if it says so in time.
+    /// Handles a connection from a new process, which must identify itself in time.
     async fn greet(self: Rc<Peer>, stream: UnixStream) {
         let (read, mut write) = stream.into_split();
         let mut read = Reader::new(read);
         let hello = timeout(self.limits.peer_wait, self.next(&mut read)).await;
         let Ok(Some(Word::Hello { version: VERSION })) = hello else {
-            note!("handover: somebody came who is no new process of this version");
+            note!("handover: a connection was not from a new process of this version");
             return;
         };
         let listener = self.listener.upgrade().filter(|_| !self.stop.stopping());
@@ -287,7 +298,7 @@
         self.telling.set(false);
         match told {
             Ok(()) => {
-                note!("handover: a new process has what this one knows");
+                note!("handover: a new process has received this one's state");
                 let link = self.join(write);
                 self.follow(read, link, Side::Old).await;
             }
@@ -332,7 +343,7 @@
         Word::Held { clients: sockets.clients.get(), backends: sockets.backends.get(), bytes, ids }
     }
 
-    /// Goes along with the other process until one of the two ends.
+    /// Exchanges messages with the other process until one of the two ends.
     async fn follow(self: Rc<Peer>, mut read: Reader, link: Rc<Link>, side: Side) {
         let (heard, mut words) = mpsc::unbounded_channel();
         let reader = self.clone();
@@ -355,7 +366,7 @@
             match word {
                 None => break,
                 Some(Word::Ready) if side == Side::Old => {
-                    note!("handover: the new process takes the connections from here on");
+                    note!("handover: the new process accepts connections from here on");
                     self.stop.succeeded_by(true);
                     let _ = link.out.send(self.held());
                     let _ = link.out.send(Word::Left);
@@ -371,7 +382,7 @@
                     self.room.others_hold(bytes);
                     self.desk.elsewhere(ids);
                 }
-                Some(other) => note!("handover: left out: {other:?}"),
+                Some(other) => note!("handover: ignored an unexpected message: {other:?}"),
             }
         }
         reading.abort();
@@ -384,14 +395,14 @@
             self.desk.beside(false);
         }
         if side == Side::Old && !self.stop.stopping() {
-            note!("handover: the new process is gone; this one goes on");
+            note!("handover: the new process is gone; this one continues");
             self.stop.succeeded_by(false);
             self.open_door();
         }
     }
 }
 
-/// Passes a socket on, beside one byte.
+/// Sends a file descriptor along with one byte.
 fn pass(stream: &UnixStream, socket: BorrowedFd<'_>) -> io::Result<()> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut beside = SendAncillaryBuffer::new(&mut space);
--- a/crates/node/src/launch.rs
+++ b/crates/node/src/launch.rs
@@ -1,4 +1,4 @@
-//! One launch: a command's bytes to one backend, and what came of it.
+//! One launch: sends a command to one backend and determines the outcome.
 
 use crate::bodies::{Out, Over, Start};
 use crate::dispatcher::Desk;
@@ -34,9 +34,10 @@
     pub number: u8,
     pub backend: BackendId,
     pub address: Option<SocketAddr>,
-    /// When the command's client gives up; for a body that flows, how long after its last byte.
+    /// When the client's deadline ends; for a body that is still streaming, the time that is left is counted
+    /// from its last byte.
     pub ends: Moment,
-    /// Told once the last byte of a body that flows is on its way.
+    /// Set to true once the last byte of a streaming body has been passed on.
     pub flowed: Rc<watch::Sender<bool>>,
     pub reins: Rc<Reins>,
 }
@@ -74,13 +75,13 @@
         let (number, backend) = (launch.number, launch.backend);
         let mut done = Done::bare(number, backend, Outcome::Unsent);
         let until = self.desk.clock.instant(launch.ends);
-        // A body that is gone is never sent as an empty one.
+        // A streaming body that was already consumed must not be sent as an empty one.
         let Some(address) = launch.address.filter(|_| !launch.cargo.spent()) else { return done };
         let left = launch.ends.since(self.desk.clock.now());
         let over: Rc<Cell<Option<Over>>> = Rc::default();
         let mut request = self.request(&launch, &over);
         loop {
-            // What may not be written any more is given up at once, whenever its connection would come up.
+            // Waiting for a connection ends when the launch may no longer be written.
             let stands = self.desk.clock.instant(self.desk.stands(launch.hand, number).min(launch.ends));
             let lease = match timeout_at(stands, self.pool.lease(backend, address)).await {
                 Ok(Ok(lease)) => lease,
@@ -89,31 +90,35 @@
                     put_back(&launch, request);
                     return done;
                 }
-                // No socket for it, or its time ran out while one was opened: nobody is to blame.
+                // No socket was available, or the time ran out during the connect: this says nothing about
+                // the backend.
                 Ok(Err(NoLease::Full)) | Err(_) => {
                     put_back(&launch, request);
                     return done;
                 }
             };
-            // The last look: what held when it was placed may have ended while it waited for its connection, or
-            // while it was found that a pooled one had been closed.
+            // Check once more: the conditions under which the launch was placed may have changed while it
+            // waited for a connection, or while a pooled connection turned out to be closed.
             let there = self.desk.address(backend) == Some(address);
             let stands = self.desk.clock.now() < self.desk.stands(launch.hand, number);
             if launch.reins.is_off() || !there || !stands {
-                // Its handshake is paid for; one that leads to where nobody is sent any more the sweep closes.
+                // The connection is already open, so it goes to the pool. If its backend is no longer
+                // listed, the sweep closes it.
                 self.pool.give_back(backend, lease);
                 put_back(&launch, request);
                 return done;
             }
             launch.reins.writes(true);
-            // As it is now: told before the wait, it promised the backend time that its client no longer has. Of a body
-            // that flows it counts from the last byte.
+            // The time left is set just before the write. When it was set before the wait for a connection,
+            // it promised the backend time that the client no longer had. For a streaming body it counts
+            // from the last byte.
             let now = self.desk.clock.now();
             let still = if launch.cargo.flows() { left } else { launch.ends.since(now) };
             request.headers_mut().insert(TIME_LEFT, HeaderValue::from(still.0 / 1000));
             let late = async {
                 if launch.cargo.flows() {
-                    // Its client's time counts from its last byte, and that is for its client to send.
+                    // The client's time counts from its last byte, and only the client decides when that is
+                    // sent.
                     let _ = launch.flowed.subscribe().wait_for(|flowed| *flowed).await;
                     sleep(Duration::from_micros(left.0)).await;
                 } else {
@@ -139,7 +144,7 @@
                 }
                 Some(Exchange::Broken) => {
                     done.outcome = match over.get() {
-                        // Its last byte was never written, so it never ran.
+                        // The last byte was never written, so the backend cannot have run the command.
                         Some(Over::Broken) => Outcome::Unsent,
                         None if launch.cargo.flows() => Outcome::Unreachable,
                         _ => Outcome::Broken,
@@ -151,7 +156,7 @@
         }
     }
 
-    /// The command as it came; the time that it still has is told when it is written.
+    /// Builds the request as the client sent it. The time that is left is added when the request is written.
     fn request(&self, launch: &Launch, over: &Rc<Cell<Option<Over>>>) -> Request<Out> {
         let body = match &launch.cargo.body {
             Load::Whole(body) => Out::from(body.clone()),
@@ -194,14 +199,14 @@
     }
 }
 
-/// A body of which nothing was sent is there for another launch.
+/// Returns a body of which nothing was sent, so that another launch can use it.
 fn put_back(launch: &Launch, request: Request<Out>) {
     if let (Load::Flows(place), Out::Flows(flow)) = (&launch.cargo.body, request.into_body()) {
         place.replace(Some(flow));
     }
 }
 
-/// For the log, in the on-call page's words.
+/// The text for the log line; the on-call page uses the same words.
 fn words(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Finished => "finished",
@@ -209,8 +214,8 @@
         Outcome::Errored => "answered with an error",
         Outcome::TimedOut => "no answer in the command's time",
         Outcome::Unreachable => "no connection",
-        Outcome::Broken => "the connection broke while it was out",
-        Outcome::Cancelled => "called off",
-        Outcome::Unsent => "not sent: no time or no socket left, its client or the backend gone",
+        Outcome::Broken => "the connection broke before the answer",
+        Outcome::Cancelled => "cancelled",
+        Outcome::Unsent => "not sent: no time or socket left, or the client or backend is gone",
     }
 }
--- a/crates/node/src/launch_types.rs
+++ b/crates/node/src/launch_types.rs
@@ -1,4 +1,5 @@
-//! What goes to a backend of a command, and what comes of a launch.
+//! What the stages of a command share about its launches: the request to forward, the control over a launch,
+//! and its result.
 
 use crate::bodies::{Flow, Start};
 use bytes::Bytes;
@@ -9,10 +10,11 @@
 use yarrowfront::command::Outcome;
 use yarrowfront::ids::BackendId;
 
-/// How long a command's client still waits, in milliseconds: on its way here and on to a backend.
+/// The header with the time that the command's client still waits, in milliseconds: in the client's request
+/// and in the one that goes to a backend.
 pub const TIME_LEFT: &str = "x-time-left-ms";
 
-/// What goes on of a command, as it came.
+/// The parts of a command's request that go to a backend, unchanged.
 pub struct Cargo {
     pub method: Method,
     pub uri: Uri,
@@ -20,15 +22,16 @@
     pub body: Load,
 }
 
-/// A command's body.
+/// The body of a command.
 pub enum Load {
     Whole(Bytes),
-    /// It can be sent once: here until a launch has it, and again where that launch has sent nothing of it.
+    /// A streaming body can be sent only once. It is here until a launch takes it, and again if that launch
+    /// has sent nothing of it.
     Flows(RefCell<Option<Flow>>),
 }
 
 impl Cargo {
-    /// Whether it cannot be sent any more, as a part of it is gone.
+    /// Whether the command can no longer be sent because a part of its body is gone.
     pub fn spent(&self) -> bool {
         matches!(&self.body, Load::Flows(flow) if flow.borrow().is_none())
     }
@@ -38,12 +41,13 @@
     }
 }
 
-/// What a command holds of a launch of its own: calls it off, and tells whether any of it may have been written.
+/// The command's handle on one of its launches: cancels it, and tells whether any of it may have been
+/// written.
 #[derive(Default)]
 pub struct Reins {
     off: watch::Sender<bool>,
     written: Cell<bool>,
-    /// Nobody waits for it any more.
+    /// The command no longer waits for this launch.
     left: Cell<bool>,
 }
 
@@ -52,8 +56,9 @@
         self.off.send_replace(true);
     }
 
-    /// Its command is over: what has not begun must not begin. What is written runs on, so that the module learns from it;
-    /// should it turn out that nothing was written after all, it ends then.
+    /// The command is over. A launch that has not been written is cancelled. One that has been written runs
+    /// on, so that the balancer learns from its outcome; if it turns out that nothing was written after all,
+    /// it is cancelled then.
     pub fn leave(&self) {
         self.left.set(true);
         if !self.written.get() {
@@ -66,11 +71,11 @@
     }
 
     pub async fn called_off(&self) {
-        // It cannot fail while its sender lives.
+        // This cannot fail, as the sender lives as long as `self`.
         let _ = self.off.subscribe().wait_for(|off| *off).await;
     }
 
-    /// From here on it may have been written, or was surely not.
+    /// Records whether the launch may have been written from here on, or certainly was not.
     pub fn writes(&self, may: bool) {
         self.written.set(may);
         if !may && self.left.get() {
@@ -83,7 +88,7 @@
     }
 }
 
-/// A backend's answer: whole, or its start and what follows.
+/// The answer of a backend: complete, or its beginning with the rest still streaming.
 pub struct Answer {
     pub headers: HeaderMap,
     pub body: Start,
@@ -91,16 +96,17 @@
 
 /// How a launch ended.
 pub struct Done {
+    /// The number of the launch within its command, starting at 0.
     pub number: u8,
     pub backend: BackendId,
     pub outcome: Outcome,
     pub answer: Option<Answer>,
-    /// Its load report, and by which turn of the names it was read.
+    /// The values of the load report, and the generation of the names by which its fields were parsed.
     pub report: Option<(u32, Vec<f32>)>,
 }
 
 impl Done {
-    /// Nothing has come of it but this.
+    /// A result without an answer or a report.
     pub fn bare(number: u8, backend: BackendId, outcome: Outcome) -> Done {
         Done { number, backend, outcome, answer: None, report: None }
     }
@@ -110,8 +116,9 @@
 mod tests {
     use super::Reins;
 
-    /// A launch goes on only for a command that still waits or where it may have been written: also one that was thought
-    /// to be when its command ended, and then found its connection closed with nothing sent.
+    /// A launch runs on only while its command waits or if it may have been written. The last cases are
+    /// launches whose write was in progress when the command ended and whose connection then turned out to
+    /// be closed with nothing sent: they must be cancelled too.
     #[test]
     fn a_launch_whose_command_is_over() {
         type Step = fn(&Reins);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,5 +1,6 @@
-//! The yarrowfront node: the decision module on sockets. Here the stages are wired to each other. Imports run one
-//! way: what two stages share stands in a file below both (`cargo`, `guests`, `node`, `reply`, `call`).
+//! The yarrowfront node: runs the balancer (the decision module) on sockets. This module wires the stages
+//! together. Imports go in one direction only: what two stages share is defined in a module below both
+//! (`launch_types`, `client_connections`, `node`, `reply`, `admin_request`).
 #![forbid(unsafe_code)]
 
 mod accept;
@@ -46,11 +47,11 @@
 use tokio::task::{spawn_local, LocalSet};
 use yarrowfront::decide::{Balancer, Errand};
 
-/// The whole program: reads the start from the variables, serves, and ends with the process's code: failure where the
-/// start or a listening address is bad, which is told in one line on standard error.
+/// Runs the whole program: reads the configuration, serves, and returns the exit code. A bad configuration
+/// or listening address is a failure, reported in one line on standard error.
 ///
-/// With `words` as its one argument it only tells which words it speaks with other processes: two builds that speak the
-/// same can stand side by side.
+/// With `words` as the only argument, it just prints the versions of the protocols that it speaks with other
+/// processes: two builds that print the same can run side by side.
 pub fn main() -> ExitCode {
     if std::env::args().nth(1).as_deref() == Some("words") {
         println!("{}", words());
@@ -72,7 +73,7 @@
     }
 }
 
-/// The kinds of words between processes, each with its number.
+/// The protocols spoken between processes, each with its version.
 fn words() -> String {
     format!(
         "handover {} view {} counts {}",
@@ -111,14 +112,14 @@
     let (mut old, mut life) = (None, 0);
     let listener = match heritage {
         Some(handover::Heritage { state, listener, stream }) => {
-            // What the operators have said first, so that the list finds it so.
+            // Operators' settings come first, so that they apply to the list.
             for name in &state.left_out {
                 desk.maint(desk.id(name), true);
             }
             stop.drain(state.drained);
             life = state.life;
             if let Err(why) = lister.told(&state.list, true) {
-                note!("handover: the list is left out: {why}");
+                note!("handover: the list could not be used: {why}");
             }
             old = Some(stream);
             listener.set_nonblocking(true).and_then(|()| tokio::net::TcpListener::from_std(listener))
@@ -167,7 +168,7 @@
     spawn_local(reload.run(asked));
     let (follow, followed) = mpsc::unbounded_channel();
     if !must_ask {
-        // Where the list comes by itself, on sockets that is a watch from the start.
+        // Where the list is pushed, the node still opens a watch, at once.
         let _ = follow.send(());
     }
     let watches = list_watches::Watches::new(lister, desk.clone(), limits.clone(), start.discovery);
@@ -181,7 +182,7 @@
                 Errand::Probe(backend) => drop(spawn_local(prober.clone().probe(backend))),
                 Errand::Follow => drop(follow.send(())),
                 Errand::Close(backend) => pool_of_errands.close(backend),
-                // The desk has woken that command itself.
+                // The dispatcher has already woken that command.
                 Errand::Again(_) => {}
             }
         }
@@ -207,7 +208,7 @@
     }
     note!("{}: listening on {}", start.name, start.listen);
     if must_ask {
-        note!("list: discovery is asked; its news counts as known after {} ms", ask_within.as_millis());
+        note!("list: discovery is queried; its changes bind this node after {} ms", ask_within.as_millis());
     }
     accept::accept(listener, Rc::new(node::Node { desk, launcher, limits, room, stop, sites })).await;
     if let Some(fleet) = fleet {
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! A planned stop: the signal, and the time since. And the operators' word to send clients away, which holds until
-//! they take it back.
+//! The node's lifecycle: a planned stop with the time since its signal, draining of clients on the
+//! operators' request until they revoke it, and the takeover by a new process.
 
 use crate::log::note;
 use std::time::Duration;
@@ -7,9 +7,11 @@
 use tokio::time::{sleep_until, Instant};
 
 pub struct Stop {
+    /// When the stop signal came.
     since: watch::Sender<Option<Instant>>,
+    /// Since when clients are drained.
     away: watch::Sender<Option<Instant>>,
-    /// A new process takes the connections.
+    /// Whether a new process has taken over the connections.
     successor: watch::Sender<bool>,
 }
 
@@ -24,7 +26,7 @@
         if signal.recv().await.is_none() {
             return;
         }
-        note!("stop: finishing what is in hand");
+        note!("stop: finishing the commands in flight");
         self.since.send_replace(Some(Instant::now()));
     }
 
@@ -32,7 +34,7 @@
         self.since.borrow().is_some()
     }
 
-    /// Sends clients away from now on, or takes them again. What has been said already keeps its time.
+    /// Starts or ends the draining of clients. Repeating a request does not change its start time.
     pub fn drain(&self, away: bool) {
         self.away.send_if_modified(|since| {
             let changed = since.is_some() != away;
@@ -45,12 +47,12 @@
         self.away.borrow().is_some()
     }
 
-    /// Whether clients are to go, one way or the other: their answers end their connections.
+    /// Whether connections are to be closed after their answers, for any of the reasons.
     pub fn leaving(&self) -> bool {
         self.stopping() || self.drained() || self.succeeded()
     }
 
-    /// Whether a new process takes the connections from now on.
+    /// Sets whether a new process accepts the connections from now on.
     pub fn succeeded_by(&self, there: bool) {
         self.successor.send_replace(there);
     }
@@ -59,7 +61,7 @@
         *self.successor.borrow()
     }
 
-    /// Over when a new process takes the connections, or takes them no longer.
+    /// Completes when a new process accepts the connections, or when none does any more.
     pub async fn succession(&self, there: bool) {
         let mut successor = self.successor.subscribe();
         if successor.wait_for(|is| *is == there).await.is_err() {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Over so long after the word to send clients away, if it holds then.
+    /// Completes this long after the request to drain clients, if it still holds then.
     pub async fn away_for(&self, span: Duration) {
         let mut away = self.away.subscribe();
         loop {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Over so long after the signal.
+    /// Completes this long after the stop signal.
     pub async fn past(&self, span: Duration) {
         let mut since = self.since.subscribe();
         let asked = since.wait_for(Option::is_some).await.ok().and_then(|at| *at);
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -1,13 +1,13 @@
-//! Every size, count and time that bounds the node: filled once at start and handed down. What the settings
-//! say of them follows when they change; descriptors and memory are the process's own and stay.
+//! All sizes, counts and times that bound the node, computed once at the start. Those that derive from the
+//! settings follow a reload; file descriptors and memory belong to the process and stay.
 
 use crate::bodies::Reading;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections that are open now, from clients and to backends: here, and in the other process of this node while
-/// there is one.
+/// Open connections from clients and to backends, in this process and, while there is one, in the other
+/// process of this node.
 #[derive(Default)]
 pub struct Sockets {
     pub clients: Cell<usize>,
@@ -17,96 +17,113 @@
 }
 
 pub struct Limits {
-    /// The head of a command or an answer.
+    /// The maximum size of a request's or an answer's head.
     pub head_bytes: usize,
-    /// How bodies of commands and of answers are read.
+    /// How the bodies of requests and of answers are read.
     pub commands: Reading,
     pub answers: Reading,
-    /// How long a client's body that flows may be silent, and a backend's, or a client that reads one.
+    /// How long the sender of a streaming body may send nothing: a client, and a backend. The second one
+    /// also bounds how long a client may take to read on.
     pub body_silent: Duration,
     pub flow_silent: Duration,
-    /// All bodies that are held at a time, of commands and of answers.
+    /// The memory budget of all bodies, of requests and of answers, in bytes.
     pub held_bytes: usize,
-    /// One line of the list.
+    /// The maximum size of one message of the list.
     pub line_bytes: usize,
-    /// Connections from clients (and commands in hand), those to backends (launches and probes), and those of
-    /// clients past the first figure, until idle ones have made room.
+    /// The maximum number of connections from clients (and of commands in flight), the maximum number of
+    /// connections to backends (for launches and probes), and how many client connections may exceed the
+    /// first number until idle ones have closed.
     client_sockets: usize,
     backend_sockets: usize,
     pub surplus_sockets: usize,
     pub sockets: Sockets,
-    /// Connections from clients that are kept for their next command; past that an answer ends its connection.
+    /// The maximum number of client connections that stay open between commands; beyond it, each answer
+    /// closes its connection.
     kept_sockets: usize,
-    /// Connections from operators, and what they may send of a body that no call has.
+    /// The maximum number of connections from operators, and of bytes of a body that their request should
+    /// not have.
     pub admin_sockets: usize,
     pub admin_body_bytes: usize,
-    /// How long the other process of this node may take to answer, and between two words of what is held.
+    /// How long the other process of this node may take to answer, and the interval between two reports of
+    /// its usage.
     pub peer_wait: Duration,
     pub peer_beat: Duration,
-    /// How long such a connection may last.
+    /// How long a connection from an operator may last.
     pub admin_wait: Duration,
-    /// Connections that the kernel may hold until they are accepted.
+    /// The length of the kernel's queue of connections that wait to be accepted.
     pub backlog: u32,
+    /// The timeout for connecting to a backend or to discovery.
     pub dial: Cell<Duration>,
-    /// How long a pooled connection may take to be ready: it has only to notice that its last answer is over.
+    /// How long a pooled connection may take to become ready: it only has to notice that its last answer is
+    /// over.
     pub ready_wait: Duration,
-    /// How long nothing may have come on a connection until the next launch goes on it, where second answers have been
-    /// seen in the last while: they come some milliseconds after the first. Always, it cost a tenth of the short days.
+    /// How long a connection rests after an answer before the next launch uses it, and how long this holds
+    /// after a backend was seen to answer twice. A second answer comes some milliseconds after the first.
+    /// Resting at all times, and not only then, cost a tenth of the result in short test runs.
     pub quiet: Duration,
     pub twice_for: Duration,
-    /// How long a connection to a backend may stand idle.
+    /// How long an idle connection to a backend is kept.
     pub backend_idle: Cell<Duration>,
-    /// A probe's answer: it comes beside the queue, so in about a trip.
+    /// The timeout of a probe. A backend answers it without queueing, in about a round trip.
     pub probe_wait: Duration,
-    /// Discovery's answer to a call and its first line: it works through calls in turn. News counts as known six seconds
-    /// after discovery had it, and a call that is given up has to be followed by one that is answered.
+    /// The timeout for discovery's answer to a call and for the first line. Discovery works through calls in
+    /// turn. A list change binds the node six seconds after discovery had it, and within that time a call
+    /// that timed out must be followed by one that is answered.
     pub call_wait: Duration,
-    /// A line of the list or a sign of life: a beat of two seconds, and half of one for the way. What a watch misses
-    /// counts as told six seconds after it has fallen silent: the rest of that is for the new one.
+    /// The timeout for the next message or heartbeat on a watch: the heartbeat interval of two seconds, and
+    /// half of that for delays. A change that a watch misses binds the node six seconds after the watch has
+    /// fallen silent; the rest of that time is for the new watch.
     pub beat_wait: Duration,
-    /// How long after the signal to stop connections are still accepted, and idle ones left open.
+    /// How long after the stop signal connections are still accepted, and how long idle ones stay open.
     pub accept_on: Duration,
     pub idle_on: Duration,
-    /// When whatever is in hand is answered after the signal to stop, and when the node ends even if a client still owes
-    /// the rest of a command.
+    /// When the commands in flight are answered after the stop signal, and when the node exits even if a
+    /// client still owes the rest of a command.
     pub answer_by: Cell<Duration>,
     pub end_by: Cell<Duration>,
-    /// How long the kernel's last connections are looked for.
+    /// How long the node waits for the last connections in the kernel's queue.
     pub last_look: Duration,
-    /// A connection without a command for so long is idle; before, its first may be on the way.
+    /// A connection without a command for this long is idle. Before that, its first command may be on its
+    /// way.
     pub settle: Duration,
-    /// How long a connection that has ended is read on, so that its client sees its last answer.
+    /// How long a closing connection is still read, so that the client receives its last answer.
     pub linger: Duration,
-    /// How long a connection may take to its first whole head, and how long one that has had a command may be
+    /// How long a connection may take to its first complete head, and how long one that had a command may be
     /// idle.
     pub first_wait: Duration,
     pub guest_idle: Duration,
-    /// How long a command may be in hand at most, whatever its client says.
+    /// The maximum time that a command may be in flight, whatever its client asks for.
     pub longest_command: Duration,
-    /// Between two looks for idle connections to close.
+    /// The interval between two sweeps of idle connections to backends.
     pub sweep: Duration,
-    /// After an accept that failed: what it lacked comes back, if at all, in its own time.
+    /// The pause after a failed accept. A resource that was lacking becomes free, if ever, without the
+    /// node's doing.
     pub accept_pause: Duration,
-    /// The runtime's clock counts in these: no timer is tighter.
+    /// The resolution of the runtime's timers.
     pub tick: Duration,
+    /// The maximum number of log lines per second from each place in the code.
     pub notes_per_s: u32,
 }
 
-/// Standard streams, the runtime's own, the listeners, discovery, operators, and some that are just being closed.
+/// File descriptors reserved for the standard streams, the runtime, the listeners, discovery, operators and
+/// connections that are just closing.
 const KEPT_BACK: usize = 64;
-/// Of these: the streams, the runtime, the listeners, discovery, the other process and its door; and operators.
+/// Of these: first the streams, the runtime, the listeners, discovery, the other process and the socket for
+/// a successor; then operators.
 const OWN: usize = 20;
 const OPERATORS: usize = 24;
 const _: () = assert!(OWN + OPERATORS <= KEPT_BACK);
 
-/// After the signal to stop the kill comes 700 ms after the longest time limit at the soonest, or after this if that is longer.
+/// The process is killed 700 ms after the longest time limit at the earliest, or 700 ms after this time if
+/// the limit is longer.
 const KILL_WAITS_FOR: Duration = Duration::from_secs(3);
 
-/// The least that a node can serve with: eight commands at a time, and their windows.
+/// The minimum resources: sockets for eight commands at a time, and memory for their windows.
 const LEAST_SOCKETS: usize = KEPT_BACK + 16;
 const LEAST_MEMORY_MB: usize = 8;
 
-/// Of a body what is read whole, the protocol's figure, and the largest that is passed on.
+/// The size up to which a body is buffered, which the protocol defines, and the largest body that is
+/// streamed, in bytes.
 const WINDOW: usize = 64 << 10;
 const LARGEST: usize = 32 << 20;
 
@@ -122,18 +139,19 @@
             [("sockets", sockets, LEAST_SOCKETS), ("memory_mb", memory_mb, LEAST_MEMORY_MB)]
         {
             if is < least {
-                return Err(format!("limits.{key}: {is} is too little, {least} is the least"));
+                return Err(format!("limits.{key} is {is}; it must be at least {least}"));
             }
         }
         let memory = memory_mb << 20;
         let surplus_sockets = sockets / 16;
         let room = sockets.saturating_sub(KEPT_BACK + surplus_sockets).max(8);
-        // A command has one connection on either side; clients keep more of them idle than the pool does.
+        // A command needs one connection on either side, but clients keep more idle connections than the
+        // pool does.
         let client_sockets = (room * 3 / 5).max(4);
         Ok(Limits {
             head_bytes: 16 << 10,
-            // A body has no time limit of its own until its last byte. An honest one comes at 64 kB a second and
-            // in pieces: half of that, and two seconds to begin with.
+            // A body has no time limit of its own until its last byte. A well-behaved client sends 64 kB per
+            // second in pieces: half of that rate is required, after two seconds to begin with.
             commands: Reading {
                 window: WINDOW,
                 most: LARGEST,
@@ -141,7 +159,8 @@
                 rate: 32 << 10,
                 early: None,
             },
-            // Its launch has a time limit. One that does not say how large it is is held for so long only.
+            // The launch has a time limit already. An answer of unknown length is buffered only for the
+            // early time.
             answers: Reading {
                 window: WINDOW,
                 most: LARGEST,
@@ -149,24 +168,25 @@
                 rate: 32 << 10,
                 early: Some(Duration::from_millis(100)),
             },
-            // Some trips, and what a client writes until it has read its answer.
+            // A few round trips, and the time until the client stops writing because it has read its answer.
             linger: Duration::from_millis(500),
             body_silent: Duration::from_millis(2500),
-            // A slow reader's kernel holds some megabytes for it: it is long before it reads on.
+            // The kernel buffers some megabytes for a slow reader, so it can take long before it reads on.
             flow_silent: Duration::from_secs(60),
-            // The other half is for connections' buffers, the list and the program itself.
+            // The other half is for the buffers of connections, the list and the program itself.
             held_bytes: memory / 2,
             line_bytes: 4 << 20,
             client_sockets,
             backend_sockets: (room * 2 / 5).max(4),
             surplus_sockets,
             sockets: Sockets::default(),
-            // Clients open a third of the descriptors for commands: half of that may stand idle.
+            // Clients need a third of the descriptors for commands; half as many may be idle.
             kept_sockets: sockets / 6,
-            // Of those kept back. A call is answered in a millisecond: the others only hold their connection.
+            // Part of the reserved descriptors. A request is answered within a millisecond; the rest of its
+            // time a connection is only open.
             admin_sockets: OPERATORS,
             admin_body_bytes: 64 << 10,
-            // An operator's call is owed its answer in a second, and half of that is for the other process.
+            // An operator must have an answer within a second; half of that is for the other process.
             peer_wait: Duration::from_millis(600),
             peer_beat: Duration::from_millis(50),
             admin_wait: Duration::from_millis(4000),
@@ -175,7 +195,8 @@
             ready_wait: Duration::from_millis(20),
             quiet: Duration::from_millis(10),
             twice_for: Duration::from_secs(60),
-            // Whatever the way takes, and however late the node is: half of it is well before.
+            // Half of the backend's own idle timeout is early enough, whatever the network delay and however
+            // late the node.
             backend_idle: Cell::new(idle / 2),
             probe_wait: Duration::from_millis(50),
             call_wait: Duration::from_millis(3300),
@@ -186,10 +207,12 @@
             end_by: Cell::new(KILL_WAITS_FOR.min(limit) + Duration::from_millis(650)),
             last_look: Duration::from_millis(20),
             settle: Duration::from_millis(100),
-            // Whoever sends nothing of use is told so, or is gone, within three seconds of coming.
-            // An honest head may take two of them.
+            // A client that sends nothing usable gets an error or is disconnected within three seconds of
+            // connecting.
+            // A well-behaved client may take two of them for its head.
             first_wait: Duration::from_millis(2600),
-            // Clients come back within a few seconds or never; each one kept costs a descriptor and a buffer.
+            // Clients come back within a few seconds or not at all; each connection costs a descriptor and a
+            // buffer.
             guest_idle: Duration::from_secs(20),
             longest_command: Duration::from_secs(600),
             sweep: Duration::from_secs(1),
@@ -199,8 +222,8 @@
         })
     }
 
-    /// What this process may have of a budget, with what the other one holds: a quarter at the least, as that one
-    /// takes nothing more and lets go.
+    /// The part of a budget that is left for this process, given what the other one uses: at least a
+    /// quarter, since the other process takes nothing more and releases what it has.
     fn left(most: usize, other: &Cell<usize>) -> usize {
         most.saturating_sub(other.get()).max(most / 4)
     }
@@ -217,11 +240,11 @@
         Limits::left(self.kept_sockets, &self.sockets.other_clients)
     }
 
-    /// Goes by what another file says from now on.
+    /// Adopts the limits of a reloaded configuration.
     pub fn follow(&self, other: &Limits) {
         self.dial.set(other.dial.get());
         self.backend_idle.set(other.backend_idle.get());
-        // A command in hand may still have the longer one.
+        // A command in flight may still have the longer time limit.
         self.answer_by.set(self.answer_by.get().max(other.answer_by.get()));
         self.end_by.set(self.end_by.get().max(other.end_by.get()));
     }
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -1,4 +1,4 @@
-//! The list of backends, as messages of discovery's and the configuration tell it.
+//! The list of backends: parses discovery's messages and the list cached in the configuration.
 
 use crate::dispatcher::{Desk, Line};
 use crate::log::note;
@@ -13,21 +13,21 @@
 
 pub struct Lister {
     desk: Rc<Desk>,
-    /// The version that this node has.
+    /// The list version that this node has.
     index: Cell<u64>,
 }
 
 fn place(names: &[String], entry: &Value, key: &str) -> Result<usize, String> {
-    let name = entry.get(key).and_then(Value::as_str).ok_or_else(|| format!("{key} is not a text"))?;
+    let name = entry.get(key).and_then(Value::as_str).ok_or_else(|| format!("{key} is not a string"))?;
     names.iter().position(|n| n == name).ok_or_else(|| format!("{key} {name:?} is not in the settings"))
 }
 
 fn number(entry: &Value, key: &str) -> Result<u64, String> {
     let n = entry.get(key).and_then(Value::as_f64).filter(|n| (0.0..1e15).contains(n));
-    n.map(|n| n as u64).ok_or_else(|| format!("{key} is not a number from 0 on"))
+    n.map(|n| n as u64).ok_or_else(|| format!("{key} is not a non-negative number"))
 }
 
-/// A name as a number: the same at every node, as the hasher has no key of its own.
+/// A hash of a name that is the same at every node, as the hasher has no random key.
 pub fn mark(name: &str) -> u64 {
     BuildHasherDefault::<DefaultHasher>::default().hash_one(name)
 }
@@ -41,15 +41,16 @@
         self.index.get()
     }
 
-    /// One message of discovery. A bad entry is left out, the others count.
+    /// Applies one message of discovery. Invalid entries are skipped and the others are used.
     pub fn told(&self, message: &Value, cached: bool) -> Result<(), String> {
-        let entries = message.get("endpoints").and_then(Value::as_array).ok_or("endpoints is not a list")?;
+        let entries =
+            message.get("endpoints").and_then(Value::as_array).ok_or("endpoints is not an array")?;
         let whole = message.get("snapshot").and_then(Value::as_bool).unwrap_or(false);
         let mut lines = Vec::with_capacity(entries.len());
         for entry in entries {
             match self.line(entry) {
                 Ok(line) => lines.push(line),
-                Err(why) => note!("list: an entry is left out: {why}: {entry}"),
+                Err(why) => note!("list: skipped an entry: {why}: {entry}"),
             }
         }
         let kind = match (cached, whole) {
@@ -71,7 +72,7 @@
         note!(
             "list: version {} ({}): {} ready, {} draining, {} gone",
             self.index.get(),
-            if whole { "whole" } else { "changes" },
+            if whole { "snapshot" } else { "changes" },
             count(State::Ready),
             count(State::Draining),
             count(State::Gone)
@@ -79,7 +80,7 @@
     }
 
     fn line(&self, entry: &Value) -> Result<Line, String> {
-        let name = entry.get("name").and_then(Value::as_str).ok_or("name is not a text")?;
+        let name = entry.get("name").and_then(Value::as_str).ok_or("name is not a string")?;
         let state = match entry.get("status").and_then(Value::as_str) {
             Some("ready") => State::Ready,
             Some("draining") => State::Draining,
@@ -87,7 +88,7 @@
             _ => return Err("status is unknown".into()),
         };
         match self.whole_line(entry, name, state) {
-            // Nothing new goes to it, whatever else its entry says or lacks.
+            // No new command goes to it, so the other fields of its entry may be missing or invalid.
             Err(_) if state != State::Ready => {
                 Ok((Listed { backend: self.desk.id(name), state: State::Gone, ..Listed::default() }, None))
             }
@@ -97,7 +98,7 @@
 
     fn whole_line(&self, entry: &Value, name: &str, state: State) -> Result<Line, String> {
         let address = entry.get("address").and_then(Value::as_str).and_then(|a| a.parse().ok());
-        let address = address.ok_or("address is not an address with a port")?;
+        let address = address.ok_or("address is not an IP address with a port")?;
         let names = self.desk.names();
         let listed = Listed {
             mark: mark(name),
@@ -111,7 +112,7 @@
             group: GroupId(number(entry, "group")? as u16),
             state,
             started: Moment(number(entry, "since_ms")?.saturating_mul(1000)),
-            // Last: an entry that is left out names nobody.
+            // Last, so that an invalid entry does not use up an id.
             backend: self.desk.id(name),
         };
         Ok((listed, Some(address)))
@@ -122,8 +123,8 @@
 mod tests {
     use super::mark;
 
-    /// All nodes, of older builds too, must hold the backends in one order: by numbers given out as names come
-    /// in, or by a hasher with a key of its own, each would have another.
+    /// All nodes, including those of older builds, must put the backends in the same order. With numbers
+    /// assigned in order of arrival, or a randomly keyed hasher, each node would have its own order.
     #[test]
     fn a_name_is_the_same_number_everywhere() {
         assert_eq!([mark("s-5be2a07c"), mark("b1")], [8605843283703293279, 5184175751576726796]);
--- a/crates/node/src/list_age.rs
+++ b/crates/node/src/list_age.rs
@@ -1,18 +1,21 @@
-//! From when on the list in use may be overtaken by news that this node is held to and has not heard.
+//! Determines from when on the list in use may be outdated by changes that bind this node although it has
+//! not received them.
 //!
-//! The deployment counts what discovery has to tell as known some seconds after a watch has been lost or discovery has
-//! moved, whether or not it has arrived. Only a call that waits for its answer can still bring it in time.
+//! In the deployment, discovery's changes bind a node some seconds after its watch was lost or discovery has
+//! moved, whether or not they have arrived. Only a call that is still waiting for its answer can deliver
+//! them in time.
 
 use yarrowfront::times::{Moment, Span};
 
-/// What the end of a watch hides counts as known so long after it.
+/// A change that the end of a watch hides binds the node after this time.
 const KNOWN_AFTER_END: Span = Span::millis(2000);
-/// And what a watch misses that has fallen silent, which may have been right behind its last message.
+/// A change that a silent watch misses binds the node this long after the last message, as it may have come
+/// right behind it.
 const KNOWN_AFTER_SILENCE: Span = Span::millis(6000);
-/// And all that discovery has to tell, so long after a configuration with another address of it.
+/// Every change binds the node this long after a new configuration gave another address of discovery.
 const KNOWN_AFTER_MOVE: Span = Span::millis(4000);
 
-/// The events since the list was last heard of that news may hide behind.
+/// The times from which changes bind that may have been missed since discovery's last answer.
 #[derive(Debug, Default)]
 pub struct ListAge {
     after_move: Option<Moment>,
@@ -36,7 +39,7 @@
         self.after_loss = Some(self.after_loss.map_or(known, |earlier| earlier.min(known)));
     }
 
-    /// Discovery has answered: at its present address, or still at a former one.
+    /// Discovery has answered, at its present address or still at a former one.
     pub fn answered(&mut self, at_present_address: bool) {
         self.after_loss = None;
         if at_present_address {
@@ -44,12 +47,13 @@
         }
     }
 
-    /// The call has failed: discovery is down or out of reach, and the list serves on as it is known.
+    /// The call has failed: discovery is down or unreachable, and the list stays valid as it is.
     pub fn call_failed(&mut self) {
         *self = ListAge::default();
     }
 
-    /// From when on news binds this node unheard; none while nothing is missed.
+    /// The time from which changes that were not received bind this node; `None` if none can have been
+    /// missed.
     pub fn binds_from(&self) -> Option<Moment> {
         self.after_move.into_iter().chain(self.after_loss).min()
     }
--- a/crates/node/src/list_watches.rs
+++ b/crates/node/src/list_watches.rs
@@ -1,8 +1,9 @@
 //! The calls to discovery for the list, and the watches that they open.
 //!
-//! Discovery works through calls in turn, also through those that were given up. So when it moves, a call that waits at its
-//! former address is waited for before the present one is called, and a watch there goes on until the present one has
-//! answered: no call is made that tells nobody anything, and no node asks twice before others have been answered once.
+//! Discovery works through calls one after another, including those that were given up. So when it moves, a
+//! call that is waiting at the former address is waited for before the present address is called, and a
+//! watch at the former address stays open until the present one has answered. This avoids calls whose answer
+//! nobody uses, and no node is answered twice before others were answered once.
 
 use crate::dispatcher::Desk;
 use crate::limits::Limits;
@@ -29,17 +30,19 @@
 use yarrowfront::decide::ListKind;
 use yarrowfront::times::Moment;
 
-/// From a failed call at the present address to the next one, while a watch at a former address is still open.
+/// The interval from a failed call at the present address to the next one, while a watch at a former address
+/// is still open.
 const RETRY_BESIDE_FORMER: Duration = Duration::from_millis(1000);
-/// A call at a former address is waited for no longer than the protocol has that address serve after a move.
+/// The timeout of a call at a former address: the protocol has that address serve for this long after a
+/// move.
 const FORMER_SERVES_FOR: Duration = Duration::from_millis(1500);
 
-/// Calls are numbered as they are made.
+/// The number of a call, in the order in which they are made.
 type CallNumber = u64;
 
-/// How a call or its watch ends.
+/// How a call or its watch ended.
 enum End {
-    /// No message has come for longer than its beats are apart, since then.
+    /// No message has come within the heartbeat timeout after this time.
     Silent(Moment),
     Failed(String),
 }
@@ -56,27 +59,27 @@
     }
 }
 
-/// All calls and watches of one process.
+/// All calls and watches of this process.
 pub struct Watches {
     lister: Lister,
     desk: Rc<Desk>,
     limits: Rc<Limits>,
     age: RefCell<ListAge>,
-    /// Discovery's address, as the configuration has it, and the address of the newest call.
+    /// Discovery's configured address, and the address of the newest call.
     present: Cell<SocketAddr>,
     called: Cell<Option<SocketAddr>>,
     newest: Cell<CallNumber>,
-    /// The highest number of those that have been answered.
+    /// The highest number of a call that has been answered.
     answered: Cell<CallNumber>,
     answer: Notify,
 }
 
-/// The calls and watches that are open, in the loop that owns them.
+/// The open calls and watches, owned by the loop in `run`.
 #[derive(Default)]
 struct Open {
     tasks: JoinSet<(CallNumber, End)>,
     handles: BTreeMap<CallNumber, AbortHandle>,
-    /// When to call again beside what is open.
+    /// When to make another call beside those that are open.
     call_at: Option<Instant>,
 }
 
@@ -87,7 +90,8 @@
         Rc::new(Watches { lister, desk, limits, age, present, called, newest, answered, answer })
     }
 
-    /// Calls whenever the module wants the list followed or discovery has moved, and tells the module how that ends.
+    /// Calls discovery whenever the balancer requests the list or discovery has moved, and reports the
+    /// outcome to the balancer.
     pub async fn run(
         self: Rc<Self>,
         mut wanted: mpsc::UnboundedReceiver<()>,
@@ -114,7 +118,7 @@
                     }
                 }
                 Some(task) = open.tasks.join_next(), if !open.tasks.is_empty() => {
-                    // One that was closed here, as a later one has been answered, owes nothing.
+                    // A call that was aborted because a later one was answered has nothing to report.
                     if let Ok((call, end)) = task {
                         self.ended(&mut open, call, end);
                     }
@@ -123,7 +127,8 @@
         }
     }
 
-    /// Discovery has moved: calls it there, at once unless a call still waits for its answer.
+    /// Handles a move of discovery: calls the new address, at once unless a call is still waiting for its
+    /// answer.
     fn moved(self: &Rc<Self>, open: &mut Open) {
         self.change_age(|age, now| age.discovery_moved(now));
         let waits = open.handles.contains_key(&self.newest.get()) && self.newest.get() > self.answered.get();
@@ -134,7 +139,7 @@
         }
     }
 
-    /// Whether the newest call was made at an address where discovery is no longer.
+    /// Whether the newest call was made at an address that discovery has left.
     fn call_is_due_elsewhere(&self) -> bool {
         self.called.get() != Some(self.present.get())
     }
@@ -162,7 +167,7 @@
         };
         match end {
             End::Silent(since) => {
-                note!("list: the watch has ended: no line for a beat and a half");
+                note!("list: the watch has ended: no message within the heartbeat timeout");
                 self.change_age(|age, _| age.watch_silent(since));
             }
             End::Failed(why) => {
@@ -202,12 +207,12 @@
 
     async fn connect_and_read(&self, call: CallNumber, discovery: SocketAddr) -> Result<(), End> {
         let stream = timeout(self.limits.dial.get(), Transport::connect(discovery)).await;
-        let stream = stream.map_err(|_| "no connection in time")?.map_err(|e| e.to_string())?;
+        let stream = stream.map_err(|_| "connect timed out")?.map_err(|e| e.to_string())?;
         let (mut sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
         let driver = async {
             let _ = connection.await;
-            // The reader below finds out by itself, and may still have lines to read.
+            // The reader below detects the end by itself and may still have messages to read.
             std::future::pending::<()>().await;
         };
         tokio::select! {
@@ -224,22 +229,22 @@
     ) -> Result<(), End> {
         let request = self.request(discovery)?;
         let asked = Instant::now();
-        note!("list: asks {discovery} for what has changed since version {}", self.lister.index());
+        note!("list: requesting from {discovery} the changes since version {}", self.lister.index());
         let mut beat = asked + self.limits.call_wait;
         let response = timeout_at(beat, sender.send_request(request)).await;
-        let response = response.map_err(|_| "no answer in time")?.map_err(|e| e.to_string())?;
+        let response = response.map_err(|_| "timed out waiting for an answer")?.map_err(|e| e.to_string())?;
         if response.status() != StatusCode::OK {
             return Err(format!("answered {}", response.status()).into());
         }
-        note!("list: {discovery} accepts the watch after {} ms", asked.elapsed().as_millis());
+        note!("list: {discovery} accepted the watch after {} ms", asked.elapsed().as_millis());
         let (mut body, mut reader, mut heard) = (response.into_body(), MessageReader::default(), None);
         loop {
-            // A cut network says nothing at all: silence is the only sign.
+            // A network that is cut reports nothing, so silence is the only sign.
             let frame = timeout_at(beat, body.frame()).await;
-            let frame = frame.map_err(|_| heard.map_or_else(|| "no line in time".into(), End::Silent))?;
+            let frame = frame.map_err(|_| heard.map_or_else(|| "no message in time".into(), End::Silent))?;
             let frame = frame.ok_or("closed by discovery")?.map_err(|e| e.to_string())?;
             reader.push(frame.data_ref().map_or(&[][..], |d| d));
-            // Part of a message proves nothing: whoever is cut off in it has fallen silent.
+            // Part of a message does not prove that the watch lives: it may have been cut off there.
             while let Some(message) = reader.next() {
                 beat = Instant::now() + self.limits.beat_wait;
                 self.take(message.trim_ascii(), heard.is_none());
@@ -249,7 +254,7 @@
                 heard = Some(self.desk.clock.now());
             }
             if reader.unfinished() > 0 {
-                note!("list: {} bytes of a message are here and its end is not", reader.unfinished());
+                note!("list: {} bytes of an incomplete message received", reader.unfinished());
             }
             if reader.unfinished() > self.limits.line_bytes {
                 return Err("a message is too long".into());
@@ -266,10 +271,10 @@
         Ok(request)
     }
 
-    /// The call has been answered: whatever was called before it is closed.
+    /// The call has been answered, so all earlier calls are closed.
     fn first_message(&self, call: CallNumber, discovery: SocketAddr, asked: Instant) {
         let waited = asked.elapsed().as_millis();
-        note!("list: version {} is known {waited} ms after the call", self.lister.index());
+        note!("list: version {} received {waited} ms after the call", self.lister.index());
         self.answered.set(self.answered.get().max(call));
         self.answer.notify_one();
         self.change_age(|age, _| age.answered(self.present.get() == discovery));
@@ -279,20 +284,20 @@
         self.desk.heard_list();
         if line.is_empty() {
             if first {
-                // Nothing has changed since the version asked for: that too is an answer.
+                // Nothing has changed since the requested version, which is an answer as well.
                 self.desk.list(ListKind::Changes, &[]);
             }
             return;
         }
         let told = serde_json::from_slice::<Value>(line).map_err(|e| e.to_string());
         if let Err(why) = told.and_then(|message| self.lister.told(&message, false)) {
-            note!("list: a line is left out: {why}");
+            note!("list: skipped an invalid message: {why}");
         }
     }
 }
 
 impl Open {
-    /// Closes all that was called before this one.
+    /// Closes all calls that were made before this one.
     fn close_before(&mut self, call: CallNumber) {
         let later = self.handles.split_off(&call);
         for (_, former) in std::mem::replace(&mut self.handles, later) {
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,5 +1,5 @@
-//! Notes for whoever is on call, on standard error: so many lines a second from each place. Whoever reads them may go or
-//! stand still, and the node goes on.
+//! Log lines for operators on standard error, rate-limited for each place in the code. A reader that stops
+//! reading or closes the pipe does not block the node.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::cell::Cell;
@@ -7,20 +7,20 @@
 use std::io::{stderr, Write};
 use std::time::{Duration, Instant};
 
-/// Of a line: as much as a pipe that takes anything takes at once.
+/// The maximum length of a line in bytes: no more than the amount that a writable pipe accepts at once.
 const MOST: usize = 4000;
 
 thread_local! {
-    /// As many as there are, until the start has said how many.
+    /// Unlimited until the configuration is read.
     static LINES: Cell<u32> = const { Cell::new(u32::MAX) };
 }
 
-/// How many lines each place in the code may write a second.
+/// Sets how many lines per second each place in the code may write.
 pub fn allow(lines: u32) {
     LINES.set(lines);
 }
 
-/// One for each place that writes: a noisy one must not hide the others.
+/// The rate limiter of one place in the code, so that frequent lines do not suppress others.
 pub struct Gate {
     since: Cell<Option<Instant>>,
     written: Cell<u32>,
@@ -32,7 +32,7 @@
         Gate { since: Cell::new(None), written: Cell::new(0), left_out: Cell::new(0) }
     }
 
-    /// Whether a line may be written now, and how many were left out before it.
+    /// Returns whether a line may be written now, and how many were suppressed before it.
     pub fn pass(&self) -> Option<u32> {
         let now = Instant::now();
         if self.since.get().is_none_or(|at| now - at >= Duration::from_secs(1)) {
@@ -48,8 +48,9 @@
     }
 }
 
-/// Whether somebody takes a line. A write to a pipe that is full would stop the only thread until its reader goes on, and
-/// one to a pipe whose reader is gone would fail. Where that cannot be told it is tried.
+/// Whether a line can be written without blocking. Writing to a full pipe would stop the only thread until
+/// the reader continues, and writing to a pipe without a reader would fail. If `poll` fails, the write is
+/// attempted.
 fn taken() -> bool {
     let stderr = stderr();
     let mut asked = [PollFd::new(&stderr, PollFlags::OUT)];
@@ -59,7 +60,7 @@
     }
 }
 
-/// Writes a line, if somebody takes it.
+/// Writes a line without a rate limit, if it can be written without blocking.
 pub fn line(text: Arguments<'_>) {
     if taken() {
         write(text);
@@ -82,7 +83,7 @@
             None => {}
             Some(0) => $crate::log::write(format_args!($($part)*)),
             Some(more) => {
-                $crate::log::write(format_args!("{} ({more} like it left out)", format_args!($($part)*)));
+                $crate::log::write(format_args!("{} ({more} more suppressed)", format_args!($($part)*)));
             }
         }
     }};
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: all of it is in the library.
+//! The executable; all code is in the library.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
--- a/crates/node/src/message_reader.rs
+++ b/crates/node/src/message_reader.rs
@@ -1,16 +1,18 @@
-//! Cuts the bytes of a watch into messages of discovery's, which may stand over several lines and come in pieces.
+//! Splits the byte stream of a watch into discovery's messages. A message may span several lines and arrive
+//! in pieces.
 
-/// What has come on a watch and is no whole message yet.
+/// The received data that is not a complete message yet.
 #[derive(Default)]
 pub struct MessageReader {
     bytes: Vec<u8>,
-    /// How far they have been looked at, the last that was no space, and how deep in braces and brackets that is.
+    /// The number of bytes that were scanned, the last of them that was not white space, and the nesting
+    /// depth of braces and brackets there.
     seen: usize,
     last: u8,
     depth: usize,
     quoted: bool,
     escaped: bool,
-    /// The line end behind the last message is still to come, and says nothing.
+    /// The line end after the last message has not been received yet. It is no heartbeat.
     line_end_due: bool,
 }
 
@@ -19,34 +21,34 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// How many bytes wait for the rest of their message.
+    /// The number of bytes of an incomplete message.
     pub fn unfinished(&self) -> usize {
         self.bytes.len()
     }
 
-    /// The next message that is here whole, or line that is none; an empty one is a sign of life. Of what makes no
-    /// message no more is lost than that.
+    /// Returns the next complete message, or the next line that is none. An empty one is a heartbeat.
+    /// Invalid data costs no more than its own line or message.
     pub fn next(&mut self) -> Option<Vec<u8>> {
         self.skip_line_end();
         while let Some(&byte) = self.bytes.get(self.seen) {
             if self.breaks_off_before(byte) {
                 return Some(self.cut(self.seen, false));
             }
-            // No text goes over the end of a line.
+            // A JSON string cannot contain a line end.
             if byte == b'\n' && (self.depth == 0 || self.quoted) {
                 return Some(self.cut(self.seen + 1, false));
             }
             let outside = self.depth == 0;
             self.look_at(byte);
             if !outside && self.depth == 0 {
-                // Whole with its last brace: the line end may come much later.
+                // The message is complete with its last brace; the line end may come much later.
                 return Some(self.cut(self.seen, true));
             }
         }
         None
     }
 
-    /// No object follows a word: what was there broke off.
+    /// An object cannot directly follow a literal, so the message before it was cut short.
     fn breaks_off_before(&self, byte: u8) -> bool {
         self.depth > 0 && !self.quoted && byte == b'{' && !b"[,:{".contains(&self.last)
     }
@@ -100,7 +102,8 @@
         found.iter().map(|message| String::from_utf8_lossy(message.trim_ascii()).into_owned()).collect()
     }
 
-    /// Messages in one line or in many, cut anywhere, between beats and behind what is none: each is taken as it stands.
+    /// Messages on one line or on several, split anywhere, between heartbeats and after invalid data: each
+    /// must be returned unchanged.
     #[test]
     fn messages_in_lines_and_over_lines() {
         let one = "{\"a\":[{\"b\":\"}\\\"{\"}]}\n";
@@ -110,7 +113,7 @@
             &[one, "\n", many, flat, "\n", one],
             &["not JSON\n", one, many],
             &["[1,2]\n", "}\n", many],
-            // Broken off in a text and in a word.
+            // Cut short within a string, and within a literal.
             &["{\"a\": \"b\n", one, "\n", many],
             &["{\"a\": tru\n", many, one],
             &["{\"a\": 1\n", one, many],
@@ -126,7 +129,8 @@
         }
     }
 
-    /// A message is there with its last brace, whatever comes behind it and when; its line end is no sign of life.
+    /// A message must be returned as soon as its last brace is received, whatever follows and whenever. The
+    /// line end after it must not count as a heartbeat.
     #[test]
     fn a_message_before_its_line_end() {
         let message = "{\"a\": 1}";
--- a/crates/node/src/names.rs
+++ b/crates/node/src/names.rs
@@ -1,24 +1,24 @@
-//! Names on the sockets and the ids that the module knows them by. An id stays what it is for as long as the
-//! process runs: other settings may bring their names in another order, change them or leave them out, while
-//! commands and backends are still held by the earlier ones.
+//! Maps names on the wire to the ids that the balancer uses. An id keeps its meaning while the process runs:
+//! a reload may reorder names, change what they stand for or remove them while commands and backends still
+//! refer to the earlier ones.
 
 use yarrowfront::ids::ProfileId;
 use yarrowfront::terms::{Profile, Terms};
 
 pub struct Names {
-    /// Every zone and kind that there has been, by id.
+    /// All zones and kinds since the start, indexed by id.
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
-    /// Profiles that commands may come in under now.
+    /// The profiles that new commands may have.
     pub profiles: Vec<(String, ProfileId)>,
-    /// Every one that there has been, by id; one that has changed is another.
+    /// All profiles since the start, indexed by id; a profile that has changed gets a new id.
     known: Vec<(String, Profile)>,
-    /// The fields of a load report in their order, and the number of the settings that say so.
+    /// The fields of a load report in their order, and the generation of the settings that define it.
     pub report: Vec<String>,
     pub turn: u32,
 }
 
-/// Each name's place among all that there have been.
+/// Appends new names to those that have ids already.
 fn union(known: &[String], new: &[String], most: usize, path: &str) -> Result<Vec<String>, String> {
     let mut all = known.to_vec();
     all.extend(new.iter().filter(|name| !known.contains(name)).cloned());
@@ -42,7 +42,7 @@
         Names { zones, kinds, profiles, known, report, turn: 0 }
     }
 
-    /// Names and terms of a new file, with the ids that stand already.
+    /// Merges the names and settings of a reloaded file, keeping the ids that are assigned already.
     pub fn followed_by(&self, new: &Names, mut terms: Terms) -> Result<(Names, Terms), String> {
         let zones = union(&self.zones, &new.zones, 1 << 16, "settings.zones")?;
         let kinds = union(&self.kinds, &new.kinds, 1 << 8, "settings.flavors")?;
@@ -63,7 +63,7 @@
         Ok((Names { zones, kinds, profiles, known, report, turn }, terms))
     }
 
-    /// What an id stands for.
+    /// The name and the definition of a profile id.
     pub fn known(&self, id: ProfileId) -> Option<(&str, &Profile)> {
         self.known.get(usize::from(id.0)).map(|(name, profile)| (name.as_str(), profile))
     }
@@ -95,8 +95,8 @@
         (Names::new(zones, kinds, profiles, Vec::new(), &terms), terms)
     }
 
-    /// With places for ids a command in hand would end by another profile's rules, and a backend would move to
-    /// another zone, whenever a file has them in another order. There and back, all is as it was.
+    /// If ids were positions in the file, any reordering would end commands in flight by the rules of
+    /// another profile and move backends to another zone. Reloading the former file must restore its ids.
     #[test]
     fn ids_stay_when_names_move() {
         let (first, terms) = file(0, ["a", "b"], ["x", "y"], &[("read", 200), ("pay", 300)]);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! All that the stages of a command share.
+//! What all stages of serving a command share.
 
 use crate::bodies::Room;
 use crate::dispatcher::Desk;
--- a/crates/node/src/observed_stream.rs
+++ b/crates/node/src/observed_stream.rs
@@ -1,4 +1,4 @@
-//! A socket under hyper on which somebody looks at what comes, or at what does not go.
+//! A socket, driven by hyper, whose reads and writes are observed.
 
 use crate::transport::Transport;
 use std::io;
@@ -6,9 +6,9 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Who looks.
+/// Observes the reads and writes on a connection.
 pub trait Watch {
-    /// Reads on hyper's behalf.
+    /// Reads from the stream on hyper's behalf.
     fn read(
         &mut self,
         stream: Pin<&mut Transport>,
@@ -16,10 +16,10 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>>;
 
-    /// Something was to be written; `stuck` if the other side takes nothing just now.
+    /// Called after each write; `stuck` if the peer accepts no more data at present.
     fn wrote(&self, _stuck: bool) {}
 
-    /// Hyper has done for now what it could.
+    /// Called when hyper flushes, which it does after all other work that it can do for now.
     fn rests(&self, _stream: &Transport) {}
 }
 
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to backends: the newest idle one first, a new one where there is none, and no more of them
-//! than the budget allows.
+//! The pool of connections to backends. It uses the most recently used idle connection first, opens a new
+//! one if there is none, and never opens more than the socket budget allows.
 
 use crate::bodies::{Out, Over, Room, Start};
 use crate::limits::Limits;
@@ -23,7 +23,7 @@
 use tokio::time::{sleep, timeout, Instant};
 use yarrowfront::ids::BackendId;
 
-/// Counts a socket for as long as it is open or being opened.
+/// Counts a socket while it is open or being opened.
 struct Open(Rc<Cell<usize>>);
 
 impl Open {
@@ -39,18 +39,18 @@
     }
 }
 
-/// A connection in use. Dropped, it is closed: that is how a launch is given up.
+/// A connection in use. Dropping it closes the connection, which is how a launch is cancelled.
 pub struct Lease {
     sender: SendRequest<Out>,
-    /// It was opened for this use.
+    /// It was opened for this use and does not come from the pool.
     fresh: bool,
     address: SocketAddr,
-    /// Nothing is out on it.
+    /// No request is outstanding on it.
     idle: Rc<Cell<bool>>,
     _task: TaskEnd,
 }
 
-/// Notices on a connection to a backend when something comes that nobody has asked for.
+/// Detects data that a backend sends on a connection without an outstanding request.
 struct Heard {
     idle: Rc<Cell<bool>>,
     twice: Rc<Cell<Option<Instant>>>,
@@ -67,13 +67,13 @@
         ready!(stream.poll_read(cx, buf))?;
         if self.idle.get() && buf.filled().len() > before {
             self.twice.set(Some(Instant::now()));
-            note!("pool: something has come that nobody has asked for: connections rest after an answer");
+            note!("pool: a backend sent data without a request; connections now rest after each answer");
         }
         Poll::Ready(Ok(()))
     }
 }
 
-/// Ends the task that drives a connection, and with it the connection.
+/// Aborts the task that drives a connection, which closes the connection.
 struct TaskEnd(AbortHandle);
 
 impl Drop for TaskEnd {
@@ -88,21 +88,22 @@
 }
 
 pub enum NoLease {
-    /// The budget is used up, with nothing idle in it.
+    /// The socket budget is used up and no idle connection can be closed.
     Full,
-    /// Refused, reset or not up in time.
+    /// The connection was refused, reset or not established in time.
     Unreachable,
 }
 
-/// What came of a request on a leased connection.
+/// The result of a request on a leased connection.
 pub enum Exchange {
-    /// The whole answer, or its start.
+    /// The complete answer, or its beginning.
     Came(Response<Start>),
-    /// The backend had closed the pooled connection, and the request was surely never written: take another.
+    /// The backend had closed the pooled connection, and the request was certainly not written: retry on
+    /// another connection.
     Stale(Request<Out>),
-    /// So had it a new one.
+    /// The same on a connection that was newly opened.
     Unreachable(Request<Out>),
-    /// It may have been written whole, and no answer came that is one.
+    /// The request may have been written completely, and no valid answer came.
     Broken,
 }
 
@@ -110,7 +111,7 @@
     limits: Rc<Limits>,
     room: Room,
     idle: RefCell<HashMap<BackendId, Vec<Idle>>>,
-    /// When something last came on an idle connection, as a second answer does.
+    /// When data was last received on an idle connection, as it happens when a backend answers twice.
     twice: Rc<Cell<Option<Instant>>>,
 }
 
@@ -119,10 +120,11 @@
         Pool { limits, room, idle: RefCell::new(HashMap::new()), twice: Rc::default() }
     }
 
-    /// The newest idle connection there that is still good, or a new one.
+    /// Returns the most recently used idle connection that is still usable, or opens a new one.
     pub async fn lease(&self, backend: BackendId, address: SocketAddr) -> Result<Lease, NoLease> {
         while let Some(mut lease) = self.newest(backend, address) {
-            // Ready at once, unless the backend has closed it meanwhile or has yet to read the last command.
+            // This is ready at once unless the backend has closed the connection or has not read all of
+            // the previous command yet.
             if let Ok(Ok(())) = timeout(self.limits.ready_wait, lease.sender.ready()).await {
                 return Ok(lease);
             }
@@ -133,8 +135,8 @@
     fn newest(&self, backend: BackendId, address: SocketAddr) -> Option<Lease> {
         let mut idle = self.idle.borrow_mut();
         let there = idle.get_mut(&backend)?;
-        // Where answers come twice, one whose answer has only just come may still bring another, and whatever is sent on
-        // it would be finished by that.
+        // If backends have been seen to answer twice, a connection whose answer has only just arrived may
+        // deliver a second one, which would be taken for the answer to the next request.
         let twice = self.twice.get().is_some_and(|at| at.elapsed() < self.limits.twice_for);
         let rest = if twice { self.limits.quiet } else { Duration::ZERO };
         let mut rested = there.partition_point(|idle| idle.since.elapsed() >= rest);
@@ -150,7 +152,7 @@
         None
     }
 
-    /// Whether an idle connection may still be used, if that is where the backend is.
+    /// Whether an idle connection may be reused, given the present address of its backend.
     fn good(&self, idle: &Idle, address: Option<SocketAddr>) -> bool {
         idle.since.elapsed() < self.limits.backend_idle.get()
             && address == Some(idle.lease.address)
@@ -170,14 +172,15 @@
         let handshake = builder.handshake::<_, Out>(TokioIo::new(Watched { stream, watch: heard }));
         let (sender, connection) = handshake.await.map_err(|_| NoLease::Unreachable)?;
         let task = tokio::task::spawn_local(async move {
-            // What breaks here is told to whoever holds the sender.
+            // An error here is reported through the sender.
             let _ = connection.await;
             drop(open);
         });
         Ok(Lease { sender, fresh: true, address, idle, _task: TaskEnd(task.abort_handle()) })
     }
 
-    /// A connection within the time for it. What lacks on this machine, a port or a descriptor, is waited for.
+    /// Connects within the dial timeout. If this machine lacks a port or a file descriptor, it retries until
+    /// the timeout.
     async fn connect(&self, address: SocketAddr) -> Result<Transport, NoLease> {
         let lacks = Cell::new(false);
         let dial = async {
@@ -185,7 +188,7 @@
                 match Transport::connect(address).await {
                     Ok(stream) => return Ok(stream),
                     Err(error) if is_local(&error) => {
-                        note!("pool: no socket for a dial just now: {error}");
+                        note!("pool: no local socket available to connect: {error}");
                         lacks.set(true);
                         sleep(self.limits.accept_pause).await;
                         lacks.set(false);
@@ -198,8 +201,8 @@
         timeout(self.limits.dial.get(), dial).await.map_err(unanswered)?
     }
 
-    /// Sends a request and reads the answer. Once it has come whole the connection is there for the next; one that
-    /// flows has it until then.
+    /// Sends a request and reads the answer. The connection returns to the pool once the answer is complete;
+    /// a streaming answer keeps it until then.
     pub async fn exchange(
         self: &Rc<Pool>,
         backend: BackendId,
@@ -208,7 +211,7 @@
     ) -> Exchange {
         let response = match lease.sender.try_send_request(request).await {
             Ok(response) => response,
-            // Only a request that comes back was surely never written.
+            // Only a request that hyper hands back was certainly not written.
             Err(mut error) => {
                 return match error.take_message() {
                     None => Exchange::Broken,
@@ -221,8 +224,8 @@
         let start = match self.room.read(body, self.limits.answers, pending()).await {
             Ok(start) => start,
             Err(why) => {
-                // The lease goes with it: nothing more can come of this connection.
-                note!("pool: an answer is left out: {why:?}");
+                // The lease is dropped here, which closes the connection: it is in an unknown state.
+                note!("pool: an answer could not be read: {why:?}");
                 return Exchange::Broken;
             }
         };
@@ -245,7 +248,7 @@
         Exchange::Came(Response::from_parts(head, start))
     }
 
-    /// Keeps a connection for another use.
+    /// Returns a connection to the pool.
     pub fn give_back(&self, backend: BackendId, lease: Lease) {
         if !lease.sender.is_closed() {
             lease.idle.set(true);
@@ -254,12 +257,12 @@
         }
     }
 
-    /// Closes all idle connections there.
+    /// Closes all idle connections to this backend.
     pub fn close(&self, backend: BackendId) {
         self.idle.borrow_mut().remove(&backend);
     }
 
-    /// Closes those that have stood idle for too long or lead nowhere any more.
+    /// Closes connections that have been idle for too long or whose backend is gone or has moved.
     pub fn sweep(&self, address: impl Fn(BackendId) -> Option<SocketAddr>) {
         self.idle.borrow_mut().retain(|&backend, there| {
             let at = address(backend);
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asks a backend for its load, and reads load reports.
+//! Probes a backend for its load, and parses load reports.
 
 use crate::bodies::{Out, Start};
 use crate::dispatcher::Desk;
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 use yarrowfront::ids::BackendId;
 
-/// The settings' names of a report's fields, and what the sockets call them.
+/// The names of a report's fields in the settings, and their names on the wire.
 const SOCKET_NAMES: [(&str, &str); 6] = [
     ("outstanding", "inflight"),
     ("backlog", "queue"),
@@ -24,7 +24,8 @@
     ("errors_per_s", "eps"),
 ];
 
-/// The values of a load report in the order of the settings; none if it is not a whole one.
+/// Returns the values of a load report in the order of the settings; `None` if a value is missing or
+/// invalid.
 pub fn report(names: &[String], bytes: &[u8]) -> Option<Vec<f32>> {
     let json: Value = serde_json::from_slice(bytes).ok().unwrap_or_default();
     let value = |name: &String| {
@@ -34,7 +35,7 @@
     };
     let values: Option<Vec<f32>> = names.iter().map(value).collect();
     if values.is_none() {
-        note!("load report left out: {:?}", String::from_utf8_lossy(&bytes[..bytes.len().min(200)]));
+        note!("load report ignored: {:?}", String::from_utf8_lossy(&bytes[..bytes.len().min(200)]));
     }
     values
 }
@@ -57,7 +58,8 @@
         self.desk.probed(backend, found.is_some(), trip, found.as_deref().unwrap_or_default());
     }
 
-    /// The report; empty where there is none to be had, and none where nobody answers.
+    /// Returns the report: empty if the backend answers without a valid one, and `None` if it does not
+    /// answer.
     async fn ask(&self, backend: BackendId, address: SocketAddr) -> Option<Vec<f32>> {
         let host = HeaderValue::from_str(&address.to_string()).ok()?;
         loop {
@@ -81,8 +83,8 @@
 mod tests {
     use super::report;
 
-    /// Reports name their fields as the sockets do, the settings as the simulator does: by the wrong names
-    /// a node would go by none. What is not a whole report counts for nothing.
+    /// Reports use the wire names of the fields and the settings those of the simulator. If the names were
+    /// not mapped, every report would be ignored. An incomplete report must not be used at all.
     #[test]
     fn reports_in_either_words() {
         let names = ["outstanding", "backlog", "utilization"].map(String::from);
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,5 +1,5 @@
-//! A new configuration while the node serves: SIGHUP, and what is taken over from the file; and settings on trial, which
-//! come by a call and go again unless they are confirmed.
+//! Configuration changes while the node serves: a reload of the file on SIGHUP, and trial settings, which an
+//! operator's request brings and which are rolled back unless they are confirmed.
 
 use crate::config::{at, Start};
 use crate::dispatcher::Desk;
@@ -19,13 +19,13 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, Instant};
 
-/// Stages that stand beside the decisions, where their files ask for them.
+/// The optional stages, each present if its file is configured.
 pub type Beside = (Option<Rc<Fleet>>, Option<Rc<Trial>>, Option<Rc<Sites>>);
 
 pub struct Reload {
     hangup: mpsc::UnboundedReceiver<()>,
     discovery: watch::Sender<SocketAddr>,
-    /// The file as it was last taken over.
+    /// The file as it was last adopted.
     file: Value,
     desk: Rc<Desk>,
     limits: Rc<Limits>,
@@ -33,12 +33,12 @@
     fleet: Option<Rc<Fleet>>,
     trial: Option<Rc<Trial>>,
     sites: Option<Rc<Sites>>,
-    /// What the file was before a trial, and the digest of the settings that hold.
+    /// The file before the trial, and the digest of the settings in force.
     former: Option<Value>,
     digest: Rc<Cell<u64>>,
 }
 
-/// What only a restart can change: the node's own being, and what the process was given.
+/// Keys that only a restart can change: the node's identity and the resources of the process.
 const FIXED: [&str; 10] = [
     "name",
     "listen",
@@ -52,7 +52,7 @@
     "limits.sockets",
 ];
 
-/// The paths of all that differs, down to what is no object.
+/// Collects the paths of all values that differ, descending into objects.
 fn changes(old: Option<&Value>, new: Option<&Value>, path: &str, found: &mut Vec<String>) {
     if let (Some(Value::Object(a)), Some(Value::Object(b))) = (old, new) {
         for key in a.keys().chain(b.keys()).collect::<BTreeSet<_>>() {
@@ -75,13 +75,12 @@
         Reload { hangup, discovery, file, desk, limits, stop, fleet, trial, sites, former: None, digest }
     }
 
-    /// Of the settings that hold, all that is not each node's own.
+    /// The digest of the settings in force, without those that are specific to each node.
     pub fn digest(&self) -> Rc<Cell<u64>> {
         self.digest.clone()
     }
 
-    /// Reads the file again whenever the signal comes, and takes settings on trial. A file that is bad in anything
-    /// changes nothing.
+    /// Reloads the file on each signal and handles trial requests. A file with any error changes nothing.
     pub async fn run(mut self, asked: Option<mpsc::UnboundedReceiver<Asked>>) {
         let mut asked = asked;
         loop {
@@ -91,7 +90,8 @@
                     if came.is_none() {
                         return;
                     }
-                    // Each signal has its line: whoever sent it waits for that.
+                    // Each signal gets its own line, not subject to the rate limit, as its sender waits for
+                    // it.
                     match self.take() {
                         Ok(changed) => {
                             let discovery = *self.discovery.borrow();
@@ -114,26 +114,27 @@
                         trial.lapsed.set(trial.lapsed.get() + 1);
                     }
                     match self.back() {
-                        Ok(now) => note!("rollout: its leader has said nothing in time: {now}"),
-                        Err((_, why)) => note!("rollout: its leader has said nothing in time: {why}"),
+                        Ok(now) => note!("rollout: the trial has expired without a request from its leader: {now}"),
+                        Err((_, why)) => note!("rollout: the trial has expired without a request from its leader: {why}"),
                     }
                 }
             }
         }
     }
 
-    /// What holds of the variables when a file is read again: discovery's was set at the start, and is older than that.
+    /// The environment variables that apply to a reload. Discovery's address may have changed since the
+    /// start, so the file takes precedence over the variable.
     fn variable(name: &str) -> Option<String> {
         (name != "ROUTER_DISCOVERY").then(|| std::env::var(name).ok())?
     }
 
     fn take(&mut self) -> Result<String, String> {
         if self.former.is_some() {
-            return Err("settings are on trial by a rolling change".to_owned());
+            return Err("settings are on trial in a rollout".to_owned());
         }
         let new = Start::read(Self::variable)?;
         if let Some(path) = FIXED.iter().find(|path| at(&self.file, path).ok() != at(&new.file, path).ok()) {
-            return Err(format!("{path} takes a restart to change"));
+            return Err(format!("{path} can be changed only by a restart"));
         }
         let moved = new.discovery;
         let changed = self.adopt(new)?;
@@ -141,7 +142,7 @@
         Ok(changed)
     }
 
-    /// Goes by what this file says of the settings and of the view.
+    /// Adopts the settings and the fleet view's configuration from this file.
     fn adopt(&mut self, new: Start) -> Result<String, String> {
         if let (Some(fleet), Some(view)) = (&self.fleet, &new.view) {
             fleet.may_follow(view)?;
@@ -151,7 +152,7 @@
         }
         let mut changed = Vec::new();
         changes(self.file.get("settings"), new.file.get("settings"), "settings", &mut changed);
-        // Settings that are as they were keep what came of them.
+        // Unchanged settings are not applied again, which would reset what derives from them.
         if !changed.is_empty() {
             let (names, terms) = self.desk.names().followed_by(&new.names, new.terms)?;
             self.limits.follow(&new.limits);
@@ -169,11 +170,11 @@
         })
     }
 
-    /// Carries out a leader's word.
+    /// Carries out a request of the rollout's leader.
     fn led(&mut self, word: Word) -> Answer {
-        let Some(trial) = self.trial.clone() else { return Err(conflict("no trial is possible here")) };
+        let Some(trial) = self.trial.clone() else { return Err(conflict("no rollout is configured here")) };
         if self.stop.stopping() || self.stop.succeeded() {
-            return Err(conflict("this process is going"));
+            return Err(conflict("this process is stopping or has been succeeded"));
         }
         let digest = |cell: &Cell<u64>| format!("{:016x}", cell.get());
         match word {
@@ -196,7 +197,7 @@
                 }
                 let own = digest(&self.digest);
                 if former.is_none() && own != from {
-                    return Err(conflict(&format!("this node goes by {own}")));
+                    return Err(conflict(&format!("the settings in force here are {own}")));
                 }
                 let mut file = self.file.clone();
                 let bad = |why| (StatusCode::UNPROCESSABLE_ENTITY, why);
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Goes by the former settings again, if others are on trial.
+    /// Returns to the former settings if others are on trial.
     fn back(&mut self) -> Answer {
         if let Some(trial) = &self.trial {
             *trial.on.borrow_mut() = None;
@@ -239,7 +240,7 @@
         Ok(format!("{:016x} again; {changed}", self.digest.get()))
     }
 
-    /// The settings into the file that a start reads; the rest of it stays as it stands there.
+    /// Writes the settings to the configuration file; the rest of the file stays as it is.
     fn write(&self) -> Result<(), String> {
         let path = Self::variable("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
         let written = || -> io::Result<()> {
@@ -251,7 +252,8 @@
     }
 }
 
-/// A leader's settings with what is each node's own: its place, and its site by name, which may stand elsewhere there.
+/// The leader's settings with this node's own values: its index, and its zone by name, which may have
+/// another index there.
 fn kept(mut settings: Value, own: &Value) -> Result<Value, String> {
     let text = |settings: &Value, place: usize| settings["zones"][place].as_str().map(str::to_owned);
     let zone = own["zone"].as_u64().unwrap_or(0) as usize;
@@ -259,11 +261,11 @@
         Some(name) => {
             let zones = settings["zones"].as_array().map(Vec::as_slice).unwrap_or_default();
             let found = zones.iter().position(|z| z.as_str() == Some(&name));
-            found.ok_or_else(|| format!("settings.zones: this node's {name:?} is not there"))?
+            found.ok_or_else(|| format!("settings.zones: this node's {name:?} is missing"))?
         }
         None => zone,
     };
-    let Some(fields) = settings.as_object_mut() else { return Err("settings are no object".to_owned()) };
+    let Some(fields) = settings.as_object_mut() else { return Err("settings is not an object".to_owned()) };
     fields.insert("zone".to_owned(), place.into());
     match own.get("me") {
         Some(me) => drop(fields.insert("me".to_owned(), me.clone())),
@@ -288,8 +290,8 @@
     use super::kept;
     use serde_json::json;
 
-    /// One text of settings goes to all nodes: with the leader's own place and site in it all would count as one node, and
-    /// all backends of a site as another's.
+    /// The same settings are sent to all nodes. If they replaced each node's own index and zone by the
+    /// leader's, all nodes would count as one, and each would take another site's backends for its own.
     #[test]
     fn each_node_stays_itself() {
         let own = json!({"me": 3, "zone": 1, "zones": ["a", "b"], "balancers": 4});
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -1,4 +1,5 @@
-//! What answers are made of: a plain line, and headers that go on from one connection to another.
+//! Building blocks for answers: plain text replies, and the headers that are forwarded from one connection
+//! to another.
 
 use crate::bodies::Out;
 use bytes::Bytes;
@@ -8,7 +9,7 @@
 
 pub type Reply = Response<Out>;
 
-/// What belongs to one connection and not to the command on it.
+/// Headers that apply to one connection only and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -20,6 +21,7 @@
     header::CONTENT_LENGTH,
 ];
 
+/// A one-line text reply.
 pub fn plain(status: StatusCode, text: &str) -> Reply {
     let mut reply = Response::new(Out::from(Bytes::from(format!("{text}\n"))));
     *reply.status_mut() = status;
@@ -27,7 +29,7 @@
     reply
 }
 
-/// A turn-back, with a time to come back where one is told.
+/// The reply that rejects a command, with `Retry-After` unless the time is zero.
 pub fn turn_back(span: Span) -> Reply {
     let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "turned back");
     if span > Span(0) {
@@ -39,7 +41,7 @@
     reply
 }
 
-/// Headers as they go on: all but those of the connection they came on.
+/// Removes the headers that apply only to the connection on which they arrived.
 pub fn onward(mut headers: HeaderMap) -> HeaderMap {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
