--- a/crates/node/src/request_framing.rs
+++ b/crates/node/src/request_framing.rs
@@ -1,8 +1,11 @@
-//! Heads that tell two lengths. hyper settles `Content-Length` beside `Transfer-Encoding` by itself and hands on
-//! neither the clash nor the loser, though whoever is next in line may settle it the other way and find a second
-//! command in the body. So the bytes are looked at on their way in, as far as heads go. And the end of a client's
-//! connection, which hyper looks for only while it holds nothing behind the command in hand: what comes behind one is
-//! kept here until its turn.
+//! Tracks the message boundaries on a client's connection, for two purposes.
+//!
+//! Request smuggling: hyper resolves a request with both `Content-Length` and `Transfer-Encoding` by itself
+//! and passes on neither the conflict nor the header that it ignored. The next hop may resolve it the other
+//! way and find a second command in the body. So the heads are parsed here as well, on their way in.
+//!
+//! Disconnects: hyper detects that a client has closed only while it holds no data behind the request in
+//! progress. What arrives behind one is therefore held back here until its turn.
 
 use crate::client_connections::Guest;
 use crate::observed_stream::Watch;
@@ -15,34 +18,38 @@
 use tokio::io::{AsyncRead, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// How much of a line is kept: the longer of the two names, and any length that can be one.
+/// The bytes that are kept of a header line: enough for the longer of the two names and any valid length.
 const KEPT: usize = 64;
 
-/// Read at a time of what comes behind a command: a head and a small body.
+/// The read size in bytes for data behind a command: a head and a small body.
 const BEHIND: usize = 1024;
 
 enum At {
     Head,
     Body(u64),
-    /// Of a body in chunks: a size, so many bytes, the end of their line, what follows the last one.
+    /// In a chunked body: the chunk size line, the chunk with its remaining bytes, the line end after it,
+    /// and the trailers.
     Size,
     Chunk(u64),
     ChunkEnd,
     Trailers,
-    /// This cannot be followed, and nobody can read it: the connection ends with it.
+    /// The framing is invalid. hyper cannot read it either and closes the connection.
     Over,
 }
 
-/// Follows the heads on one connection.
+/// A parser of the request framing on one connection.
 pub struct Heads {
     at: At,
     line: Vec<u8>,
-    /// Lines of this head.
+    /// Non-empty lines of the present head.
     lines: usize,
+    /// The `Content-Length` of the present head.
     length: Option<u64>,
+    /// Whether the present head has a `Transfer-Encoding`.
     coded: bool,
+    /// The number of heads that are complete.
     ended: usize,
-    /// The number of the first head that tells both lengths, counted from one.
+    /// The number of the first head that states both lengths, counting from one.
     clash: Option<usize>,
 }
 
@@ -52,17 +59,17 @@
         Heads { at: At::Head, line, lines: 0, length: None, coded: false, ended: 0, clash: None }
     }
 
-    /// Whether part of a head is here and the rest is not.
+    /// Whether a head was received in part.
     fn part(&self) -> bool {
         matches!(self.at, At::Head) && (self.lines > 0 || !self.line.is_empty())
     }
 
-    /// Whether what has come so far ends with a whole command.
+    /// Whether the received data ends exactly at the end of a request.
     fn whole(&self) -> bool {
         matches!(self.at, At::Head) && self.ended > 0 && !self.part()
     }
 
-    /// Follows what has come up to the end of a command; how many bytes that were.
+    /// Parses data up to the end of a request and returns how many bytes that were.
     fn follow(&mut self, all: &[u8]) -> usize {
         let mut bytes = all;
         while !bytes.is_empty() {
@@ -102,7 +109,7 @@
         all.len() - bytes.len()
     }
 
-    /// A line among chunks is whole.
+    /// Handles the end of a line within a chunked body.
     fn chunk_line_ends(&mut self) {
         let line = self.line.trim_ascii_end();
         self.at = match self.at {
@@ -123,7 +130,7 @@
         self.line.clear();
     }
 
-    /// A line is whole.
+    /// Handles the end of a line of a head.
     fn line_ends(&mut self) {
         let empty = self.line.is_empty() || self.line == b"\r";
         if !empty {
@@ -133,13 +140,13 @@
                 self.coded |= name.eq_ignore_ascii_case(b"transfer-encoding");
                 if name.eq_ignore_ascii_case(b"content-length") {
                     let number = std::str::from_utf8(value).ok().and_then(|v| v.trim().parse().ok());
-                    // One that is no number ends the connection by itself.
+                    // hyper closes the connection if this is not a number.
                     self.length = Some(number.unwrap_or(u64::MAX));
                 }
             }
         }
         self.line.clear();
-        // Empty lines before a head are none of it.
+        // Empty lines before a head are ignored.
         if !empty || self.lines == 0 {
             return;
         }
@@ -157,11 +164,11 @@
     }
 }
 
-/// Follows the heads on a client's connection as they are read.
+/// Observes the requests on a client's connection while hyper reads them.
 pub struct Followed {
     heads: Heads,
     guest: Rc<Guest>,
-    /// What has come behind the command in hand, and how much of it is kept at most.
+    /// Data that arrived behind the command in flight, and the maximum that is held back, in bytes.
     behind: Vec<u8>,
     most: usize,
 }
@@ -171,8 +178,8 @@
         Followed { heads: Heads::new(), guest, behind: Vec::new(), most }
     }
 
-    /// Reads on. Whoever waits for more sees the end as it comes, and until it does there may be something unread: hyper
-    /// reads no further where nobody takes what it has read.
+    /// Reads on. While a read is pending, the client's close is seen as soon as it comes. After a read that
+    /// returned, unread data may be waiting, because hyper reads no further until the data is consumed.
     fn more(
         &self,
         stream: Pin<&mut Transport>,
@@ -184,14 +191,16 @@
         read
     }
 
-    /// While a command is in hand nothing behind it is handed on, so that its client's end is seen as it comes.
+    /// While a command is in flight, the data behind it is held back, so that the client's close is still
+    /// seen.
     fn look_behind(&mut self, mut stream: Pin<&mut Transport>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         loop {
             if !self.behind.is_empty() {
                 self.guest.part.set(true);
                 self.guest.when_answered(cx.waker());
             }
-            // Whoever sends so much ahead is no client of the protocol's. Its end is looked for behind what lies unread.
+            // A client that follows the protocol never sends this much ahead. From here on its close is
+            // detected behind the unread data.
             if self.behind.len() >= self.most {
                 return Poll::Pending;
             }
@@ -248,7 +257,7 @@
     }
 }
 
-/// Whether the other side has ended it, also where what came before that is still to be read.
+/// Whether the client has closed its side, even if data that it sent before is still unread.
 fn ended(stream: &TcpStream) -> bool {
     let ready = pin!(stream.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
     matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
@@ -258,8 +267,9 @@
 mod tests {
     use super::Heads;
 
-    /// A head with two lengths is found behind whatever came before it on the connection, wherever what comes is cut:
-    /// behind chunks that were not followed one went through, and what hid in its body was passed on.
+    /// A head with two lengths must be detected whatever precedes it on the connection and wherever the data
+    /// is split. While chunked bodies were not parsed, such a head passed undetected behind one, and the
+    /// request hidden in its body was forwarded.
     #[test]
     fn heads_behind_bodies() {
         let plain = "POST /api HTTP/1.1\r\nContent-Length: 3\r\n\r\na\nb";
@@ -291,7 +301,8 @@
                 }
                 assert_eq!(heads.clash, found, "{text:?} at {cut}");
                 if found.is_none() && !text.contains("no size") {
-                    // Handed on up to the end of each, and no further: what comes behind one waits for its answer.
+                    // Data is delivered up to the end of each request and no further: what follows waits for
+                    // the answer.
                     let sizes = parts.iter().scan(0, |end, part| {
                         *end += part.len();
                         Some(*end)
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,4 +1,4 @@
-//! A command's life, from the moment it is in hand to its answer.
+//! Serves one command, from the moment it is accepted to its answer.
 
 use crate::bodies::{Out, Start};
 use crate::client_connections::Busy;
@@ -21,22 +21,24 @@
 use yarrowfront::ids::Hand;
 use yarrowfront::times::Span;
 
-/// A command in hand. Dropped when it has its answer, or before that when its client has gone.
+/// A command in flight. It is dropped when the command has its answer, or earlier if the client disconnects.
 struct Held {
     desk: Rc<Desk>,
     hand: Hand,
+    /// Receives the results of the launches.
     ended: mpsc::UnboundedReceiver<Done>,
-    /// By a launch's number.
+    /// Indexed by the launch's number.
     out: Vec<Rc<Reins>>,
-    /// What is counted of it, where anything is, and by what it was let in, where a plan for lost sites asks that.
+    /// The statistics of the command, if any are kept, and its admission by the site failover plan, if there
+    /// is one.
     account: Option<Account>,
     ticket: Option<Ticket>,
-    /// Its connection stays as long as it does.
+    /// Keeps its connection from being closed as idle.
     _busy: Busy,
 }
 
 impl Held {
-    /// It has its end: told to whoever counts it, once.
+    /// Reports how the command ended to the statistics and the failover plan, once.
     fn over(&mut self, end: End) {
         let (account, ticket) = (&mut self.account, self.ticket.take());
         if account.is_none() && ticket.is_none() {
@@ -55,13 +57,14 @@
 impl Drop for Held {
     fn drop(&mut self) {
         self.over(End::Left);
-        // A launch whose last byte its client still owes never comes whole.
+        // A launch with an incomplete streaming body cannot complete any more.
         let coming = self.desk.coming(self.hand);
         self.out.iter().for_each(|out| if coming { out.call_off() } else { out.leave() });
         if self.desk.leave(self.hand) {
-            note!("command: its client has left before its answer");
+            note!("command: the client disconnected before its answer");
         }
-        // An outcome that nobody came to read is told all the same; later ones are told by their launches.
+        // Results that were not received yet are still reported to the balancer. Launches that end later
+        // report their own.
         self.ended.close();
         while let Ok(done) = self.ended.try_recv() {
             self.desk.after(self.hand, &done, false);
@@ -79,7 +82,7 @@
     let desk = &node.desk;
     let ends = command.ends;
     let Some((hand, again)) = desk.take(command, id) else {
-        return plain(StatusCode::CONFLICT, "a command with this id is in hand");
+        return plain(StatusCode::CONFLICT, "a command with this id is in flight");
     };
     let (end, ended) = mpsc::unbounded_channel();
     let account = desk.account(hand);
@@ -99,12 +102,14 @@
                     Launch { cargo, hand, number, backend, address, ends, flowed, reins: reins.clone() };
                 let (launcher, desk, end) = (node.launcher.clone(), desk.clone(), end.clone());
                 held.account.iter_mut().for_each(|account| account.launched(desk.clock.now()));
-                // A task of its own: should the client go, the module still learns what came of it.
+                // The launch has its own task: if the client disconnects, the balancer still learns the
+                // outcome.
                 tokio::task::spawn_local(async move {
                     let done = tokio::select! {
                         biased;
                         Ok(done) = launcher.oneshot(launch) => done,
-                        // Its connection goes with it; if it was written it may have run.
+                        // Dropping the launch closes its connection. If it was written, the backend may have
+                        // run it.
                         () = reins.called_off() => Done::bare(number, backend, match reins.written() {
                             true => Outcome::Cancelled,
                             false => Outcome::Unsent,
@@ -125,12 +130,13 @@
                 return plain(StatusCode::BAD_GATEWAY, "errored");
             }
             Say::CallOff(launch) => {
-                // An outcome that is on its way already goes first.
+                // If a result is queued already, it is handled before the cancellation's.
                 held.out[usize::from(launch)].call_off();
             }
         }
         let wait = desk.wait(hand);
-        // While its body flows nothing is late: its time counts from the last byte.
+        // No deadline applies while the request body is streaming: the command's time counts from the last
+        // byte.
         let flows = desk.coming(hand);
         say = tokio::select! {
             biased;
@@ -148,12 +154,14 @@
                 desk.flowed(hand);
                 Say::NotYet
             }
-            // At a stop its last byte would come too late for an answer. Until then it has not run.
+            // During a stop the last byte would arrive too late for an answer. Without it the command cannot
+            // have run.
             () = node.stop.past(node.limits.idle_on), if flows => {
                 held.over(End::TurnedBack);
                 return turn_back(Span(0));
             }
-            // Not even an answer of the backend's would reach its client before the kill.
+            // Even an answer that a backend sends now would not reach the client before the process is
+            // killed.
             () = node.stop.past(node.limits.answer_by.get()), if !flows => desk.give_up(hand),
             () = again.notified(), if !flows => desk.place(hand),
             () = sleep(wait.unwrap_or_default()), if wait.is_some() && !flows => desk.place(hand),
@@ -164,7 +172,8 @@
 fn finished(answer: Answer, held: Held) -> Reply {
     let mut reply = Response::new(match answer.body {
         Start::Whole(body) => Out::from(body),
-        // In hand until its last byte is out: its id is not free before, nor does its connection count as idle.
+        // The command stays in flight until the last byte of the answer is written: until then its id is not
+        // free and its connection does not count as idle.
         Start::Flows(mut flow) => {
             flow.keep(Rc::new(held));
             Out::Flows(flow)
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,8 +1,9 @@
-//! What operators say by signals. Until a process listens each of them ends it, whatever it has begun: with this one that
-//! comes during the start is heard when that is over.
+//! Operators' signals. The default action of each would kill the process whatever it is doing, so the
+//! handlers are installed first: a signal that arrives during the start is handled when the start is over.
 //!
-//! The runtime's own signals take a read that is interrupted for a fault and end the process, and lose a signal whose write
-//! is. Here a signal sets a flag, and the pair of sockets only says that it is time to look; now and then that is looked at unasked.
+//! tokio's own signal handling ends the process if the read of its self-pipe is interrupted, and loses a
+//! signal if the write is. Here the handler sets a flag, and the socket pair only wakes the reader, which
+//! also checks the flags periodically.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io::{self, ErrorKind};
@@ -14,23 +15,24 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Between two looks that nothing asked for: short beside what is left after a stop before the kill.
+/// The interval between two checks without a wake-up: short compared with the time between a stop signal and
+/// the kill.
 const LOOK: Duration = Duration::from_millis(100);
 
-/// Tells of each signal, of several that came together once.
+/// Receives one message for each signal; several signals that come together may give one message.
 pub struct Signals {
     pub stop: mpsc::UnboundedReceiver<()>,
     pub hangup: mpsc::UnboundedReceiver<()>,
 }
 
-/// A kind of signal, whether one has come, and whom to tell.
+/// One kind of signal: a flag that is set when it arrives, and where to report it.
 struct Kind {
     came: Arc<AtomicBool>,
     to: mpsc::UnboundedSender<()>,
 }
 
 impl Signals {
-    /// From now on no signal of these ends the process by itself.
+    /// Installs the handlers: from now on these signals no longer kill the process.
     pub fn listen() -> io::Result<Signals> {
         let (reader, writer) = UnixStream::pair()?;
         reader.set_nonblocking(true)?;
@@ -45,7 +47,7 @@
     fn register(signals: &[i32], writer: &UnixStream) -> io::Result<(Kind, mpsc::UnboundedReceiver<()>)> {
         let came = Arc::new(AtomicBool::new(false));
         for signal in signals {
-            // In this order: whoever is woken finds the flag.
+            // In this order, so that the reader finds the flag set when it is woken.
             signal_hook::flag::register(*signal, came.clone())?;
             signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
         }
@@ -60,7 +62,7 @@
         empty(&woken);
         for kind in &kinds {
             if kind.came.swap(false, Ordering::SeqCst) {
-                // Nobody listens only when the process is coming down.
+                // The receiver is dropped only while the process shuts down.
                 let _ = kind.to.send(());
             }
         }
--- a/crates/node/src/site_evidence.rs
+++ b/crates/node/src/site_evidence.rs
@@ -1,11 +1,12 @@
-//! What this node's own launches to each site came to, since it was last asked: its evidence of whether a site is there.
-//! Kept only where a plan for the loss of sites asks for it.
+//! Counts the results of this node's own launches and probes by site since the last query: its evidence of
+//! whether a site works. Kept only if a site failover plan is configured.
 
 use std::cell::RefCell;
 use yarrowfront::command::Outcome;
 use yarrowfront::ids::BackendId;
 
-/// Launches and probes that were answered, in any way; those without an answer; and of the answered the full.
+/// Launches and probes that were answered in any way, those that were not answered, and how many of the
+/// answers said that the backend was full.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Came {
     pub answered: u32,
@@ -15,8 +16,9 @@
 
 #[derive(Default)]
 pub struct Witness {
-    /// Each backend's site, by their ids.
+    /// The site of each backend, indexed by `BackendId`.
     site_of: RefCell<Vec<u16>>,
+    /// Indexed by site.
     by: RefCell<Vec<Came>>,
 }
 
@@ -40,7 +42,7 @@
         change(&mut by[place]);
     }
 
-    /// A launch has ended. What was called off or never sent says nothing.
+    /// Counts a launch that has ended. One that was cancelled or never sent says nothing about the site.
     pub fn came(&self, backend: BackendId, outcome: Outcome) {
         self.count(backend, |came| match outcome {
             Outcome::Finished | Outcome::Errored => came.answered += 1,
@@ -57,7 +59,7 @@
         });
     }
 
-    /// All since the last call, by site.
+    /// Returns the counts since the last call, indexed by site, and resets them.
     pub fn take(&self) -> Vec<Came> {
         std::mem::take(&mut self.by.borrow_mut())
     }
--- a/crates/node/src/sites.rs
+++ b/crates/node/src/sites.rs
@@ -1,5 +1,5 @@
-//! The plan for the loss of sites at work: what this node sees of each site goes to the door, and who asks to come in is
-//! told what that says. Only where an operators' file asks for it.
+//! Site failover: collects what this node observes of each site, and admits or rejects commands accordingly.
+//! Runs only if a site failover plan is configured.
 
 use crate::counts::End;
 use crate::dispatcher::Desk;
@@ -18,28 +18,32 @@
 use tokio::time::{sleep, Instant};
 use yarrowfront::times::{Moment, Span};
 
-/// Between two looks at what is known of sites.
+/// The interval between two evaluations of the sites.
 const LOOK: Duration = Duration::from_millis(500);
-/// Launches count as evidence for so many looks: some seconds without any traffic say nothing.
+/// The number of intervals over which launches count as evidence. A few seconds without traffic are no
+/// evidence.
 const LOOKS: usize = 4;
-/// How much of a site's backends that were once listed is forgotten with each look: half in six minutes.
+/// The factor by which the number of a site's backends that were once listed decays per interval: it halves
+/// in six minutes.
 const FORGET: f64 = 0.999;
-/// A process that is younger has just begun, and one elsewhere that is older by that was there before.
+/// A process younger than this has just started; a process elsewhere that is older than this one by at least
+/// as much was running before.
 const YOUNG: Span = Span::millis(30_000);
 
 pub struct Sites {
+    /// Admits commands by site, and keeps the state of each site.
     door: RefCell<Door>,
     desk: Rc<Desk>,
     fleet: Option<Rc<Fleet>>,
     witness: Rc<Witness>,
-    /// Of each look of late, what launches came to.
+    /// The results of launches in each of the latest intervals, by site.
     lately: RefCell<VecDeque<Vec<Came>>>,
-    /// Backends that each site has had on the list, fading.
+    /// The number of backends that each site has had on the list, decaying over time.
     listed: RefCell<Vec<f64>>,
     warm_within: Cell<Span>,
 }
 
-/// A command that was let in.
+/// The admission of a command.
 pub struct Ticket {
     sites: Rc<Sites>,
     profile: ProfileId,
@@ -47,7 +51,8 @@
 }
 
 impl Ticket {
-    /// It has its end, so long after it came. A client that goes within the goal time says nothing of what can be done.
+    /// Records how the command ended and how long it took. A client that gives up within the goal time says
+    /// nothing about the capacity.
     pub fn ended(self, end: End, took: Span) {
         let in_goal = end == End::Finished && took <= self.goal;
         if in_goal || end != End::Left || took > self.goal {
@@ -57,7 +62,7 @@
 }
 
 impl Sites {
-    /// Of a node in that site; an error where the plan has none of that name.
+    /// Creates the stage for a node in this site; an error if the plan has no such site.
     pub fn new(
         plan: Plan,
         own: &str,
@@ -67,14 +72,14 @@
         let place = plan.sites.iter().position(|site| site.name == own);
         let own = place
             .map(SiteId)
-            .ok_or_else(|| format!("sites: the plan has no site {own:?}, which is this node's"))?;
+            .ok_or_else(|| format!("sites: the plan has no entry for this node's site {own:?}"))?;
         let listed = RefCell::new(vec![0.0; plan.sites.len()]);
         let door = RefCell::new(Door::new(desk.clock.now(), plan, own, Times::default()));
         let (lately, warm_within) = (RefCell::default(), Cell::new(warm_within));
         Ok(Rc::new(Sites { door, desk, fleet, witness, lately, listed, warm_within }))
     }
 
-    /// Goes by another plan of the same sites and profiles.
+    /// Adopts a changed plan for the same sites and profiles.
     pub fn follow(&self, plan: Plan) -> Result<(), String> {
         self.door.borrow_mut().follow(plan)
     }
@@ -96,7 +101,7 @@
             let of =
                 |part: Option<(u32, u32)>| part.map_or("?".to_owned(), |(here, all)| format!("{here}/{all}"));
             note!(
-                "sites: {site} is {}: {} (nodes {}, backends {}, answered {}, without an answer {})",
+                "sites: {site} is {}: {} (nodes {}, backends {}, answered {}, unanswered {})",
                 change.state.word(),
                 change.why.word(),
                 of(e.nodes),
@@ -156,7 +161,7 @@
         Look { evidence: (0..names.len()).map(evidence).collect(), beside, joined, cold: share }
     }
 
-    /// What launches came to, in the plan's order of sites.
+    /// The results of launches, in the plan's order of sites.
     fn by_name(&self, names: &[String]) -> Vec<Came> {
         let (by, zones) = (self.witness.take(), &self.desk.names().zones);
         let of = |name: &String| {
@@ -165,7 +170,8 @@
         names.iter().map(|name| of(name).unwrap_or_default()).collect()
     }
 
-    /// Whether a command of that profile may come in, on a connection that came then; if not, when it may come back.
+    /// Whether to admit a command of this profile, given when its connection was accepted. A rejected
+    /// command gets the time after which it may be retried.
     pub fn ask(self: &Rc<Sites>, name: &str, goal: Span, came: Instant) -> Result<Option<Ticket>, Span> {
         let door = &mut *self.door.borrow_mut();
         let Some(profile) = door.plan.profiles.iter().position(|profile| profile.name == name).map(ProfileId)
@@ -180,7 +186,7 @@
         }
     }
 
-    /// An operator's word on a site; none where there is no such site or word.
+    /// Applies an operator's declaration about a site; `None` if there is no such site or action.
     pub fn declare(&self, name: &str, word: &str) -> Option<String> {
         let word = match word {
             "lost" => Word::Lost,
@@ -199,7 +205,7 @@
         Some(format!("{name} {said}"))
     }
 
-    /// All of it for programs: spans in milliseconds, work in standard commands a second.
+    /// The state as JSON: times in milliseconds, work in standard commands per second.
     pub fn told(&self) -> Value {
         let (door, now) = (self.door.borrow(), self.desk.clock.now());
         let (room, open) = door.room();
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -1,7 +1,8 @@
-//! A TCP connection that is read and written until the kernel says that nothing more goes.
+//! A TCP connection whose reads and writes go on until the kernel reports `WouldBlock`.
 //!
-//! tokio takes a read or write that moved less than it could as the last one, and then waits for the kernel's next event.
-//! A call that Linux ends short leaves bytes behind of which no event tells, and they lay there until the connection ended.
+//! After a short read or write, tokio assumes that the socket is drained or full and waits for the next
+//! event of the kernel. If Linux ends a call early, for example on an interrupt, data remains for which no
+//! event comes; it was then left unread until the connection ended.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::net::SocketAddr;
@@ -12,12 +13,12 @@
 
 pub struct Transport(TcpStream);
 
-/// Whether a call is to be made again: it was interrupted, or the connection was less ready than it seemed.
+/// Whether to retry the call: it was interrupted, or the socket was not ready after all.
 fn again(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
-/// Whether a dial failed for want of something on this machine: it tells nothing of the other side.
+/// Whether a connect failed because this machine lacks a resource, which says nothing about the peer.
 pub fn is_local(error: &io::Error) -> bool {
     use rustix::io::Errno;
     const LOCAL: [Errno; 8] = [
@@ -34,9 +35,9 @@
 }
 
 impl Transport {
-    /// Over an open connection, whose small writes then go out at once.
+    /// Wraps an open connection and disables Nagle's algorithm, so that small writes are sent at once.
     pub fn new(stream: TcpStream) -> Transport {
-        // This fails where the other side has reset it, and the first read tells of that.
+        // This fails if the peer has reset the connection, which the first read then reports.
         let _ = stream.set_nodelay(true);
         Transport(stream)
     }
--- a/crates/node/src/trial.rs
+++ b/crates/node/src/trial.rs
@@ -1,8 +1,9 @@
-//! Settings on trial: whoever leads a rolling change tells them by a call, and unless its word comes again in time the
-//! node goes back to the former ones by itself. Only where an operators' file asks for it.
+//! Trial settings: the leader of a rollout sends them in a request, and unless it repeats itself in time,
+//! the node returns to the former settings by itself. Available only if a rollout file is configured.
 //!
-//! A leader is a term and a token. The node remembers the greatest term that it was told, on disk before it says yes, and
-//! refuses every other leader: one that was cut off and is back has no say any more.
+//! A leader is identified by a term and a name. The node stores the highest term that it has seen on disk
+//! before it accepts a request, and refuses every other leader: one that was cut off and comes back has no
+//! authority any more.
 
 use crate::log::note;
 use hyper::StatusCode;
@@ -15,18 +16,19 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// The operators' file.
+/// The operators' rollout file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrialTerms {
-    /// Where the term is remembered.
+    /// The file that stores the leader's term.
     pub term_file: PathBuf,
-    /// The last seconds of which counts are kept, and the longest that settings may be on trial without a word.
+    /// For how many seconds statistics are kept, and how long settings may be on trial without a request
+    /// from the leader.
     #[serde(default = "seconds")]
     pub seconds: usize,
     #[serde(default = "seconds_of_trial")]
     pub longest_trial_s: u64,
-    /// The largest settings that are taken by a call, in bytes.
+    /// The maximum size of settings in a request, in bytes.
     #[serde(default = "bytes")]
     pub settings_bytes: usize,
 }
@@ -44,7 +46,7 @@
 }
 
 impl TrialTerms {
-    /// Reads the file; an error names the line or the key.
+    /// Parses the file; an error names the line or the key.
     pub fn from_toml(text: &str) -> Result<TrialTerms, String> {
         let terms: TrialTerms = toml::from_str(text).map_err(|error| {
             let line = error.span().map_or(0, |at| text[..at.start].matches('\n').count() + 1);
@@ -57,14 +59,14 @@
         ];
         for (key, value, least, most) in ranges {
             if !(least..=most).contains(&value) {
-                return Err(format!("{key} has to be from {least} to {most}, and is {value}"));
+                return Err(format!("{key} must be from {least} to {most}, but is {value}"));
             }
         }
         Ok(terms)
     }
 }
 
-/// Who leads: the greater term wins, and of one term there is one leader.
+/// The leader of a rollout. A higher term wins, and each term has one leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Leader {
@@ -72,33 +74,29 @@
     pub by: String,
 }
 
-/// What a leader says.
+/// A request of a rollout's leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Word {
-    /// It leads from now on.
+    /// The sender becomes the leader.
     Lead,
-    /// Anybody may ask whether the node would take these settings, and by what digest; and what it goes by.
-    Weigh {
-        settings: Value,
-    },
+    /// Checks whether the node would accept these settings, and returns their digest. Like `Tell`, it needs
+    /// no leader.
+    Weigh { settings: Value },
+    /// Returns the settings in force.
     Tell,
-    /// These settings, in place of those with that digest, until so long after its last word.
-    Try {
-        from: String,
-        settings: Value,
-        for_ms: u64,
-    },
-    /// They may go on for so long from now.
-    Keep {
-        for_ms: u64,
-    },
-    /// They hold from now on, after a restart too.
+    /// Puts these settings on trial in place of those with the digest `from`, until this long after the
+    /// leader's last request.
+    Try { from: String, settings: Value, for_ms: u64 },
+    /// Extends the trial until this long from now.
+    Keep { for_ms: u64 },
+    /// Makes the settings on trial permanent, across restarts.
     Confirm,
-    /// Back to the former ones at once.
+    /// Returns to the former settings at once.
     Back,
 }
 
+/// A request together with the leader that sends it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Said {
     #[serde(flatten, default)]
@@ -107,11 +105,11 @@
     pub word: Word,
 }
 
-/// What is now so, or why not.
+/// The new state, or the reason why the request failed.
 pub type Answer = Result<String, (StatusCode, String)>;
 pub type Asked = (Word, oneshot::Sender<Answer>);
 
-/// A trial that is on: what it came after, and when it lapses.
+/// An active trial: the digest of the settings before it, and when it expires.
 #[derive(Clone, Debug)]
 pub struct On {
     pub former: String,
@@ -122,7 +120,7 @@
     pub terms: TrialTerms,
     leader: RefCell<Leader>,
     pub on: RefCell<Option<On>>,
-    /// Trials that lapsed since the start, for want of their leader's word.
+    /// The number of trials since the start that expired without a request from their leader.
     pub lapsed: Cell<u64>,
     asks: mpsc::UnboundedSender<Asked>,
 }
@@ -132,12 +130,12 @@
 }
 
 impl Trial {
-    /// Whoever reads the asks carries them out.
+    /// Returns the queue of requests, which its reader has to carry out.
     pub fn new(terms: TrialTerms) -> Result<(Trial, mpsc::UnboundedReceiver<Asked>), String> {
         let file = &terms.term_file;
         let leader = match std::fs::read(file) {
             Ok(bytes) => serde_json::from_slice(&bytes)
-                .map_err(|e| format!("rollout: {}: no remembered term: {e}", file.display()))?,
+                .map_err(|e| format!("rollout: {}: invalid stored term: {e}", file.display()))?,
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => Leader::default(),
             Err(error) => return Err(format!("rollout: {}: {error}", file.display())),
         };
@@ -150,10 +148,10 @@
         self.leader.borrow().clone()
     }
 
-    /// A leader's word, as it came.
+    /// Handles a request in its serialized form.
     pub async fn told(&self, body: &[u8]) -> Answer {
         let said: Said = serde_json::from_slice(body)
-            .map_err(|e| (StatusCode::BAD_REQUEST, format!("no word of a rolling change: {e}")))?;
+            .map_err(|e| (StatusCode::BAD_REQUEST, format!("not a rollout request: {e}")))?;
         if !matches!(said.word, Word::Weigh { .. } | Word::Tell) {
             self.admit(&said)?;
         }
@@ -163,21 +161,23 @@
         self.ask(said.word).await
     }
 
-    /// Has it carried out.
+    /// Has a request carried out and returns the answer.
     pub async fn ask(&self, word: Word) -> Answer {
         let (reply, answer) = oneshot::channel();
-        let gone = || (StatusCode::SERVICE_UNAVAILABLE, "this process takes no settings any more".to_owned());
+        let gone =
+            || (StatusCode::SERVICE_UNAVAILABLE, "this process accepts no settings any more".to_owned());
         self.asks.send((word, reply)).map_err(|_| gone())?;
         answer.await.map_err(|_| gone())?
     }
 
-    /// Whether this leader has the say. A greater term is remembered before anything is done for it.
+    /// Checks that the sender is the leader. A higher term is stored on disk before anything else is done
+    /// for it.
     fn admit(&self, said: &Said) -> Result<(), (StatusCode, String)> {
         let known = self.leader();
         if said.leader.term > known.term && said.word == Word::Lead {
             let bytes = serde_json::to_vec(&said.leader).unwrap_or_default();
             replace(&self.terms.term_file, &bytes).map_err(|e| {
-                (StatusCode::INTERNAL_SERVER_ERROR, format!("the term cannot be remembered: {e}"))
+                (StatusCode::INTERNAL_SERVER_ERROR, format!("the term cannot be stored: {e}"))
             })?;
             note!("rollout: led by {} in term {}", said.leader.by, said.leader.term);
             *self.leader.borrow_mut() = said.leader.clone();
@@ -189,22 +189,22 @@
         }
     }
 
-    /// How long a leader may be silent, by what it asks for.
+    /// Checks the time that a leader requests until its next request.
     pub fn span(&self, for_ms: u64) -> Result<Duration, (StatusCode, String)> {
         let most = self.terms.longest_trial_s * 1000;
         match (100..=most).contains(&for_ms) {
             true => Ok(Duration::from_millis(for_ms)),
-            false => Err((StatusCode::BAD_REQUEST, format!("for_ms has to be from 100 to {most}"))),
+            false => Err((StatusCode::BAD_REQUEST, format!("for_ms must be from 100 to {most}"))),
         }
     }
 
-    /// When the trial that is on lapses.
+    /// When the active trial expires.
     pub fn due(&self) -> Option<Instant> {
         self.on.borrow().as_ref().map(|on| on.until)
     }
 }
 
-/// Puts a file in place whole: whoever reads it, also after a loss of power, finds the one or the other.
+/// Replaces a file atomically: a reader finds either the old or the new content, even after a power failure.
 pub fn replace(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let new = path.with_extension("new");
     let mut file = std::fs::File::create(&new)?;
@@ -225,8 +225,8 @@
         Said { leader: Leader { term, by: by.to_owned() }, word }
     }
 
-    /// A leader that was cut off and comes back must not have a say beside the one that took its place, nor two
-    /// that chose the same term; a node that starts again remembers whom it obeys.
+    /// A leader that was cut off must not have authority beside its successor, nor may two leaders share a
+    /// term. A restarted node must remember its leader.
     #[test]
     fn one_leader_at_a_time() {
         let file = std::env::temp_dir().join(format!("yarrowfront-term-{}", std::process::id()));
@@ -250,7 +250,7 @@
         let _ = std::fs::remove_file(&file);
     }
 
-    /// The example that operators begin with says what is taken where nothing is said.
+    /// The example file for operators states the default values.
     #[test]
     fn the_example() {
         let example =
@@ -259,7 +259,7 @@
         assert_eq!(TrialTerms::from_toml(&bare), Ok(example));
     }
 
-    /// What is wrong in the operators' file is named.
+    /// An error in the operators' file must name the key or the line.
     #[test]
     fn bad_files() {
         let cases = [
