--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -1,12 +1,12 @@
 //! Connections from clients: accepting and counting them, and closing them when sockets run short or the
 //! node stops.
 
-use crate::client_connections::{close_idle, Guest, Guests};
-use crate::client_service::Intake;
+use crate::client_connections::{close_idle, ClientConnection, ClientConnections};
+use crate::client_service::ClientService;
 use crate::log::note;
 use crate::node::Node;
-use crate::observed_stream::Watched;
-use crate::request_framing::Followed;
+use crate::observed_stream::ObservedStream;
+use crate::request_framing::RequestObserver;
 use crate::transport::Transport;
 use hyper::server::conn::http1;
 use hyper_util::rt::TokioIo;
@@ -35,148 +35,153 @@
 
 /// This many accepts may fail in a row before there is a pause. A single failure, such as for a connection
 /// that was closed before it was accepted, says nothing about the connections queued behind it.
-const FAILURES_BEFORE_PAUSE: u32 = 8;
+const MAX_FAILURES_WITHOUT_PAUSE: u32 = 8;
 
 /// Counts accepts that failed in a row.
 #[derive(Default)]
-struct Failures {
-    in_a_row: u32,
+struct AcceptFailures {
+    consecutive: u32,
 }
 
-impl Failures {
+impl AcceptFailures {
     /// Pauses if the failures persist, as they do when file descriptors run out.
-    async fn another(&mut self, pause: Duration) {
-        self.in_a_row += 1;
-        if self.in_a_row > FAILURES_BEFORE_PAUSE {
+    async fn record(&mut self, pause: Duration) {
+        self.consecutive += 1;
+        if self.consecutive > MAX_FAILURES_WITHOUT_PAUSE {
             sleep(pause).await;
         }
     }
 
-    fn over(&mut self) {
-        self.in_a_row = 0;
+    fn reset(&mut self) {
+        self.consecutive = 0;
     }
 }
 
 /// Accepts connections until the node stops and all accepted commands are answered.
-pub async fn accept(listener: Rc<TcpListener>, node: Rc<Node>) {
-    let guests = Rc::new(Guests::default());
-    tokio::task::spawn_local(send_away(guests.clone(), node.clone()));
-    let mut over = pin!(node.stop.past(node.limits.accept_on));
-    let mut failures = Failures::default();
+pub async fn accept_connections(listener: Rc<TcpListener>, node: Rc<Node>) {
+    let clients = Rc::new(ClientConnections::default());
+    tokio::task::spawn_local(close_idle_while_draining(clients.clone(), node.clone()));
+    let mut stop_accepting = pin!(node.stop.past(node.limits.accept_on));
+    let mut failures = AcceptFailures::default();
     loop {
-        let held = guests.here.borrow().len();
-        let most = node.limits.client_sockets() + node.limits.surplus_sockets;
+        let open_count = clients.open.borrow().len();
+        let max_open = node.limits.client_sockets() + node.limits.surplus_sockets;
         let succeeded = node.stop.succeeded();
-        if held >= most {
-            close_idle(&guests.here.borrow(), node.limits.settle);
+        if open_count >= max_open {
+            close_idle(&clients.open.borrow(), node.limits.settle);
         }
         let accepted = tokio::select! {
             // The new process accepts from now on. It has the same listening socket, so it also takes what
             // is in the kernel's queue.
             () = node.stop.succession(!succeeded) => continue,
-            accepted = listener.accept(), if held < most && !succeeded => accepted,
+            accepted = listener.accept(), if open_count < max_open && !succeeded => accepted,
             // At the limit, further connections wait in the kernel's queue until one closes. The sleep lets
             // the loop close idle ones, as silent connections must not block accepting for ever.
-            () = guests.left.notified(), if held >= most => continue,
-            () = sleep(node.limits.settle), if held >= most => continue,
-            () = &mut over => break,
+            () = clients.connection_closed.notified(), if open_count >= max_open => continue,
+            () = sleep(node.limits.settle), if open_count >= max_open => continue,
+            () = &mut stop_accepting => break,
         };
         match accepted {
             Ok((stream, _)) => {
-                failures.over();
-                welcome(stream, &guests, &node);
+                failures.reset();
+                start_connection(stream, &clients, &node);
             }
             Err(error) => {
                 note!("accept: {error}");
-                failures.another(node.limits.accept_pause).await;
+                failures.record(node.limits.accept_pause).await;
             }
         }
     }
     // For their clients, connections in the kernel's queue are established already, so they are served too.
-    let mut idle = pin!(node.stop.past(node.limits.idle_on));
+    let mut stop_serving_idle = pin!(node.stop.past(node.limits.idle_on));
     loop {
         let accepted = tokio::select! {
             accepted = timeout(node.limits.last_look, listener.accept()) => accepted,
-            () = &mut idle => break,
+            () = &mut stop_serving_idle => break,
             () = node.stop.succession(true) => break,
         };
         match accepted {
             Ok(Ok((stream, _))) => {
-                failures.over();
-                welcome(stream, &guests, &node);
+                failures.reset();
+                start_connection(stream, &clients, &node);
             }
             // File descriptors may run out for a moment. That is no reason to abandon the queued
             // connections.
-            Ok(Err(_)) => failures.another(node.limits.accept_pause).await,
+            Ok(Err(_)) => failures.record(node.limits.accept_pause).await,
             Err(_) => break,
         }
     }
     drop(listener);
     node.stop.past(node.limits.idle_on).await;
-    for (_, guest) in guests.here.borrow().iter() {
-        guest.close();
+    for (_, client) in clients.open.borrow().iter() {
+        client.request_close();
     }
-    let gone = async {
-        while !guests.here.borrow().is_empty() {
-            guests.left.notified().await;
+    let all_closed = async {
+        while !clients.open.borrow().is_empty() {
+            clients.connection_closed.notified().await;
         }
     };
     // The node waits only for commands in flight. Answers that are still streaming continue until the
     // process is killed.
-    let owed = async {
+    let no_answer_owed = async {
         node.stop.past(node.limits.end_by.get()).await;
         // A stalled client is waited for no longer than `body_silent`.
-        while guests.owed(node.limits.body_silent) {
+        while clients.owes_answer(node.limits.client_silence) {
             sleep(node.limits.settle).await;
         }
     };
     tokio::select! {
-        () = gone => {}
-        () = owed => note!("stop: {} connections still open", guests.here.borrow().len()),
+        () = all_closed => {}
+        () = no_answer_owed => note!("stop: {} connections still open", clients.open.borrow().len()),
     }
 }
 
 /// While operators have clients drained, closes each connection as soon as nothing is in progress on it.
-async fn send_away(guests: Rc<Guests>, node: Rc<Node>) {
+async fn close_idle_while_draining(clients: Rc<ClientConnections>, node: Rc<Node>) {
     let settle = node.limits.settle;
     loop {
         node.stop.away_for(node.limits.idle_on).await;
-        for (_, guest) in guests.here.borrow().iter().filter(|(_, g)| !g.evicted.get() && g.idle(settle)) {
-            guest.evict();
+        for (_, client) in clients
+            .open
+            .borrow()
+            .iter()
+            .filter(|(_, client)| !client.is_evicted.get() && client.is_idle(settle))
+        {
+            client.evict();
         }
         sleep(settle).await;
     }
 }
 
-fn welcome(stream: TcpStream, guests: &Rc<Guests>, node: &Rc<Node>) {
+fn start_connection(stream: TcpStream, clients: &Rc<ClientConnections>, node: &Rc<Node>) {
     let stream = Transport::new(stream);
     let limits = &node.limits;
-    if guests.here.borrow().len() >= limits.client_sockets() {
+    if clients.open.borrow().len() >= limits.client_sockets() {
         // Closing an idle connection makes room. The surplus sockets cover the time until it is closed.
-        close_idle(&guests.here.borrow(), limits.settle);
-    } else if guests.known.get() > limits.kept_sockets() {
+        close_idle(&clients.open.borrow(), limits.settle);
+    } else if clients.connections_with_command.get() > limits.kept_sockets() {
         // Too many clients keep an idle connection: for each new connection, one that has been idle for a
         // while is closed.
-        close_idle(&guests.here.borrow(), limits.first_wait);
+        close_idle(&clients.open.borrow(), limits.first_wait);
     }
-    if let Some(counts) = node.desk.counts() {
-        counts.connected(node.desk.clock.now());
+    if let Some(counts) = node.dispatcher.counts() {
+        counts.count_connection(node.dispatcher.clock.now());
     }
-    let guest = Rc::new(Guest::new(guests.clone()));
-    let key = guests.here.borrow_mut().insert(guest.clone());
-    limits.sockets.clients.set(guests.here.borrow().len());
-    let (guests, node) = (guests.clone(), node.clone());
+    let client = Rc::new(ClientConnection::new(clients.clone()));
+    let connection_key = clients.open.borrow_mut().insert(client.clone());
+    limits.sockets.clients.set(clients.open.borrow().len());
+    let (clients, node) = (clients.clone(), node.clone());
     tokio::task::spawn_local(async move {
         let mut builder = http1::Builder::new();
         let limits = node.limits.clone();
         builder.max_buf_size(limits.head_bytes);
-        let followed = Followed::new(guest.clone(), limits.head_bytes);
-        let watched = Watched { stream, watch: followed };
-        let service = TowerToHyperService::new(Intake { node: node.clone(), guest: guest.clone() });
+        let request_observer = RequestObserver::new(client.clone(), limits.head_bytes);
+        let watched = ObservedStream { stream, observer: request_observer };
+        let service = TowerToHyperService::new(ClientService { node: node.clone(), client: client.clone() });
         let mut connection = builder.serve_connection(TokioIo::new(watched), service);
         let mut closing = false;
-        let ended = loop {
-            let due = guest.due(&limits).max(Instant::now() + limits.settle);
+        let is_graceful = loop {
+            let idle_deadline = client.idle_deadline(&limits).max(Instant::now() + limits.settle);
             tokio::select! {
                 // Input comes first: a command that was already read is answered before the connection
                 // closes.
@@ -188,12 +193,12 @@
                     Pin::new(&mut connection).graceful_shutdown();
                     closing = false;
                 }
-                () = guest.look.notified() => {
+                () = client.recheck.notified() => {
                     // The client's close was detected behind data that is not being read at present.
-                    if guest.gone.get() {
+                    if client.close_detected.get() {
                         break true;
                     }
-                    if guest.close.take() {
+                    if client.close_requested.take() {
                         // Yield once, so that data already in the kernel's buffer is read before the
                         // connection closes.
                         yield_now().await;
@@ -201,36 +206,36 @@
                     }
                 }
                 // The loop then checks for the client's close on each turn.
-                () = sleep(limits.settle), if guest.blind() => {}
-                () = sleep(limits.settle), if guest.evicted.get() => {
-                    if !guest.owed(limits.body_silent) {
+                () = sleep(limits.settle), if client.cannot_detect_close() => {}
+                () = sleep(limits.settle), if client.is_evicted.get() => {
+                    if !client.owes_answer(limits.client_silence) {
                         break false;
                     }
                 }
-                () = sleep_until(due), if !guest.evicted.get() => {
-                    if guest.commands.get() == 0 && guest.due(&limits) <= Instant::now() {
-                        guest.evict();
+                () = sleep_until(idle_deadline), if !client.is_evicted.get() => {
+                    if client.commands.get() == 0 && client.idle_deadline(&limits) <= Instant::now() {
+                        client.evict();
                     }
                 }
             }
         };
-        if ended {
-            linger(connection.into_parts().io.into_inner().stream, limits.linger).await;
+        if is_graceful {
+            close_gracefully(connection.into_parts().io.into_inner().stream, limits.linger).await;
         }
-        guests.here.borrow_mut().remove(key);
-        node.limits.sockets.clients.set(guests.here.borrow().len());
-        guests.left.notify_one();
+        clients.open.borrow_mut().remove(connection_key);
+        node.limits.sockets.clients.set(clients.open.borrow().len());
+        clients.connection_closed.notify_one();
     });
 }
 
 /// Closes the sending side, then reads until the client closes too or the wait is over. If the connection
 /// were closed with unread data, the kernel would reset it and the answer in transit would be lost.
-async fn linger(mut stream: Transport, wait: Duration) {
+async fn close_gracefully(mut stream: Transport, max_wait: Duration) {
     let reading = async {
-        let mut rest = [0; 4096];
+        let mut discarded = [0; 4096];
         if stream.shutdown().await.is_ok() {
-            while stream.read(&mut rest).await.is_ok_and(|n| n > 0) {}
+            while stream.read(&mut discarded).await.is_ok_and(|n| n > 0) {}
         }
     };
-    let _ = timeout(wait, reading).await;
+    let _ = timeout(max_wait, reading).await;
 }
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -4,7 +4,7 @@
 use crate::admin_request::{call, Call, Refusal};
 use crate::config::build;
 use crate::counts;
-use crate::dispatcher::Desk;
+use crate::dispatcher::Dispatcher;
 use crate::fleet::Fleet;
 use crate::handover::Peer;
 use crate::lifecycle::Stop;
@@ -43,7 +43,7 @@
 
 /// What the requests are answered from.
 pub struct Admin {
-    pub desk: Rc<Desk>,
+    pub dispatcher: Rc<Dispatcher>,
     pub stop: Rc<Stop>,
     pub limits: Rc<Limits>,
     pub peer: Rc<Peer>,
@@ -91,7 +91,7 @@
             Call::Site { name, word } => return self.site(&name, &word),
             _ => {}
         }
-        match call.carry_out(&self.desk, &self.stop) {
+        match call.carry_out(&self.dispatcher, &self.stop) {
             Some(now) => {
                 // If there are two processes, both have applied it before the success is reported.
                 self.peer.tell(&call).await;
@@ -115,27 +115,27 @@
 
     /// The node's statistics, the digest of its settings, and its resource usage.
     fn counts(&self, after: u64) -> Reply {
-        let (Some(trial), Some(counts)) = (&self.trial, self.desk.counts()) else {
+        let (Some(trial), Some(counts)) = (&self.trial, self.dispatcher.counts()) else {
             return plain(StatusCode::NOT_FOUND, "no statistics are kept: rollout is not configured");
         };
-        let now = self.desk.clock.now();
-        let mut told = counts.told(now, after);
-        let (memory, descriptors, cpu) = counts::taken();
-        let (leader, list) = (trial.leader(), self.desk.load().3);
+        let now = self.dispatcher.clock.now();
+        let mut told = counts.to_json(now, after);
+        let (memory, descriptors, cpu) = counts::process_usage();
+        let (leader, list) = (trial.leader(), self.dispatcher.load().3);
         let on = trial.on.borrow().as_ref().map(|on| {
             let left = on.until.saturating_duration_since(Instant::now()).as_millis() as u64;
             json!({"former": on.former, "left_ms": left})
         });
         let state = match () {
             () if self.stop.stopping() => "stopping",
-            () if !self.desk.told() || !self.peer.ready() => "joining",
+            () if !self.dispatcher.has_list() || !self.peer.ready() => "joining",
             () if self.stop.drained() => "sent away",
             () if self.stop.succeeded() => "succeeded",
             () => "serving",
         };
         let more = json!({
             "name": self.name, "build": build(), "words": self.words, "state": state,
-            "settings": format!("{:016x}", self.digest.get()), "life": self.desk.clock.began().0, "now_us": now.0,
+            "settings": format!("{:016x}", self.digest.get()), "life": self.dispatcher.clock.process_start().0, "now_us": now.0,
             "list": list, "memory_kb": memory, "descriptors": descriptors, "cpu_ms": cpu,
             "pid": std::process::id(), "term": leader.term, "leader": leader.by, "trial": on, "lapsed": trial.lapsed.get(),
         });
@@ -192,7 +192,7 @@
     fn ready(&self) -> Reply {
         match () {
             () if self.stop.stopping() => plain(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
-            () if !self.desk.told() => {
+            () if !self.dispatcher.has_list() => {
                 plain(StatusCode::SERVICE_UNAVAILABLE, "not ready: no list of backends yet")
             }
             () if !self.peer.ready() => {
--- a/crates/node/src/admin_request.rs
+++ b/crates/node/src/admin_request.rs
@@ -1,6 +1,6 @@
 //! Operators' requests: parsing a method and a path, and carrying the request out in this process.
 
-use crate::dispatcher::Desk;
+use crate::dispatcher::Dispatcher;
 use crate::lifecycle::Stop;
 use hyper::Method;
 use percent_encoding::percent_decode_str;
@@ -87,7 +87,7 @@
 
 impl Call {
     /// Carries the request out and describes the new state; `None` if the backend was never listed.
-    pub fn carry_out(&self, desk: &Desk, stop: &Stop) -> Option<String> {
+    pub fn carry_out(&self, dispatcher: &Dispatcher, stop: &Stop) -> Option<String> {
         match self {
             Call::Ready
             | Call::Fleet { .. }
@@ -97,7 +97,7 @@
             | Call::Sites
             | Call::Site { .. } => None,
             Call::Maint { name, out } => {
-                desk.maint(desk.known(name)?, *out);
+                dispatcher.set_maintenance(dispatcher.known_backend(name)?, *out);
                 Some(format!("{name} {}", if *out { "is left out" } else { "is used" }))
             }
             Call::Drain(away) => {
--- a/crates/node/src/bodies.rs
+++ b/crates/node/src/bodies.rs
@@ -18,118 +18,118 @@
 
 /// The reason why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum ReadError {
     TooLarge,
     /// The node's memory budget for bodies is used up.
-    NoRoom,
+    BudgetExhausted,
     Broken,
     /// It arrives too slowly.
-    Late,
+    TooSlow,
     /// The command is no longer waiting for it.
-    GivenUp,
+    Abandoned,
 }
 
-impl fmt::Display for Unread {
+impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{self:?}")
     }
 }
 
-impl std::error::Error for Unread {}
+impl std::error::Error for ReadError {}
 
 /// The memory budget of all bodies together, requests and answers.
 #[derive(Clone)]
-pub struct Room {
-    most: usize,
-    held: Arc<AtomicUsize>,
+pub struct BodyMemory {
+    max_bytes: usize,
+    held_bytes: Arc<AtomicUsize>,
     /// Bytes held by the other process of this node.
-    others: Arc<AtomicUsize>,
+    peer_held: Arc<AtomicUsize>,
 }
 
 /// The buffered bytes of one body, counted against the budget.
-struct Kept {
+struct BufferedBody {
     bytes: Vec<u8>,
-    room: Room,
+    memory: BodyMemory,
 }
 
-impl AsRef<[u8]> for Kept {
+impl AsRef<[u8]> for BufferedBody {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-impl Drop for Kept {
+impl Drop for BufferedBody {
     fn drop(&mut self) {
-        self.room.held.fetch_sub(self.bytes.len(), Relaxed);
+        self.memory.held_bytes.fetch_sub(self.bytes.len(), Relaxed);
     }
 }
 
-impl Kept {
-    fn push(&mut self, data: &[u8]) -> Result<(), Unread> {
-        if data.len() > self.room.free() {
-            return Err(Unread::NoRoom);
+impl BufferedBody {
+    fn push(&mut self, data: &[u8]) -> Result<(), ReadError> {
+        if data.len() > self.memory.free_bytes() {
+            return Err(ReadError::BudgetExhausted);
         }
-        self.room.held.fetch_add(data.len(), Relaxed);
+        self.memory.held_bytes.fetch_add(data.len(), Relaxed);
         self.bytes.extend_from_slice(data);
         Ok(())
     }
 }
 
 /// The reservation that a streaming body keeps in the budget: it never buffers more than this at a time.
-pub struct Window(Room, usize);
+pub struct WindowReservation(BodyMemory, usize);
 
-impl Drop for Window {
+impl Drop for WindowReservation {
     fn drop(&mut self) {
-        self.0.held.fetch_sub(self.1, Relaxed);
+        self.0.held_bytes.fetch_sub(self.1, Relaxed);
     }
 }
 
 /// How a body is read.
 #[derive(Clone, Copy)]
-pub struct Reading {
+pub struct ReadLimits {
     /// Bodies up to this many bytes are buffered completely.
-    pub window: usize,
+    pub window_bytes: usize,
     /// The maximum size in bytes; larger bodies are rejected.
-    pub most: usize,
+    pub max_bytes: usize,
     /// How long the sender may send nothing, and the minimum rate in bytes per second: until the window is
     /// full, each received byte extends the deadline accordingly.
-    pub silent: Duration,
-    pub rate: usize,
+    pub max_silence: Duration,
+    pub min_bytes_per_s: usize,
     /// If the body is not complete this long after its first bytes, it is streamed from then on. With `None`
     /// it is always buffered up to the window.
-    pub early: Option<Duration>,
+    pub stream_after: Option<Duration>,
 }
 
 /// The result of reading a body.
-pub enum Start {
-    Whole(Bytes),
+pub enum ReadBody {
+    Buffered(Bytes),
     /// The body is larger than the window, or is streamed early.
-    Flows(Flow),
+    Streaming(BodyStream),
 }
 
-impl Room {
-    pub fn new(most: usize) -> Room {
-        Room { most, held: Arc::default(), others: Arc::default() }
+impl BodyMemory {
+    pub fn new(max_bytes: usize) -> BodyMemory {
+        BodyMemory { max_bytes, held_bytes: Arc::default(), peer_held: Arc::default() }
     }
 
-    fn free(&self) -> usize {
-        self.most.saturating_sub(self.held.load(Relaxed) + self.others.load(Relaxed))
+    fn free_bytes(&self) -> usize {
+        self.max_bytes.saturating_sub(self.held_bytes.load(Relaxed) + self.peer_held.load(Relaxed))
     }
 
-    pub fn held(&self) -> usize {
-        self.held.load(Relaxed)
+    pub fn held_bytes(&self) -> usize {
+        self.held_bytes.load(Relaxed)
     }
 
-    pub fn others_hold(&self, bytes: usize) {
-        self.others.store(bytes, Relaxed);
+    pub fn set_peer_bytes(&self, bytes: usize) {
+        self.peer_held.store(bytes, Relaxed);
     }
 
-    fn window(&self, bytes: usize) -> Result<Window, Unread> {
-        if bytes > self.free() {
-            return Err(Unread::NoRoom);
+    fn reserve_window(&self, bytes: usize) -> Result<WindowReservation, ReadError> {
+        if bytes > self.free_bytes() {
+            return Err(ReadError::BudgetExhausted);
         }
-        self.held.fetch_add(bytes, Relaxed);
-        Ok(Window(self.clone(), bytes))
+        self.held_bytes.fetch_add(bytes, Relaxed);
+        Ok(WindowReservation(self.clone(), bytes))
     }
 
     /// Reads a body, or the beginning of one that exceeds the window. A body whose announced length exceeds
@@ -137,251 +137,258 @@
     pub async fn read(
         &self,
         mut body: Incoming,
-        by: Reading,
-        given_up: impl Future<Output = ()>,
-    ) -> Result<Start, Unread> {
-        let mut given_up = pin!(given_up);
-        let told = body.size_hint().lower();
-        let more = told > by.window as u64;
-        if told > by.most as u64 {
-            return Err(Unread::TooLarge);
+        limits: ReadLimits,
+        abandoned: impl Future<Output = ()>,
+    ) -> Result<ReadBody, ReadError> {
+        let mut abandoned = pin!(abandoned);
+        let announced_bytes = body.size_hint().lower();
+        let exceeds_window = announced_bytes > limits.window_bytes as u64;
+        if announced_bytes > limits.max_bytes as u64 {
+            return Err(ReadError::TooLarge);
         }
-        if !more && told > self.free() as u64 {
-            return Err(Unread::NoRoom);
+        if !exceeds_window && announced_bytes > self.free_bytes() as u64 {
+            return Err(ReadError::BudgetExhausted);
         }
-        let mut kept = Kept { bytes: Vec::new(), room: self.clone() };
-        if !more {
-            kept.bytes.reserve_exact(told as usize);
+        let mut buffer = BufferedBody { bytes: Vec::new(), memory: self.clone() };
+        if !exceeds_window {
+            buffer.bytes.reserve_exact(announced_bytes as usize);
         }
-        let came = Instant::now();
-        let mut early: Option<Instant> = None;
+        let started = Instant::now();
+        let mut stream_at: Option<Instant> = None;
         loop {
-            let earned = Duration::from_secs_f64(kept.bytes.len() as f64 / by.rate as f64);
-            let late = came + by.silent + earned;
-            let frame = timeout_at(early.map_or(late, |early| early.min(late)), body.frame());
+            let earned_time =
+                Duration::from_secs_f64(buffer.bytes.len() as f64 / limits.min_bytes_per_s as f64);
+            let deadline = started + limits.max_silence + earned_time;
+            let frame =
+                timeout_at(stream_at.map_or(deadline, |stream_at| stream_at.min(deadline)), body.frame());
             let frame = tokio::select! {
                 biased;
                 frame = frame => frame,
-                () = &mut given_up => {
-                    linger(body);
-                    return Err(Unread::GivenUp);
+                () = &mut abandoned => {
+                    drain_remainder(body);
+                    return Err(ReadError::Abandoned);
                 }
             };
             let frame = match frame {
-                Ok(Some(frame)) => frame.map_err(|_| Unread::Broken)?,
-                Ok(None) => return Ok(Start::Whole(Bytes::from_owner(kept))),
-                Err(_) if early.is_some_and(|early| early <= Instant::now()) => break,
-                Err(_) => return Err(Unread::Late),
+                Ok(Some(frame)) => frame.map_err(|_| ReadError::Broken)?,
+                Ok(None) => return Ok(ReadBody::Buffered(Bytes::from_owner(buffer))),
+                Err(_) if stream_at.is_some_and(|stream_at| stream_at <= Instant::now()) => break,
+                Err(_) => return Err(ReadError::TooSlow),
             };
             let Ok(data) = frame.into_data() else { continue };
-            if let Err(why) = kept.push(&data) {
-                linger(body);
+            if let Err(why) = buffer.push(&data) {
+                drain_remainder(body);
                 return Err(why);
             }
-            if kept.bytes.len() > by.window || more && by.early.is_some() {
+            if buffer.bytes.len() > limits.window_bytes || exceeds_window && limits.stream_after.is_some() {
                 break;
             }
-            early = early.or(by.early.map(|early| Instant::now() + early));
+            stream_at = stream_at.or(limits.stream_after.map(|delay| Instant::now() + delay));
         }
-        let window = self.window(by.window)?;
-        let passed = kept.bytes.len();
-        Ok(Start::Flows(Flow {
-            first: Some(Bytes::from_owner(kept)),
-            rest: Some(body),
-            linger: false,
-            passed,
-            most: by.most,
-            silent: by.silent,
-            since: None,
-            window,
-            over: None,
-            kept: None,
-            cut: Rc::default(),
+        let reservation = self.reserve_window(limits.window_bytes)?;
+        let received_bytes = buffer.bytes.len();
+        Ok(ReadBody::Streaming(BodyStream {
+            buffered: Some(Bytes::from_owner(buffer)),
+            remainder: Some(body),
+            drain_on_drop: false,
+            received_bytes,
+            max_bytes: limits.max_bytes,
+            max_silence: limits.max_silence,
+            silence_timer: None,
+            reservation,
+            on_end: None,
+            kept_alive: None,
+            is_cut: Rc::default(),
         }))
     }
 }
 
 /// How a streaming body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
-    Whole,
+pub enum StreamEnd {
+    Complete,
     /// The sender broke it off, or it was too large.
     Broken,
 }
 
 /// A body that is passed on while it arrives. A slow reader slows down the sender (backpressure).
-pub struct Flow {
-    first: Option<Bytes>,
+pub struct BodyStream {
+    buffered: Option<Bytes>,
     /// `None` once the body has ended.
-    rest: Option<Incoming>,
+    remainder: Option<Incoming>,
     /// The sender is a client that is owed an answer. It reads the answer only if the body is drained rather
     /// than cut off.
-    linger: bool,
-    passed: usize,
-    most: usize,
-    silent: Duration,
+    drain_on_drop: bool,
+    received_bytes: usize,
+    max_bytes: usize,
+    max_silence: Duration,
     /// The timeout for the next data from the sender, started when the reader had to wait for it.
-    since: Option<Pin<Box<Sleep>>>,
+    silence_timer: Option<Pin<Box<Sleep>>>,
     #[allow(dead_code, reason = "held for its reservation in the memory budget")]
-    window: Window,
+    reservation: WindowReservation,
     /// Called once with how the body ended.
-    over: Option<Box<dyn FnOnce(Over)>>,
+    on_end: Option<Box<dyn FnOnce(StreamEnd)>>,
     /// Kept alive until the body has ended.
-    kept: Option<Rc<dyn Any>>,
+    kept_alive: Option<Rc<dyn Any>>,
     /// The connection that carries it was dropped: an end of the body that is seen afterwards is not its
     /// real end.
-    cut: Rc<Cell<bool>>,
+    is_cut: Rc<Cell<bool>>,
 }
 
 /// Held by the task that reads from the connection. When it is dropped with the connection, it marks the
 /// body as cut off.
-pub struct Cut(pub Rc<Cell<bool>>);
+pub struct CutOnDrop(pub Rc<Cell<bool>>);
 
-impl Drop for Cut {
+impl Drop for CutOnDrop {
     fn drop(&mut self) {
         self.0.set(true);
     }
 }
 
-impl Flow {
-    pub fn when_over(&mut self, over: impl FnOnce(Over) + 'static) {
-        self.over = Some(Box::new(over));
+impl BodyStream {
+    pub fn on_end(&mut self, callback: impl FnOnce(StreamEnd) + 'static) {
+        self.on_end = Some(Box::new(callback));
     }
 
     /// Keeps a value alive until the body has ended.
-    pub fn keep(&mut self, kept: Rc<dyn Any>) {
-        self.kept = Some(kept);
+    pub fn keep_until_end(&mut self, value: Rc<dyn Any>) {
+        self.kept_alive = Some(value);
     }
 
     /// Returns a guard that must be dropped together with the connection that carries the body.
-    pub fn cut(&self) -> Cut {
-        Cut(self.cut.clone())
+    pub fn cut_guard(&self) -> CutOnDrop {
+        CutOnDrop(self.is_cut.clone())
     }
 
     /// Sets how long the sender may send nothing, and whether the sender is a client.
-    pub fn patience(&mut self, silent: Duration, client: bool) {
-        (self.silent, self.linger) = (silent, client);
+    pub fn set_timeout(&mut self, max_silence: Duration, sender_is_client: bool) {
+        (self.max_silence, self.drain_on_drop) = (max_silence, sender_is_client);
     }
 
-    fn ends(&mut self, over: Over) {
-        self.rest = None;
-        if let Some(told) = self.over.take() {
-            told(over);
+    fn finish(&mut self, end: StreamEnd) {
+        self.remainder = None;
+        if let Some(on_end) = self.on_end.take() {
+            on_end(end);
         }
     }
 }
 
-impl Drop for Flow {
+impl Drop for BodyStream {
     fn drop(&mut self) {
-        if let Some(rest) = self.rest.take().filter(|_| self.linger) {
-            linger(rest);
+        if let Some(remainder) = self.remainder.take().filter(|_| self.drain_on_drop) {
+            drain_remainder(remainder);
         }
     }
 }
 
 /// How long a body is drained after its command was answered; a well-behaved client needs this long for a
 /// few hundred kB.
-const LINGER: Duration = Duration::from_secs(5);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Reads and discards the rest of a body. If the connection were closed with unread data, the kernel would
 /// reset it and the client would lose the answer.
-fn linger(mut body: Incoming) {
-    let rest = async move { while let Some(Ok(_)) = body.frame().await {} };
-    drop(tokio::task::spawn_local(timeout(LINGER, rest)));
+fn drain_remainder(mut body: Incoming) {
+    let remainder = async move { while let Some(Ok(_)) = body.frame().await {} };
+    drop(tokio::task::spawn_local(timeout(DRAIN_TIMEOUT, remainder)));
 }
 
-impl Body for Flow {
+impl Body for BodyStream {
     type Data = Bytes;
-    type Error = Unread;
+    type Error = ReadError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Unread>>> {
-        if let Some(first) = self.first.take() {
-            return Poll::Ready(Some(Ok(Frame::data(first))));
+    ) -> Poll<Option<Result<Frame<Bytes>, ReadError>>> {
+        if let Some(buffered) = self.buffered.take() {
+            return Poll::Ready(Some(Ok(Frame::data(buffered))));
         }
         loop {
-            let Some(rest) = &mut self.rest else { return Poll::Ready(None) };
-            let Poll::Ready(frame) = Pin::new(rest).poll_frame(cx) else {
-                let silent = self.silent;
-                let since = self.since.get_or_insert_with(|| Box::pin(sleep(silent)));
-                if since.as_mut().poll(cx).is_pending() {
+            let Some(remainder) = &mut self.remainder else { return Poll::Ready(None) };
+            let Poll::Ready(frame) = Pin::new(remainder).poll_frame(cx) else {
+                let max_silence = self.max_silence;
+                let silence_timer = self.silence_timer.get_or_insert_with(|| Box::pin(sleep(max_silence)));
+                if silence_timer.as_mut().poll(cx).is_pending() {
                     return Poll::Pending;
                 }
-                self.ends(Over::Broken);
-                return Poll::Ready(Some(Err(Unread::Late)));
+                self.finish(StreamEnd::Broken);
+                return Poll::Ready(Some(Err(ReadError::TooSlow)));
             };
-            self.since = None;
+            self.silence_timer = None;
             let data = match frame {
-                None if self.cut.get() => {
-                    self.ends(Over::Broken);
-                    return Poll::Ready(Some(Err(Unread::Broken)));
+                None if self.is_cut.get() => {
+                    self.finish(StreamEnd::Broken);
+                    return Poll::Ready(Some(Err(ReadError::Broken)));
                 }
                 None => {
-                    self.ends(Over::Whole);
+                    self.finish(StreamEnd::Complete);
                     return Poll::Ready(None);
                 }
                 Some(Err(_)) => {
-                    self.ends(Over::Broken);
-                    return Poll::Ready(Some(Err(Unread::Broken)));
+                    self.finish(StreamEnd::Broken);
+                    return Poll::Ready(Some(Err(ReadError::Broken)));
                 }
                 Some(Ok(frame)) => frame.into_data(),
             };
             // Trailers apply only to the connection on which they arrived.
             let Ok(data) = data else { continue };
-            self.passed += data.len();
-            if self.passed > self.most {
-                self.ends(Over::Broken);
-                return Poll::Ready(Some(Err(Unread::TooLarge)));
+            self.received_bytes += data.len();
+            if self.received_bytes > self.max_bytes {
+                self.finish(StreamEnd::Broken);
+                return Poll::Ready(Some(Err(ReadError::TooLarge)));
             }
-            if self.rest.as_ref().is_some_and(Body::is_end_stream) {
-                self.ends(Over::Whole);
+            if self.remainder.as_ref().is_some_and(Body::is_end_stream) {
+                self.finish(StreamEnd::Complete);
             }
             return Poll::Ready(Some(Ok(Frame::data(data))));
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        let first = self.first.as_ref().map_or(0, Bytes::len) as u64;
-        match self.rest.as_ref().map_or(Some(0), |rest| rest.size_hint().exact()) {
-            Some(rest) => SizeHint::with_exact(first + rest),
+        let buffered = self.buffered.as_ref().map_or(0, Bytes::len) as u64;
+        match self.remainder.as_ref().map_or(Some(0), |remainder| remainder.size_hint().exact()) {
+            Some(remainder) => SizeHint::with_exact(buffered + remainder),
             None => SizeHint::default(),
         }
     }
 }
 
 /// An outgoing body, to a backend or to a client.
-pub enum Out {
-    Whole(Full<Bytes>),
-    Flows(Flow),
+pub enum OutgoingBody {
+    Buffered(Full<Bytes>),
+    Streaming(BodyStream),
 }
 
-impl From<Bytes> for Out {
-    fn from(bytes: Bytes) -> Out {
-        Out::Whole(Full::new(bytes))
+impl From<Bytes> for OutgoingBody {
+    fn from(bytes: Bytes) -> OutgoingBody {
+        OutgoingBody::Buffered(Full::new(bytes))
     }
 }
 
-impl Body for Out {
+impl Body for OutgoingBody {
     type Data = Bytes;
-    type Error = Unread;
+    type Error = ReadError;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Unread>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, ReadError>>> {
         match self.get_mut() {
-            Out::Whole(whole) => Pin::new(whole).poll_frame(cx).map_err(|never| match never {}),
-            Out::Flows(flow) => Pin::new(flow).poll_frame(cx),
+            OutgoingBody::Buffered(buffered) => {
+                Pin::new(buffered).poll_frame(cx).map_err(|never| match never {})
+            }
+            OutgoingBody::Streaming(stream) => Pin::new(stream).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Out::Whole(whole) if whole.is_end_stream())
+        matches!(self, OutgoingBody::Buffered(buffered) if buffered.is_end_stream())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Out::Whole(whole) => whole.size_hint(),
-            Out::Flows(flow) => flow.size_hint(),
+            OutgoingBody::Buffered(buffered) => buffered.size_hint(),
+            OutgoingBody::Streaming(stream) => stream.size_hint(),
         }
     }
 }
--- a/crates/node/src/client_connections.rs
+++ b/crates/node/src/client_connections.rs
@@ -10,213 +10,227 @@
 use tokio::time::Instant;
 
 /// A connection from a client.
-pub struct Guest {
-    guests: Rc<Guests>,
+pub struct ClientConnection {
+    clients: Rc<ClientConnections>,
     /// Commands in flight on this connection.
     pub commands: Cell<usize>,
     /// The number of request heads that hyper has delivered, and the number of the first head that stated
     /// two body lengths.
-    heads: Cell<usize>,
-    pub clash: Cell<Option<usize>>,
+    heads_delivered: Cell<usize>,
+    pub conflicting_head: Cell<Option<usize>>,
     /// The number of requests that hyper has delivered and that are not answered yet, and whether part of a
     /// further request was received.
-    open: Cell<usize>,
-    pub part: Cell<bool>,
+    unanswered_requests: Cell<usize>,
+    pub has_partial_request: Cell<bool>,
     /// A complete command has been received on it.
-    known: Cell<bool>,
+    had_command: Cell<bool>,
     idle_since: Cell<Instant>,
-    pub came: Instant,
+    pub accepted_at: Instant,
     /// Notifies the connection's task to check its state again: what follows the current request, and
     /// whether it can still detect the client's close.
-    pub look: Notify,
+    pub recheck: Notify,
     /// Close the connection once the commands in flight are answered.
-    pub close: Cell<bool>,
+    pub close_requested: Cell<bool>,
     /// Data from the client may be waiting unread, which hides the client's close behind it; and whether
     /// that close was detected nevertheless.
-    unread: Cell<bool>,
-    pub gone: Cell<bool>,
+    may_have_unread: Cell<bool>,
+    pub close_detected: Cell<bool>,
     /// The waker of the task that reads from it, woken when the data held back behind a command may be
     /// delivered.
-    reader: Cell<Option<Waker>>,
+    read_waker: Cell<Option<Waker>>,
     /// Since when the client has accepted no data although some is waiting to be written.
-    stuck: Cell<Option<Instant>>,
+    write_stalled_since: Cell<Option<Instant>>,
     /// Close the connection even in the middle of a head that makes no progress.
-    pub evicted: Cell<bool>,
+    pub is_evicted: Cell<bool>,
 }
 
 #[derive(Default)]
-pub struct Guests {
-    pub here: RefCell<Slab<Rc<Guest>>>,
+pub struct ClientConnections {
+    pub open: RefCell<Slab<Rc<ClientConnection>>>,
     /// Commands in flight on all connections.
     pub commands: Cell<usize>,
     /// The number of connections that have received a command.
-    pub known: Cell<usize>,
+    pub connections_with_command: Cell<usize>,
     /// Notified when a connection has ended.
-    pub left: Notify,
+    pub connection_closed: Notify,
 }
 
 /// Keeps a command counted as in flight while it exists.
-pub struct Busy(Rc<Guest>);
+pub struct CommandGuard(Rc<ClientConnection>);
 
 /// Keeps a request counted as unanswered while it exists.
-pub struct Open(Rc<Guest>);
+pub struct RequestGuard(Rc<ClientConnection>);
 
-impl Guests {
-    /// Whether an answer is owed on any connection (see `Guest::owed`).
-    pub fn owed(&self, most: Duration) -> bool {
-        self.here.borrow().iter().any(|(_, guest)| guest.owed(most))
+impl ClientConnections {
+    /// Whether an answer is owed on any connection (see `ClientConnection::owes_answer`).
+    pub fn owes_answer(&self, max_stall: Duration) -> bool {
+        self.open.borrow().iter().any(|(_, client)| client.owes_answer(max_stall))
     }
 }
 
-impl Guest {
-    pub fn new(guests: Rc<Guests>) -> Guest {
-        let (look, clash, close) = (Notify::new(), Cell::default(), Cell::default());
-        let (commands, heads, open, known, evicted, part, stuck, unread, gone) = Default::default();
-        Guest {
-            guests,
+impl ClientConnection {
+    pub fn new(clients: Rc<ClientConnections>) -> ClientConnection {
+        let (recheck, conflicting_head, close_requested) = (Notify::new(), Cell::default(), Cell::default());
+        let (
             commands,
-            heads,
-            clash,
-            open,
-            part,
-            known,
+            heads_delivered,
+            unanswered_requests,
+            had_command,
+            is_evicted,
+            has_partial_request,
+            write_stalled_since,
+            may_have_unread,
+            close_detected,
+        ) = Default::default();
+        ClientConnection {
+            clients,
+            commands,
+            heads_delivered,
+            conflicting_head,
+            unanswered_requests,
+            has_partial_request,
+            had_command,
             idle_since: Cell::new(Instant::now()),
-            came: Instant::now(),
-            look,
-            close,
-            unread,
-            gone,
-            reader: Cell::default(),
-            stuck,
-            evicted,
+            accepted_at: Instant::now(),
+            recheck,
+            close_requested,
+            may_have_unread,
+            close_detected,
+            read_waker: Cell::default(),
+            write_stalled_since,
+            is_evicted,
         }
     }
 
     /// Records that hyper has delivered a head. Returns false if it stated two body lengths, so that the end
     /// of its body is ambiguous.
-    pub fn head(&self) -> bool {
-        self.heads.set(self.heads.get() + 1);
+    pub fn record_head(&self) -> bool {
+        self.heads_delivered.set(self.heads_delivered.get() + 1);
         self.idle_since.set(Instant::now());
-        self.clash.get() != Some(self.heads.get())
+        self.conflicting_head.get() != Some(self.heads_delivered.get())
     }
 
     /// When the connection will have been idle, or stuck in the middle of a head, for too long.
-    pub fn due(&self, limits: &Limits) -> Instant {
-        match self.known.get() {
-            true => self.idle_since.get() + limits.guest_idle,
+    pub fn idle_deadline(&self, limits: &Limits) -> Instant {
+        match self.had_command.get() {
+            true => self.idle_since.get() + limits.client_idle,
             false => self.idle_since.get() + limits.first_wait,
         }
     }
 
     /// Closes the connection once the commands in flight are answered.
-    pub fn close(&self) {
-        self.close.set(true);
-        self.look.notify_one();
+    pub fn request_close(&self) {
+        self.close_requested.set(true);
+        self.recheck.notify_one();
     }
 
     pub fn evict(&self) {
-        self.evicted.set(true);
-        self.close();
+        self.is_evicted.set(true);
+        self.request_close();
     }
 
     /// Counts a request as unanswered for as long as the returned guard exists.
-    pub fn open(self: &Rc<Guest>) -> Open {
-        self.open.set(self.open.get() + 1);
-        Open(self.clone())
+    pub fn begin_request(self: &Rc<ClientConnection>) -> RequestGuard {
+        self.unanswered_requests.set(self.unanswered_requests.get() + 1);
+        RequestGuard(self.clone())
     }
 
     /// Given the number of heads that were read, whether the last one is not answered yet: hyper has still
     /// to deliver it, its answer is not ready, or the answer is still streaming.
-    pub fn in_hand(&self, heads: usize) -> bool {
-        self.heads.get() < heads || self.open.get() > 0 || self.commands.get() > 0
+    pub fn has_unanswered_request(&self, heads_read: usize) -> bool {
+        self.heads_delivered.get() < heads_read
+            || self.unanswered_requests.get() > 0
+            || self.commands.get() > 0
     }
 
     /// Wakes this reader once the command in flight is answered: hyper assumes that a reader that returned
     /// no data will wake it.
-    pub fn when_answered(&self, reader: &Waker) {
-        self.reader.set(Some(reader.clone()));
+    pub fn wake_when_answered(&self, waker: &Waker) {
+        self.read_waker.set(Some(waker.clone()));
     }
 
-    fn answered(&self) {
-        if let Some(reader) = self.reader.take() {
-            reader.wake();
+    fn wake_reader(&self) {
+        if let Some(waker) = self.read_waker.take() {
+            waker.wake();
         }
     }
 
     /// Records whether unread data may be waiting from now on.
-    pub fn unread(&self, may: bool) {
-        self.unread.set(may);
+    pub fn set_may_have_unread(&self, may: bool) {
+        self.may_have_unread.set(may);
     }
 
     /// A command is in flight, and the client's close would not be detected.
-    pub fn blind(&self) -> bool {
-        self.unread.get() && self.commands.get() > 0
+    pub fn cannot_detect_close(&self) -> bool {
+        self.may_have_unread.get() && self.commands.get() > 0
     }
 
     /// Records whether the client has accepted all data of the latest write.
-    pub fn writes(&self, stuck: bool) {
-        self.stuck.set(stuck.then(|| self.stuck.get().unwrap_or_else(Instant::now)));
+    pub fn record_write(&self, is_stalled: bool) {
+        self.write_stalled_since
+            .set(is_stalled.then(|| self.write_stalled_since.get().unwrap_or_else(Instant::now)));
     }
 
     /// Whether an answer is owed: a command is in flight, or the client still has to read the rest of an
     /// answer and has not been stalled for this long yet.
-    pub fn owed(&self, most: Duration) -> bool {
-        self.commands.get() > 0 || self.stuck.get().is_some_and(|since| since.elapsed() < most)
+    pub fn owes_answer(&self, max_stall: Duration) -> bool {
+        self.commands.get() > 0
+            || self.write_stalled_since.get().is_some_and(|since| since.elapsed() < max_stall)
     }
 
     /// Part of a request was received, or all of one that is not answered.
-    fn begun(&self) -> bool {
-        self.open.get() > 0 || self.part.get()
+    fn has_pending_input(&self) -> bool {
+        self.unanswered_requests.get() > 0 || self.has_partial_request.get()
     }
 
     /// Whether closing the connection now loses nothing that the client has sent.
-    pub fn idle(&self, least: Duration) -> bool {
-        !self.begun() && self.commands.get() == 0 && self.idle_since.get().elapsed() >= least
+    pub fn is_idle(&self, min_idle: Duration) -> bool {
+        !self.has_pending_input() && self.commands.get() == 0 && self.idle_since.get().elapsed() >= min_idle
     }
 
     /// Counts a command as in flight for as long as the returned guard exists.
-    pub fn busy(self: &Rc<Guest>) -> Busy {
-        if !self.known.replace(true) {
-            self.guests.known.set(self.guests.known.get() + 1);
+    pub fn begin_command(self: &Rc<ClientConnection>) -> CommandGuard {
+        if !self.had_command.replace(true) {
+            self.clients.connections_with_command.set(self.clients.connections_with_command.get() + 1);
         }
         self.commands.set(self.commands.get() + 1);
-        self.guests.commands.set(self.guests.commands.get() + 1);
-        Busy(self.clone())
+        self.clients.commands.set(self.clients.commands.get() + 1);
+        CommandGuard(self.clone())
     }
 
     /// Whether there are more connections than may be kept open between commands.
-    pub fn crowded(&self, limits: &Limits) -> bool {
-        self.guests.known.get() > limits.kept_sockets()
-            || self.guests.here.borrow().len() > limits.client_sockets()
+    pub fn exceeds_kept_connections(&self, limits: &Limits) -> bool {
+        self.clients.connections_with_command.get() > limits.kept_sockets()
+            || self.clients.open.borrow().len() > limits.client_sockets()
     }
 
     /// Whether there are more commands in flight than are allowed.
-    pub fn full(&self, limits: &Limits) -> bool {
-        self.guests.commands.get() > limits.client_sockets()
+    pub fn exceeds_command_limit(&self, limits: &Limits) -> bool {
+        self.clients.commands.get() > limits.client_sockets()
     }
 }
 
-impl Drop for Guest {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
-        if self.known.get() {
-            self.guests.known.set(self.guests.known.get() - 1);
+        if self.had_command.get() {
+            self.clients.connections_with_command.set(self.clients.connections_with_command.get() - 1);
         }
     }
 }
 
-impl Drop for Open {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
-        self.0.answered();
+        self.0.unanswered_requests.set(self.0.unanswered_requests.get() - 1);
+        self.0.wake_reader();
         self.0.idle_since.set(Instant::now());
     }
 }
 
-impl Drop for Busy {
+impl Drop for CommandGuard {
     fn drop(&mut self) {
         self.0.commands.set(self.0.commands.get() - 1);
-        self.0.answered();
-        self.0.guests.commands.set(self.0.guests.commands.get() - 1);
+        self.0.wake_reader();
+        self.0.clients.commands.set(self.0.clients.commands.get() - 1);
         self.0.idle_since.set(Instant::now());
     }
 }
@@ -224,13 +238,18 @@
 /// Closes the connection that has been idle longest, if there is one. Connections on which nothing of a
 /// request was received come first, and among those the ones that never had a command. A connection that was
 /// just accepted does not count as idle, because it would be closed before its first command is read.
-pub fn close_idle(guests: &Slab<Rc<Guest>>, least: Duration) {
-    let idle = guests.iter().map(|(_, g)| g).filter(|g| g.commands.get() == 0 && g.stuck.get().is_none());
-    let idle = idle.filter(|g| g.idle_since.get().elapsed() >= least);
+pub fn close_idle(clients: &Slab<Rc<ClientConnection>>, min_idle: Duration) {
+    let idle = clients
+        .iter()
+        .map(|(_, client)| client)
+        .filter(|client| client.commands.get() == 0 && client.write_stalled_since.get().is_none());
+    let idle = idle.filter(|client| client.idle_since.get().elapsed() >= min_idle);
     // Connections with part of a request come last, because the rest may be on its way.
-    if let Some(guest) = idle.min_by_key(|g| (g.begun(), g.known.get(), g.idle_since.get())) {
+    if let Some(longest_idle) = idle
+        .min_by_key(|client| (client.has_pending_input(), client.had_command.get(), client.idle_since.get()))
+    {
         // This resets the idle time, so that the connection is not picked again before it had time to close.
-        guest.idle_since.set(Instant::now());
-        guest.evict();
+        longest_idle.idle_since.set(Instant::now());
+        longest_idle.evict();
     }
 }
--- a/crates/node/src/client_service.rs
+++ b/crates/node/src/client_service.rs
@@ -1,9 +1,9 @@
 //! The service that handles client requests: routes them, reads a command's head and body, and rejects
 //! invalid requests.
 
-use crate::bodies::{Start, Unread};
-use crate::client_connections::Guest;
-use crate::launch_types::{Cargo, Load, TIME_LEFT};
+use crate::bodies::{ReadBody, ReadError};
+use crate::client_connections::ClientConnection;
+use crate::launch_types::{OutboundRequest, RequestBody, TIME_LEFT_HEADER};
 use crate::list::mark;
 use crate::node::Node;
 use crate::reply::{onward, plain, turn_back, Reply};
@@ -25,21 +25,21 @@
 use yarrowfront::terms::Effect;
 use yarrowfront::times::Span;
 
-const ID: &str = "x-correlation-id";
-const PROFILE: &str = "x-service-class";
-const TAG: &str = "idempotency-key";
-const HINT: &str = "x-weight-hint";
-const REPEAT: &str = "x-repeat";
-const FACTS: &str = "x-facts";
+const CORRELATION_ID_HEADER: &str = "x-correlation-id";
+const PROFILE_HEADER: &str = "x-service-class";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+const WEIGHT_HINT_HEADER: &str = "x-weight-hint";
+const REPEAT_HEADER: &str = "x-repeat";
+const FACTS_HEADER: &str = "x-facts";
 
 /// The node as a `tower` service; each connection has its own.
 #[derive(Clone)]
-pub struct Intake {
+pub struct ClientService {
     pub node: Rc<Node>,
-    pub guest: Rc<Guest>,
+    pub client: Rc<ClientConnection>,
 }
 
-impl Service<Request<Incoming>> for Intake {
+impl Service<Request<Incoming>> for ClientService {
     type Response = Reply;
     type Error = Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Reply, Infallible>>>>;
@@ -49,30 +49,30 @@
     }
 
     fn call(&mut self, request: Request<Incoming>) -> Self::Future {
-        let Intake { node, guest } = self.clone();
-        let clear = guest.head();
-        let open = guest.open();
+        let ClientService { node, client } = self.clone();
+        let is_unambiguous = client.record_head();
+        let request_guard = client.begin_request();
         Box::pin(async move {
-            let mut reply = match clear {
-                true => node.answer(&guest, request).await,
+            let mut reply = match is_unambiguous {
+                true => node.answer(&client, request).await,
                 false => plain(StatusCode::BAD_REQUEST, "ambiguous body length"),
             };
             // After a client error the boundaries of what follows on the connection cannot be trusted.
-            let wrong = reply.status().is_client_error();
-            if wrong || guest.crowded(&node.limits) || node.stop.leaving() {
+            let is_client_error = reply.status().is_client_error();
+            if is_client_error || client.exceeds_kept_connections(&node.limits) || node.stop.leaving() {
                 reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
-            drop(open);
+            drop(request_guard);
             Ok(reply)
         })
     }
 }
 
 impl Node {
-    async fn answer(&self, guest: &Rc<Guest>, request: Request<Incoming>) -> Reply {
+    async fn answer(&self, client: &Rc<ClientConnection>, request: Request<Incoming>) -> Reply {
         match request.uri().path() {
             "/up" if request.method() == Method::GET => {
-                return match self.stop.leaving() || !self.desk.told() {
+                return match self.stop.leaving() || !self.dispatcher.has_list() {
                     true => plain(StatusCode::SERVICE_UNAVAILABLE, "not accepting commands"),
                     false => plain(StatusCode::OK, "up"),
                 };
@@ -85,32 +85,38 @@
             Ok(command) => command,
             Err(why) => return plain(StatusCode::BAD_REQUEST, &why),
         };
-        let left = command.ends.since(command.arrived);
+        let time_left = command.ends.since(command.arrived);
         let (head, body) = request.into_parts();
         // During a stop the rest of the body would arrive too late for an answer.
-        let given_up = self.stop.past(self.limits.idle_on);
-        let body = match self.room.read(body, self.limits.commands, given_up).await {
+        let stopped = self.stop.past(self.limits.idle_on);
+        let body = match self.room.read(body, self.limits.request_bodies, stopped).await {
             Ok(body) => body,
-            Err(Unread::TooLarge) => return plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large"),
-            Err(Unread::Broken) => return plain(StatusCode::BAD_REQUEST, "body was not received completely"),
+            Err(ReadError::TooLarge) => return plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large"),
+            Err(ReadError::Broken) => {
+                return plain(StatusCode::BAD_REQUEST, "body was not received completely")
+            }
             // No launch was made, so the command certainly has not run.
-            Err(Unread::NoRoom) => return plain(StatusCode::SERVICE_UNAVAILABLE, "body memory exhausted"),
-            Err(Unread::GivenUp) => return plain(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
-            Err(Unread::Late) => return plain(StatusCode::REQUEST_TIMEOUT, "body was not received in time"),
+            Err(ReadError::BudgetExhausted) => {
+                return plain(StatusCode::SERVICE_UNAVAILABLE, "body memory exhausted")
+            }
+            Err(ReadError::Abandoned) => return plain(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
+            Err(ReadError::TooSlow) => {
+                return plain(StatusCode::REQUEST_TIMEOUT, "body was not received in time")
+            }
         };
         // From here on the command is accepted, and its connection is not closed before the answer is
         // written.
-        let busy = guest.busy();
-        if guest.full(&self.limits) {
+        let command_guard = client.begin_command();
+        if client.exceeds_command_limit(&self.limits) {
             // No launch was made, so the command certainly has not run.
             return plain(StatusCode::SERVICE_UNAVAILABLE, "too many commands");
         }
         let ticket = match &self.sites {
             None => None,
             Some(sites) => {
-                let names = self.desk.names();
+                let names = self.dispatcher.names();
                 let known = names.known(command.profile).map(|(name, profile)| (name, profile.goal_time));
-                match known.map_or(Ok(None), |(name, goal)| sites.ask(name, goal, guest.came)) {
+                match known.map_or(Ok(None), |(name, goal)| sites.ask(name, goal, client.accepted_at)) {
                     Ok(ticket) => ticket,
                     // No launch was made, so the command certainly has not run.
                     Err(span) => return turn_back(span),
@@ -119,61 +125,64 @@
         };
         // The command's time counts from its last byte: from now if the body is complete, otherwise from now
         // and again when the last byte arrives.
-        command.arrived = self.desk.clock.now();
-        command.ends = command.arrived + left;
+        command.arrived = self.dispatcher.clock.now();
+        command.ends = command.arrived + time_left;
         let path = head.uri.path_and_query().cloned().unwrap_or_else(|| PathAndQuery::from_static("/api"));
-        let id = head.headers[ID].clone();
+        let id = head.headers[CORRELATION_ID_HEADER].clone();
         let (method, headers) = (head.method, onward(head.headers));
-        let mut _cut = None;
+        let mut _cut_guard = None;
         let body = match body {
-            Start::Whole(body) => Load::Whole(body),
-            Start::Flows(mut flow) => {
-                flow.patience(self.limits.body_silent, true);
+            ReadBody::Buffered(body) => RequestBody::Buffered(body),
+            ReadBody::Streaming(mut stream) => {
+                stream.set_timeout(self.limits.client_silence, true);
                 command.coming = true;
                 // When the connection closes, hyper drops this future together with the rest of the body.
-                _cut = Some(flow.cut());
-                guest.look.notify_one();
-                Load::Flows(RefCell::new(Some(flow)))
+                _cut_guard = Some(stream.cut_guard());
+                client.recheck.notify_one();
+                RequestBody::Streaming(RefCell::new(Some(stream)))
             }
         };
-        let cargo = Rc::new(Cargo { method, uri: path.into(), headers, body });
-        serve(self, command, id, cargo, (busy, ticket)).await
+        let outbound = Rc::new(OutboundRequest { method, uri: path.into(), headers, body });
+        serve(self, command, id, outbound, (command_guard, ticket)).await
     }
 
     /// Parses the few header fields that the balancer's decisions need.
     fn command(&self, method: &Method, headers: &HeaderMap) -> Result<Command, String> {
-        let text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
-        if text(ID).is_none_or(str::is_empty) || headers.get_all(ID).iter().count() != 1 {
-            return Err(format!("{ID} must be present exactly once"));
+        let header = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
+        if header(CORRELATION_ID_HEADER).is_none_or(str::is_empty)
+            || headers.get_all(CORRELATION_ID_HEADER).iter().count() != 1
+        {
+            return Err(format!("{CORRELATION_ID_HEADER} must be present exactly once"));
         }
-        let name = text(PROFILE).ok_or_else(|| format!("{PROFILE} is missing"))?;
-        let names = self.desk.names();
-        let (profile, by) =
-            names.profile(name).ok_or_else(|| format!("{PROFILE} is not a configured profile"))?;
+        let name = header(PROFILE_HEADER).ok_or_else(|| format!("{PROFILE_HEADER} is missing"))?;
+        let names = self.dispatcher.names();
+        let (profile, definition) =
+            names.profile(name).ok_or_else(|| format!("{PROFILE_HEADER} is not a configured profile"))?;
         if method != Method::GET && method != Method::POST {
             return Err("a command must use the method GET or POST".into());
         }
         // Without its key a repeat could not be recognized as one.
-        if by.effect == Effect::Tagged && text(TAG).is_none_or(str::is_empty) {
-            return Err(format!("{TAG} is missing"));
+        if definition.effect == Effect::Tagged && header(IDEMPOTENCY_KEY_HEADER).is_none_or(str::is_empty) {
+            return Err(format!("{IDEMPOTENCY_KEY_HEADER} is missing"));
         }
-        let left = text(TIME_LEFT).ok_or_else(|| format!("{TIME_LEFT} is missing"))?;
-        let left: u64 =
-            left.parse().map_err(|_| format!("{TIME_LEFT} is not a whole number of milliseconds"))?;
-        let left = Duration::from_millis(left).min(self.limits.longest_command);
-        let now = self.desk.clock.now();
-        let mut command = Command::new(CommandId(0), profile, now, Span(left.as_micros() as u64));
+        let time_left = header(TIME_LEFT_HEADER).ok_or_else(|| format!("{TIME_LEFT_HEADER} is missing"))?;
+        let time_left: u64 = time_left
+            .parse()
+            .map_err(|_| format!("{TIME_LEFT_HEADER} is not a whole number of milliseconds"))?;
+        let time_left = Duration::from_millis(time_left).min(self.limits.longest_command);
+        let now = self.dispatcher.clock.now();
+        let mut command = Command::new(CommandId(0), profile, now, Span(time_left.as_micros() as u64));
         // A hint that cannot be parsed is ignored.
-        command.hint = text(HINT).and_then(|h| h.parse().ok()).map(Span);
-        command.repeat = text(REPEAT) == Some("1");
-        command.key = text(FACTS).map_or(0, key);
+        command.hint = header(WEIGHT_HINT_HEADER).and_then(|h| h.parse().ok()).map(Span);
+        command.repeat = header(REPEAT_HEADER) == Some("1");
+        command.key = header(FACTS_HEADER).map_or(0, affinity_key);
         Ok(command)
     }
 }
 
 /// A hash of the `nameKey` among the command's further facts (`name=value,name=value`). It is the same at
 /// every node for the same key; 0 means that there is no key.
-fn key(facts: &str) -> u64 {
+fn affinity_key(facts: &str) -> u64 {
     let pairs = facts.split(',').filter_map(|pair| pair.split_once('='));
     let key = pairs.filter(|(name, _)| name.trim() == "nameKey").map(|(_, value)| value.trim()).next();
     key.filter(|key| !key.is_empty() && *key != "0").map_or(0, |key| mark(key).max(1))
@@ -181,19 +190,19 @@
 
 #[cfg(test)]
 mod tests {
-    use super::key;
+    use super::affinity_key;
 
     /// If nodes parsed different keys from the same header, or none, they would send related commands to
     /// different backends.
     #[test]
     fn keys_among_the_facts() {
-        let same = key("nameKey=5c0f");
+        let same = affinity_key("nameKey=5c0f");
         assert_ne!(same, 0);
         for facts in ["nameKey=5c0f", "size=3, nameKey = 5c0f", "nameKey=5c0f,nameKey=6"] {
-            assert_eq!(key(facts), same, "{facts}");
+            assert_eq!(affinity_key(facts), same, "{facts}");
         }
         for facts in ["", "nameKey", "nameKey=", "nameKey=0", "namekeys=5c0f", "a=b"] {
-            assert_eq!(key(facts), 0, "{facts}");
+            assert_eq!(affinity_key(facts), 0, "{facts}");
         }
     }
 }
--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -14,70 +14,71 @@
 /// The version of the statistics' format and of the rollout requests.
 pub const VERSION: u32 = 1;
 /// The number of profiles that are counted by name; all others are counted together as `OTHERS`.
-const PROFILES: usize = 32;
+const MAX_PROFILES: usize = 32;
 const OTHERS: &str = "(others)";
 /// Latencies are kept per second in logarithmic buckets, eight per doubling, from 32 us to two minutes. The
 /// buckets of several nodes can be added up, and a quantile is accurate to a tenth.
-const PARTS: f64 = 8.0;
-const FIRST: f64 = 32.0;
+const BUCKETS_PER_DOUBLING: f64 = 8.0;
+const FIRST_BUCKET_US: f64 = 32.0;
 const BUCKETS: usize = 176;
 
 /// How a command ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CommandEnd {
     Finished,
-    TurnedBack,
-    Errored,
+    Rejected,
+    Failed,
     /// The client disconnected before it had an answer.
-    Left,
+    ClientGone,
 }
 
 /// The counters of one profile, or of all profiles.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Tally {
-    taken: u32,
-    in_goal: u32,
+struct ProfileCounts {
+    accepted: u32,
+    within_goal: u32,
     late: u32,
-    turned_back: u32,
-    errored: u32,
-    left: u32,
+    rejected: u32,
+    failed: u32,
+    client_gone: u32,
     /// The payoff of all commands that have ended, and of those that were answered within the goal time.
-    asked: f64,
-    served: f64,
+    payoff_requested: f64,
+    payoff_served: f64,
     /// All launches, those beyond each command's first, and those of once-only commands after a launch that
     /// may have run.
     launches: u32,
     extra: u32,
-    twice: u32,
+    possible_second_runs: u32,
 }
 
-impl Tally {
-    fn add(&mut self, other: &Tally) {
-        self.taken += other.taken;
-        self.in_goal += other.in_goal;
+impl ProfileCounts {
+    fn add(&mut self, other: &ProfileCounts) {
+        self.accepted += other.accepted;
+        self.within_goal += other.within_goal;
         self.late += other.late;
-        self.turned_back += other.turned_back;
-        self.errored += other.errored;
-        self.left += other.left;
-        (self.asked, self.served) = (self.asked + other.asked, self.served + other.served);
+        self.rejected += other.rejected;
+        self.failed += other.failed;
+        self.client_gone += other.client_gone;
+        (self.payoff_requested, self.payoff_served) =
+            (self.payoff_requested + other.payoff_requested, self.payoff_served + other.payoff_served);
         self.launches += other.launches;
         self.extra += other.extra;
-        self.twice += other.twice;
+        self.possible_second_runs += other.possible_second_runs;
     }
 
-    fn told(&self) -> Value {
-        json!({"taken": self.taken, "in_goal": self.in_goal, "late": self.late, "turned_back": self.turned_back,
-            "errored": self.errored, "left": self.left, "asked": self.asked, "served": self.served,
-            "launches": self.launches, "extra": self.extra, "twice": self.twice})
+    fn to_json(&self) -> Value {
+        json!({"taken": self.accepted, "in_goal": self.within_goal, "late": self.late, "turned_back": self.rejected,
+            "errored": self.failed, "left": self.client_gone, "asked": self.payoff_requested, "served": self.payoff_served,
+            "launches": self.launches, "extra": self.extra, "twice": self.possible_second_runs})
     }
 }
 
 /// The number of launches by outcome, in the order of `WORDS`.
 type Outcomes = [u32; 8];
-const WORDS: [&str; 8] =
+const OUTCOME_NAMES: [&str; 8] =
     ["finished", "errored", "full", "timed_out", "unreachable", "broken", "cancelled", "unsent"];
 
-fn place(outcome: Outcome) -> usize {
+fn outcome_index(outcome: Outcome) -> usize {
     match outcome {
         Outcome::Finished => 0,
         Outcome::Errored => 1,
@@ -94,66 +95,66 @@
 struct Second {
     /// In seconds of Unix time.
     at: u64,
-    by: Vec<Tally>,
+    by_profile: Vec<ProfileCounts>,
     outcomes: Outcomes,
     connections: u32,
     probes: u32,
     lists: u32,
     /// Latencies of the finished commands, as pairs of bucket and count, sorted by bucket.
-    times: Vec<(u8, u32)>,
+    latencies: Vec<(u8, u32)>,
 }
 
 struct Inner {
-    names: Vec<String>,
+    profile_names: Vec<String>,
     seconds: VecDeque<Second>,
-    total: Vec<Tally>,
+    totals: Vec<ProfileCounts>,
     outcomes: Outcomes,
     connections: u64,
     probes: u64,
     lists: u64,
     /// Latencies since the start in microseconds; histograms of several nodes can be merged.
-    times: Histogram<u32>,
+    latencies: Histogram<u32>,
 }
 
 pub struct Counts {
-    kept: usize,
+    max_seconds: usize,
     inner: RefCell<Inner>,
 }
 
 fn bucket(span: Span) -> u8 {
-    let steps = (span.micros() / FIRST).max(1.0).log2() * PARTS;
+    let steps = (span.micros() / FIRST_BUCKET_US).max(1.0).log2() * BUCKETS_PER_DOUBLING;
     steps.min((BUCKETS - 1) as f64) as u8
 }
 
 /// The lower bound of a bucket in microseconds.
-fn begins(bucket: u8) -> u64 {
-    (FIRST * (f64::from(bucket) / PARTS).exp2()) as u64
+fn bucket_start_us(bucket: u8) -> u64 {
+    (FIRST_BUCKET_US * (f64::from(bucket) / BUCKETS_PER_DOUBLING).exp2()) as u64
 }
 
 impl Counts {
     /// Keeps the statistics of this many seconds.
-    pub fn new(kept: usize) -> Counts {
-        let times =
+    pub fn new(max_seconds: usize) -> Counts {
+        let latencies =
             Histogram::new_with_bounds(32, 120_000_000, 2).unwrap_or_else(|_| unreachable!("good bounds"));
         let inner = Inner {
-            names: Vec::new(),
+            profile_names: Vec::new(),
             seconds: VecDeque::new(),
-            total: Vec::new(),
+            totals: Vec::new(),
             outcomes: Outcomes::default(),
             connections: 0,
             probes: 0,
             lists: 0,
-            times,
+            latencies,
         };
-        Counts { kept, inner: RefCell::new(inner) }
+        Counts { max_seconds, inner: RefCell::new(inner) }
     }
 
     /// Calls a function with the inner state, which then has an entry for the present second.
-    fn now<T>(&self, now: Moment, call: impl FnOnce(&mut Inner) -> T) -> T {
+    fn with_second<T>(&self, now: Moment, call: impl FnOnce(&mut Inner) -> T) -> T {
         let inner = &mut *self.inner.borrow_mut();
         let at = now.0 / 1_000_000;
         if inner.seconds.back().is_none_or(|last| last.at < at) {
-            if inner.seconds.len() >= self.kept {
+            if inner.seconds.len() >= self.max_seconds {
                 inner.seconds.pop_front();
             }
             inner.seconds.push_back(Second { at, ..Second::default() });
@@ -161,88 +162,95 @@
         call(inner)
     }
 
-    fn tally(&self, now: Moment, profile: &str, change: impl Fn(&mut Tally)) {
-        self.now(now, |inner| {
-            let place = inner.place(profile);
-            change(&mut inner.total[place]);
+    fn update_profile(&self, now: Moment, profile: &str, change: impl Fn(&mut ProfileCounts)) {
+        self.with_second(now, |inner| {
+            let place = inner.profile_index(profile);
+            change(&mut inner.totals[place]);
             if let Some(second) = inner.seconds.back_mut() {
-                if second.by.len() <= place {
-                    second.by.resize(place + 1, Tally::default());
+                if second.by_profile.len() <= place {
+                    second.by_profile.resize(place + 1, ProfileCounts::default());
                 }
-                change(&mut second.by[place]);
+                change(&mut second.by_profile[place]);
             }
         });
     }
 
-    fn taken(&self, now: Moment, profile: &str) {
-        self.tally(now, profile, |tally| tally.taken += 1);
+    fn count_accepted(&self, now: Moment, profile: &str) {
+        self.update_profile(now, profile, |entry| entry.accepted += 1);
     }
 
     /// Counts a launch; `extra` if it is not the command's first, `twice` if the command is once-only and
     /// may have run already.
-    fn launched(&self, now: Moment, profile: &str, extra: bool, twice: bool) {
-        self.tally(now, profile, |tally| {
-            tally.launches += 1;
-            tally.extra += u32::from(extra);
-            tally.twice += u32::from(twice);
+    fn count_launch(&self, now: Moment, profile: &str, extra: bool, possible_second_runs: bool) {
+        self.update_profile(now, profile, |entry| {
+            entry.launches += 1;
+            entry.extra += u32::from(extra);
+            entry.possible_second_runs += u32::from(possible_second_runs);
         });
     }
 
     /// Counts a command that has ended, with or without an answer.
-    fn ended(&self, now: Moment, name: &str, (payoff, goal): (f64, Span), arrived: Moment, end: End) {
-        let took = now.since(arrived);
-        self.tally(now, name, |tally| {
-            let in_goal = end == End::Finished && took <= goal;
+    fn count_end(
+        &self,
+        now: Moment,
+        name: &str,
+        (payoff, goal_time): (f64, Span),
+        arrived: Moment,
+        end: CommandEnd,
+    ) {
+        let latency = now.since(arrived);
+        self.update_profile(now, name, |entry| {
+            let within_goal = end == CommandEnd::Finished && latency <= goal_time;
             // A client that has given up has no payoff to serve any more.
-            tally.asked += if end == End::Left { 0.0 } else { payoff };
-            tally.served += if in_goal { payoff } else { 0.0 };
+            entry.payoff_requested += if end == CommandEnd::ClientGone { 0.0 } else { payoff };
+            entry.payoff_served += if within_goal { payoff } else { 0.0 };
             match end {
-                End::Finished if in_goal => tally.in_goal += 1,
-                End::Finished => tally.late += 1,
-                End::TurnedBack => tally.turned_back += 1,
-                End::Errored => tally.errored += 1,
-                End::Left => tally.left += 1,
+                CommandEnd::Finished if within_goal => entry.within_goal += 1,
+                CommandEnd::Finished => entry.late += 1,
+                CommandEnd::Rejected => entry.rejected += 1,
+                CommandEnd::Failed => entry.failed += 1,
+                CommandEnd::ClientGone => entry.client_gone += 1,
             }
         });
-        if end != End::Finished {
+        if end != CommandEnd::Finished {
             return;
         }
-        self.now(now, |inner| {
-            inner.times.saturating_record(took.0.max(32));
+        self.with_second(now, |inner| {
+            inner.latencies.saturating_record(latency.0.max(32));
             let Some(second) = inner.seconds.back_mut() else { return };
-            let bucket = bucket(took);
-            match second.times.binary_search_by_key(&bucket, |(b, _)| *b) {
-                Ok(place) => second.times[place].1 += 1,
-                Err(place) => second.times.insert(place, (bucket, 1)),
+            let bucket = bucket(latency);
+            match second.latencies.binary_search_by_key(&bucket, |(b, _)| *b) {
+                Ok(place) => second.latencies[place].1 += 1,
+                Err(place) => second.latencies.insert(place, (bucket, 1)),
             }
         });
     }
 
-    pub fn outcome(&self, now: Moment, outcome: Outcome) {
-        self.now(now, |inner| {
-            inner.outcomes[place(outcome)] += 1;
+    pub fn count_outcome(&self, now: Moment, outcome: Outcome) {
+        self.with_second(now, |inner| {
+            inner.outcomes[outcome_index(outcome)] += 1;
             if let Some(second) = inner.seconds.back_mut() {
-                second.outcomes[place(outcome)] += 1;
+                second.outcomes[outcome_index(outcome)] += 1;
             }
         });
     }
 
-    pub fn connected(&self, now: Moment) {
-        self.now(now, |inner| {
+    pub fn count_connection(&self, now: Moment) {
+        self.with_second(now, |inner| {
             inner.connections += 1;
             inner.seconds.back_mut().into_iter().for_each(|second| second.connections += 1);
         });
     }
 
-    pub fn probed(&self, now: Moment) {
-        self.now(now, |inner| {
+    pub fn count_probe(&self, now: Moment) {
+        self.with_second(now, |inner| {
             inner.probes += 1;
             inner.seconds.back_mut().into_iter().for_each(|second| second.probes += 1);
         });
     }
 
-    pub fn listed(&self, now: Moment) {
-        self.now(now, |inner| {
+    pub fn count_list_update(&self, now: Moment) {
+        self.with_second(now, |inner| {
             inner.lists += 1;
             inner.seconds.back_mut().into_iter().for_each(|second| second.lists += 1);
         });
@@ -250,31 +258,37 @@
 
     /// Totals since the start, and every complete second after the given one. Latencies are in microseconds;
     /// those of a second are pairs of a bucket's lower bound and its count.
-    pub fn told(&self, now: Moment, after: u64) -> Value {
+    pub fn to_json(&self, now: Moment, after: u64) -> Value {
         let inner = self.inner.borrow();
-        let by = |tallies: &[Tally]| -> Value {
-            let some = inner.names.iter().zip(tallies).filter(|(_, tally)| **tally != Tally::default());
-            some.map(|(name, tally)| (name.clone(), tally.told())).collect::<serde_json::Map<_, _>>().into()
+        let by_profile = |tallies: &[ProfileCounts]| -> Value {
+            let some = inner
+                .profile_names
+                .iter()
+                .zip(tallies)
+                .filter(|(_, entry)| **entry != ProfileCounts::default());
+            some.map(|(name, entry)| (name.clone(), entry.to_json()))
+                .collect::<serde_json::Map<_, _>>()
+                .into()
         };
         let outcomes = |outcomes: &Outcomes| -> Value {
-            let some = WORDS.iter().zip(outcomes).filter(|(_, count)| **count > 0);
+            let some = OUTCOME_NAMES.iter().zip(outcomes).filter(|(_, count)| **count > 0);
             some.map(|(word, count)| ((*word).to_owned(), Value::from(*count)))
                 .collect::<serde_json::Map<_, _>>()
                 .into()
         };
-        let over = now.0 / 1_000_000;
-        let seconds = inner.seconds.iter().filter(|second| second.at > after && second.at < over).map(|s| {
-            let times: Vec<_> = s.times.iter().map(|(bucket, count)| (begins(*bucket), *count)).collect();
-            json!({"at": s.at, "profiles": by(&s.by), "outcomes": outcomes(&s.outcomes), "times": times,
+        let has_ended = now.0 / 1_000_000;
+        let seconds = inner.seconds.iter().filter(|second| second.at > after && second.at < has_ended).map(|s| {
+            let latencies: Vec<_> = s.latencies.iter().map(|(bucket, count)| (bucket_start_us(*bucket), *count)).collect();
+            json!({"at": s.at, "profiles": by_profile(&s.by_profile), "outcomes": outcomes(&s.outcomes), "times": latencies,
                 "connections": s.connections, "probes": s.probes, "lists": s.lists})
         });
-        let all = inner.total.iter().fold(Tally::default(), |mut all, tally| {
-            all.add(tally);
+        let all = inner.totals.iter().fold(ProfileCounts::default(), |mut all, entry| {
+            all.add(entry);
             all
         });
-        let quantile = |q| inner.times.value_at_quantile(q);
+        let quantile = |q| inner.latencies.value_at_quantile(q);
         json!({
-            "total": {"profiles": by(&inner.total), "all": all.told(), "outcomes": outcomes(&inner.outcomes),
+            "total": {"profiles": by_profile(&inner.totals), "all": all.to_json(), "outcomes": outcomes(&inner.outcomes),
                 "connections": inner.connections, "probes": inner.probes, "lists": inner.lists,
                 "times": {"p50": quantile(0.5), "p90": quantile(0.9), "p99": quantile(0.99), "p999": quantile(0.999)}},
             "seconds": seconds.collect::<Vec<_>>(),
@@ -283,67 +297,78 @@
 }
 
 /// Records the statistics of one command.
-pub struct Account {
+pub struct CommandRecorder {
     counts: Rc<Counts>,
     name: String,
     payoff: f64,
-    goal: Span,
-    once: bool,
-    launched: u32,
-    out: u32,
+    goal_time: Span,
+    is_once_only: bool,
+    launch_count: u32,
+    in_flight: u32,
     /// A launch has ended whose outcome does not prove that it never ran.
-    ran: bool,
-    over: bool,
+    may_have_run: bool,
+    has_ended: bool,
 }
 
-impl Account {
-    pub fn open(counts: Rc<Counts>, now: Moment, name: &str, profile: &Profile) -> Account {
-        counts.taken(now, name);
-        let (payoff, goal, once) = (profile.payoff, profile.goal_time, profile.effect == Effect::OnceOnly);
-        let (launched, out, ran, over) = Default::default();
-        Account { counts, name: name.to_owned(), payoff, goal, once, launched, out, ran, over }
+impl CommandRecorder {
+    pub fn start(counts: Rc<Counts>, now: Moment, name: &str, profile: &Profile) -> CommandRecorder {
+        counts.count_accepted(now, name);
+        let (payoff, goal_time, is_once_only) =
+            (profile.payoff, profile.goal_time, profile.effect == Effect::OnceOnly);
+        let (launch_count, in_flight, may_have_run, has_ended) = Default::default();
+        CommandRecorder {
+            counts,
+            name: name.to_owned(),
+            payoff,
+            goal_time,
+            is_once_only,
+            launch_count,
+            in_flight,
+            may_have_run,
+            has_ended,
+        }
     }
 
     /// Counts a launch that is sent.
-    pub fn launched(&mut self, now: Moment) {
-        let twice = self.once && (self.ran || self.out > 0);
-        self.counts.launched(now, &self.name, self.launched > 0, twice);
-        (self.launched, self.out) = (self.launched + 1, self.out + 1);
+    pub fn record_launch(&mut self, now: Moment) {
+        let possible_second_runs = self.is_once_only && (self.may_have_run || self.in_flight > 0);
+        self.counts.count_launch(now, &self.name, self.launch_count > 0, possible_second_runs);
+        (self.launch_count, self.in_flight) = (self.launch_count + 1, self.in_flight + 1);
     }
 
     /// Records the end of a launch and whether it proves that the backend did not run the command.
-    pub fn outcome(&mut self, proves_not_run: bool) {
-        self.out = self.out.saturating_sub(1);
-        self.ran |= !proves_not_run;
+    pub fn record_outcome(&mut self, proves_not_run: bool) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.may_have_run |= !proves_not_run;
     }
 
     /// Counts the end of the command: the client has its answer or has disconnected. Only the first call
     /// counts.
-    pub fn over(&mut self, now: Moment, arrived: Moment, end: End) {
-        if !std::mem::replace(&mut self.over, true) {
-            self.counts.ended(now, &self.name, (self.payoff, self.goal), arrived, end);
+    pub fn record_end(&mut self, now: Moment, arrived: Moment, end: CommandEnd) {
+        if !std::mem::replace(&mut self.has_ended, true) {
+            self.counts.count_end(now, &self.name, (self.payoff, self.goal_time), arrived, end);
         }
     }
 }
 
 impl Inner {
-    fn place(&mut self, profile: &str) -> usize {
-        if let Some(place) = self.names.iter().position(|name| name == profile) {
+    fn profile_index(&mut self, profile: &str) -> usize {
+        if let Some(place) = self.profile_names.iter().position(|name| name == profile) {
             return place;
         }
-        let name = if self.names.len() < PROFILES { profile } else { OTHERS };
-        if let Some(place) = self.names.iter().position(|known| known == name) {
+        let name = if self.profile_names.len() < MAX_PROFILES { profile } else { OTHERS };
+        if let Some(place) = self.profile_names.iter().position(|known| known == name) {
             return place;
         }
-        self.names.push(name.to_owned());
-        self.total.push(Tally::default());
-        self.names.len() - 1
+        self.profile_names.push(name.to_owned());
+        self.totals.push(ProfileCounts::default());
+        self.profile_names.len() - 1
     }
 }
 
 /// The resident memory in kB, the number of open file descriptors, and the CPU time in milliseconds since
 /// the start. A value that cannot be read is 0.
-pub fn taken() -> (u64, usize, u64) {
+pub fn process_usage() -> (u64, usize, u64) {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
     let memory = memory.trim().trim_end_matches(" kB").parse().unwrap_or(0);
@@ -367,25 +392,25 @@
         let counts = Counts::new(5);
         for second in 0..9u64 {
             let now = Moment(second * 1_000_000 + 1000);
-            counts.taken(now, "pay");
-            counts.launched(now, "pay", false, false);
-            counts.launched(now, "pay", true, second == 3);
-            counts.outcome(now, Outcome::Finished);
-            let end = if second % 2 == 0 { End::Finished } else { End::TurnedBack };
-            counts.ended(now + Span::millis(40), "pay", (2.0, Span::millis(50)), now, end);
+            counts.count_accepted(now, "pay");
+            counts.count_launch(now, "pay", false, false);
+            counts.count_launch(now, "pay", true, second == 3);
+            counts.count_outcome(now, Outcome::Finished);
+            let end = if second % 2 == 0 { CommandEnd::Finished } else { CommandEnd::Rejected };
+            counts.count_end(now + Span::millis(40), "pay", (2.0, Span::millis(50)), now, end);
         }
-        let told = counts.told(Moment(8_500_000), 0);
-        let seconds = told["seconds"].as_array().expect("seconds");
+        let json = counts.to_json(Moment(8_500_000), 0);
+        let seconds = json["seconds"].as_array().expect("seconds");
         assert_eq!(seconds.iter().map(|s| s["at"].as_u64()).collect::<Vec<_>>(), [4, 5, 6, 7].map(Some));
-        assert_eq!(counts.told(Moment(9_000_000), 6)["seconds"].as_array().map(Vec::len), Some(2));
-        let all = &told["total"]["all"];
+        assert_eq!(counts.to_json(Moment(9_000_000), 6)["seconds"].as_array().map(Vec::len), Some(2));
+        let all = &json["total"]["all"];
         assert_eq!([&all["taken"], &all["in_goal"], &all["turned_back"]], [&json!(9), &json!(5), &json!(4)]);
         assert_eq!([&all["asked"], &all["served"]], [&json!(18.0), &json!(10.0)]);
         assert_eq!([&all["extra"], &all["twice"]], [&json!(9), &json!(1)]);
         assert_eq!(seconds[0]["times"][0][1], 1);
         assert!(
             seconds[0]["times"][0][0].as_u64().is_some_and(|at| (36_000..=40_000).contains(&at)),
-            "{told}"
+            "{json}"
         );
         assert_eq!(seconds[1]["times"], json!([]));
     }
@@ -402,22 +427,26 @@
             (Effect::Repeatable, Some(false), 0),
             (Effect::Tagged, None, 0),
         ];
-        for (effect, proves_not_run, twice) in cases {
+        for (effect, proves_not_run, possible_second_runs) in cases {
             let span = Span::millis(500);
             let (goal_time, time_limit, memory_span) = (span, span, span);
             let profile =
                 Profile { goal_time, time_limit, effect, among: Among::All, memory_span, payoff: 1.0 };
             let counts = Rc::new(Counts::new(10));
-            let mut account = Account::open(counts.clone(), Moment(1), "p", &profile);
-            account.launched(Moment(1));
+            let mut recorder = CommandRecorder::start(counts.clone(), Moment(1), "p", &profile);
+            recorder.record_launch(Moment(1));
             if let Some(proves) = proves_not_run {
-                account.outcome(proves);
+                recorder.record_outcome(proves);
             }
-            account.launched(Moment(1));
-            account.over(Moment(2), Moment(1), End::Errored);
-            account.over(Moment(2), Moment(1), End::Left);
-            let all = counts.told(Moment(1), 0)["total"]["all"].clone();
-            assert_eq!([&all["twice"], &all["left"]], [&json!(twice), &json!(0)], "{effect:?}");
+            recorder.record_launch(Moment(1));
+            recorder.record_end(Moment(2), Moment(1), CommandEnd::Failed);
+            recorder.record_end(Moment(2), Moment(1), CommandEnd::ClientGone);
+            let all = counts.to_json(Moment(1), 0)["total"]["all"].clone();
+            assert_eq!(
+                [&all["twice"], &all["left"]],
+                [&json!(possible_second_runs), &json!(0)],
+                "{effect:?}"
+            );
         }
     }
 
@@ -435,11 +464,11 @@
             // Two thousand commands per second with four profiles.
             let now = Moment(number * 500);
             let name = ["list", "book", "pay", "count"][number as usize % 4];
-            let mut account = Account::open(counts.clone(), now, name, &profile);
-            account.launched(now);
-            counts.outcome(now, Outcome::Finished);
-            account.outcome(false);
-            account.over(now + Span(number % 40_000), now, End::Finished);
+            let mut recorder = CommandRecorder::start(counts.clone(), now, name, &profile);
+            recorder.record_launch(now);
+            counts.count_outcome(now, Outcome::Finished);
+            recorder.record_outcome(false);
+            recorder.record_end(now + Span(number % 40_000), now, CommandEnd::Finished);
         }
         println!("{:.0} ns a command", start.elapsed().as_nanos() as f64 / many as f64);
     }
@@ -451,12 +480,18 @@
         let counts = Counts::new(3);
         for name in 0..1000u64 {
             let now = Moment(name * 1000);
-            counts.taken(now, &format!("p{name}"));
-            counts.ended(Moment(name * 1_000_000_000), "x", (1.0, Span(1)), Moment(0), End::Finished);
+            counts.count_accepted(now, &format!("p{name}"));
+            counts.count_end(
+                Moment(name * 1_000_000_000),
+                "x",
+                (1.0, Span(1)),
+                Moment(0),
+                CommandEnd::Finished,
+            );
         }
-        let profiles = counts.told(Moment(0), 0)["total"]["profiles"].clone();
-        assert_eq!(profiles.as_object().map(serde_json::Map::len), Some(PROFILES + 1));
+        let profiles = counts.to_json(Moment(0), 0)["total"]["profiles"].clone();
+        assert_eq!(profiles.as_object().map(serde_json::Map::len), Some(MAX_PROFILES + 1));
         assert_eq!(bucket(Span(u64::MAX / 2)) as usize, BUCKETS - 1);
-        assert_eq!((bucket(Span(0)), begins(0), begins(8)), (0, 32, 64));
+        assert_eq!((bucket(Span(0)), bucket_start_us(0), bucket_start_us(8)), (0, 32, 64));
     }
 }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -2,7 +2,7 @@
 //! state of the others to operators and to the balancer. Runs only if a fleet file is configured.
 
 use crate::config::{at, build, seeds};
-use crate::dispatcher::{Desk, Portion};
+use crate::dispatcher::{Dispatcher, NodeShare};
 use crate::handover::Peer;
 use crate::lifecycle::Stop;
 use crate::list::mark;
@@ -60,9 +60,9 @@
 }
 
 impl Own {
-    pub fn of(file: &Value, desk: &Desk) -> Own {
+    pub fn of(file: &Value, dispatcher: &Dispatcher) -> Own {
         let whole = |path| at(file, path).ok().and_then(Value::as_f64).unwrap_or(0.0) as u32;
-        let zones = &desk.names().zones;
+        let zones = &dispatcher.names().zones;
         let site = at(file, "settings.zones").ok().and_then(|z| z.get(whole("settings.zone") as usize));
         let site = site.and_then(Value::as_str).or(zones.first().map(String::as_str)).unwrap_or_default();
         // The digest compares nodes, so it leaves out the settings that differ between them by design.
@@ -85,7 +85,7 @@
     share: Cell<Option<Share>>,
     own: RefCell<Own>,
     address: SocketAddr,
-    desk: Rc<Desk>,
+    dispatcher: Rc<Dispatcher>,
     stop: Rc<Stop>,
     peer: Rc<Peer>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
@@ -97,7 +97,7 @@
     moved: Notify,
 }
 
-type Parts = (Rc<Desk>, Rc<Stop>, Rc<Peer>);
+type Parts = (Rc<Dispatcher>, Rc<Stop>, Rc<Peer>);
 
 impl Fleet {
     /// Creates the view with an incarnation that is later than `before`.
@@ -106,9 +106,9 @@
         name: &str,
         own: Own,
         (before, seed): (u64, u64),
-        (desk, stop, peer): Parts,
+        (dispatcher, stop, peer): Parts,
     ) -> Rc<Fleet> {
-        let now = desk.clock.now();
+        let now = dispatcher.clock.now();
         let address = terms.address.unwrap_or(terms.listen);
         let life = Life(now.0.max(before + 1));
         peer.life.set(life.0);
@@ -122,7 +122,7 @@
             share: Cell::new(None),
             own: RefCell::new(own),
             address,
-            desk,
+            dispatcher,
             stop,
             peer,
             socket: RefCell::new(None),
@@ -146,8 +146,8 @@
 
     /// Adopts a reloaded fleet file and this node's reloaded configuration.
     pub fn follow(&self, terms: ViewTerms, own: Own) {
-        *self.sharer.borrow_mut() = Sharer::new(self.desk.clock.now(), terms.times);
-        self.view.borrow_mut().follow(self.desk.clock.now(), terms);
+        *self.sharer.borrow_mut() = Sharer::new(self.dispatcher.clock.now(), terms.times);
+        self.view.borrow_mut().follow(self.dispatcher.clock.now(), terms);
         *self.own.borrow_mut() = own;
         self.looked.set(Moment(0));
         self.moved.notify_one();
@@ -161,7 +161,7 @@
             let Some(socket) = self.listen().await else { continue };
             if std::mem::replace(&mut before, true) {
                 // The other process has ended, and its incarnation was later than this one's.
-                self.view.borrow_mut().raise_life(self.desk.clock.now(), Life(0));
+                self.view.borrow_mut().raise_life(self.dispatcher.clock.now(), Life(0));
             }
             note!("fleet: listening on {}", self.address);
             tokio::select! {
@@ -198,8 +198,8 @@
             let next = self.view.borrow().next().min(self.looked.get() + LOOK);
             tokio::select! {
                 biased;
-                () = sleep_until(self.desk.clock.instant(next)) => {
-                    let now = self.desk.clock.now();
+                () = sleep_until(self.dispatcher.clock.instant(next)) => {
+                    let now = self.dispatcher.clock.now();
                     if self.view.borrow().next() <= now {
                         self.view.borrow_mut().due(now);
                     }
@@ -218,7 +218,7 @@
         for count in 0..AT_ONCE {
             match socket.try_recv_from(bytes) {
                 Ok((size, from)) => {
-                    self.view.borrow_mut().heard(self.desk.clock.now(), from, &bytes[..size]);
+                    self.view.borrow_mut().heard(self.dispatcher.clock.now(), from, &bytes[..size]);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return count,
                 // If a destination had no listener, the kernel reports that on a later call.
@@ -260,7 +260,7 @@
 
     /// Publishes this node's present state, and passes on to the balancer what it uses of the view.
     fn look(&self) {
-        let now = self.desk.clock.now();
+        let now = self.dispatcher.clock.now();
         if now < self.looked.get() + LOOK {
             return;
         }
@@ -268,13 +268,13 @@
         self.read_seeds();
         let phase = match () {
             () if self.stop.stopping() => Phase::STOPPING,
-            () if !self.desk.told() || !self.peer.ready() => Phase::JOINING,
+            () if !self.dispatcher.has_list() || !self.peer.ready() => Phase::JOINING,
             () if self.stop.drained() => Phase::SENT_AWAY,
             () if self.peer.beside() => Phase::UPGRADING,
             () => Phase::SERVING,
         };
         let own = self.own.borrow();
-        let (in_hand, taken, backends, list, age) = self.desk.load();
+        let (in_hand, taken, backends, list, age) = self.dispatcher.load();
         let load = Load {
             in_hand: in_hand as u32,
             taken: taken.into(),
@@ -290,7 +290,7 @@
             let without = Sharer::without(own.places, own.place, now);
             let (nodes, me) = (share.nodes, share.me);
             let without = (without.nodes, without.me);
-            self.desk.share(Portion { nodes, me, until: share.until, without });
+            self.dispatcher.set_node_share(NodeShare { nodes, me, until: share.until, without });
         }
     }
 
@@ -331,7 +331,7 @@
     pub fn leave(&self) {
         let socket = self.socket.borrow().clone();
         if let Some(socket) = socket.filter(|_| !self.stop.succeeded()) {
-            self.view.borrow_mut().leave(self.desk.clock.now());
+            self.view.borrow_mut().leave(self.dispatcher.clock.now());
             self.send(&socket);
         }
     }
@@ -339,7 +339,7 @@
     /// The view as JSON. Times are ages in milliseconds; byte counts and other counts are totals since the
     /// start.
     pub fn told(&self) -> Value {
-        let (view, own, now) = (self.view.borrow(), self.own.borrow(), self.desk.clock.now());
+        let (view, own, now) = (self.view.borrow(), self.own.borrow(), self.dispatcher.clock.now());
         let age = |at: Moment| now.since(at).0 / 1000;
         let card = |card: &Card| {
             json!({"address": card.address, "site": card.site, "build": card.build,
@@ -376,7 +376,7 @@
 
     /// The view as plain text.
     pub fn page(&self) -> String {
-        let (view, now) = (self.view.borrow(), self.desk.clock.now());
+        let (view, now) = (self.view.borrow(), self.dispatcher.clock.now());
         let seconds = |at: Moment| format!("{:.1} s", now.since(at).micros() / 1e6);
         let mut page = String::new();
         let mut line = |text: String| {
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -4,8 +4,8 @@
 //! ends, each then tells the other what operators request and how much of the shared budgets it uses.
 
 use crate::admin_request::Call;
-use crate::bodies::Room;
-use crate::dispatcher::Desk;
+use crate::bodies::BodyMemory;
+use crate::dispatcher::Dispatcher;
 use crate::lifecycle::Stop;
 use crate::limits::Limits;
 use crate::log::note;
@@ -174,10 +174,10 @@
 }
 
 pub struct Peer {
-    desk: Rc<Desk>,
+    dispatcher: Rc<Dispatcher>,
     stop: Rc<Stop>,
     limits: Rc<Limits>,
-    room: Room,
+    room: BodyMemory,
     path: Option<PathBuf>,
     /// Weak, because the kernel's queue must close when the accept loop, which reads it, ends.
     listener: Weak<TcpListener>,
@@ -194,7 +194,7 @@
 
 impl Peer {
     pub fn new(
-        (desk, stop, limits, room): (Rc<Desk>, Rc<Stop>, Rc<Limits>, Room),
+        (dispatcher, stop, limits, room): (Rc<Dispatcher>, Rc<Stop>, Rc<Limits>, BodyMemory),
         path: Option<PathBuf>,
         listener: &Rc<TcpListener>,
     ) -> Rc<Peer> {
@@ -202,7 +202,7 @@
         let listener = Rc::downgrade(listener);
         let life = Cell::new(0);
         let telling = Cell::new(false);
-        Rc::new(Peer { desk, stop, limits, room, path, listener, link, telling, door, ready, life })
+        Rc::new(Peer { dispatcher, stop, limits, room, path, listener, link, telling, door, ready, life })
     }
 
     pub fn ready(&self) -> bool {
@@ -223,7 +223,7 @@
                 Ok(stream) => {
                     let (read, write) = stream.into_split();
                     let link = self.join(write);
-                    self.desk.beside(true);
+                    self.dispatcher.set_predecessor_running(true);
                     tokio::task::spawn_local(self.clone().follow(Reader::new(read), link.clone(), Side::New));
                     if !link.ask(Word::Ready, self.limits.peer_wait).await {
                         note!("handover: the old process has not confirmed that it stopped accepting");
@@ -310,9 +310,10 @@
         let stream: &UnixStream = write.as_ref();
         stream.writable().await?;
         stream.try_io(Interest::WRITABLE, || pass(stream, listener.as_fd()))?;
-        let left_out = self.desk.left_out();
+        let left_out = self.dispatcher.backends_in_maintenance();
         let life = self.life.get();
-        let state = State { left_out, drained: self.stop.drained(), list: self.desk.list_now(), life };
+        let state =
+            State { left_out, drained: self.stop.drained(), list: self.dispatcher.list_snapshot(), life };
         let text = line(&Word::State(state))?;
         timeout(self.limits.peer_wait, write.write_all(&text)).await?
     }
@@ -339,7 +340,8 @@
     }
 
     fn held(&self) -> Word {
-        let (sockets, bytes, ids) = (&self.limits.sockets, self.room.held(), self.desk.ids_in_hand());
+        let (sockets, bytes, ids) =
+            (&self.limits.sockets, self.room.held_bytes(), self.dispatcher.client_ids_in_flight());
         Word::Held { clients: sockets.clients.get(), backends: sockets.backends.get(), bytes, ids }
     }
 
@@ -372,15 +374,15 @@
                     let _ = link.out.send(Word::Left);
                 }
                 Some(Word::Call(call)) => {
-                    call.carry_out(&self.desk, &self.stop);
+                    call.carry_out(&self.dispatcher, &self.stop);
                     let _ = link.out.send(Word::Done);
                 }
                 Some(Word::Left | Word::Done) => link.answered(),
                 Some(Word::Held { clients, backends, bytes, ids }) => {
                     self.limits.sockets.other_clients.set(clients);
                     self.limits.sockets.other_backends.set(backends);
-                    self.room.others_hold(bytes);
-                    self.desk.elsewhere(ids);
+                    self.room.set_peer_bytes(bytes);
+                    self.dispatcher.set_peer_command_ids(ids);
                 }
                 Some(other) => note!("handover: ignored an unexpected message: {other:?}"),
             }
@@ -389,10 +391,10 @@
         *self.link.borrow_mut() = None;
         self.limits.sockets.other_clients.set(0);
         self.limits.sockets.other_backends.set(0);
-        self.room.others_hold(0);
-        self.desk.elsewhere(Vec::new());
+        self.room.set_peer_bytes(0);
+        self.dispatcher.set_peer_command_ids(Vec::new());
         if side == Side::New {
-            self.desk.beside(false);
+            self.dispatcher.set_predecessor_running(false);
         }
         if side == Side::Old && !self.stop.stopping() {
             note!("handover: the new process is gone; this one continues");
--- a/crates/node/src/launch.rs
+++ b/crates/node/src/launch.rs
@@ -1,10 +1,12 @@
 //! One launch: sends a command to one backend and determines the outcome.
 
-use crate::bodies::{Out, Over, Start};
-use crate::dispatcher::Desk;
-use crate::launch_types::{Answer, Cargo, Done, Load, Reins, TIME_LEFT};
+use crate::bodies::{OutgoingBody, ReadBody, StreamEnd};
+use crate::dispatcher::Dispatcher;
+use crate::launch_types::{
+    BackendAnswer, LaunchControl, LaunchResult, OutboundRequest, RequestBody, TIME_LEFT_HEADER,
+};
 use crate::log::note;
-use crate::pool::{Exchange, NoLease, Pool};
+use crate::pool::{Exchange, LeaseError, Pool};
 use crate::probe;
 use crate::reply::onward;
 use bytes::Bytes;
@@ -25,33 +27,33 @@
 use yarrowfront::ids::{BackendId, Hand};
 use yarrowfront::times::Moment;
 
-const UNPROCESSED: &str = "x-unprocessed";
-const BACKEND_LOAD: &str = "x-backend-load";
+const UNPROCESSED_HEADER: &str = "x-unprocessed";
+const BACKEND_LOAD_HEADER: &str = "x-backend-load";
 
 pub struct Launch {
-    pub cargo: Rc<Cargo>,
+    pub outbound: Rc<OutboundRequest>,
     pub hand: Hand,
     pub number: u8,
     pub backend: BackendId,
     pub address: Option<SocketAddr>,
     /// When the client's deadline ends; for a body that is still streaming, the time that is left is counted
     /// from its last byte.
-    pub ends: Moment,
+    pub deadline: Moment,
     /// Set to true once the last byte of a streaming body has been passed on.
-    pub flowed: Rc<watch::Sender<bool>>,
-    pub reins: Rc<Reins>,
+    pub body_complete: Rc<watch::Sender<bool>>,
+    pub control: Rc<LaunchControl>,
 }
 
 #[derive(Clone)]
 pub struct Launcher {
     pub pool: Rc<Pool>,
-    pub desk: Rc<Desk>,
+    pub dispatcher: Rc<Dispatcher>,
 }
 
 impl Service<Launch> for Launcher {
-    type Response = Done;
+    type Response = LaunchResult;
     type Error = Infallible;
-    type Future = Pin<Box<dyn Future<Output = Result<Done, Infallible>>>>;
+    type Future = Pin<Box<dyn Future<Output = Result<LaunchResult, Infallible>>>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
@@ -60,154 +62,168 @@
     fn call(&mut self, launch: Launch) -> Self::Future {
         let launcher = self.clone();
         Box::pin(async move {
-            let done = launcher.run(launch).await;
-            if !matches!(done.outcome, Outcome::Finished | Outcome::Full) {
-                let name = launcher.desk.name(done.backend);
-                note!("launch: {name}: {}", words(done.outcome));
+            let result = launcher.run(launch).await;
+            if !matches!(result.outcome, Outcome::Finished | Outcome::Full) {
+                let name = launcher.dispatcher.backend_name(result.backend);
+                note!("launch: {name}: {}", outcome_text(result.outcome));
             }
-            Ok(done)
+            Ok(result)
         })
     }
 }
 
 impl Launcher {
-    async fn run(&self, launch: Launch) -> Done {
+    async fn run(&self, launch: Launch) -> LaunchResult {
         let (number, backend) = (launch.number, launch.backend);
-        let mut done = Done::bare(number, backend, Outcome::Unsent);
-        let until = self.desk.clock.instant(launch.ends);
+        let mut result = LaunchResult::without_answer(number, backend, Outcome::Unsent);
+        let deadline = self.dispatcher.clock.instant(launch.deadline);
         // A streaming body that was already consumed must not be sent as an empty one.
-        let Some(address) = launch.address.filter(|_| !launch.cargo.spent()) else { return done };
-        let left = launch.ends.since(self.desk.clock.now());
-        let over: Rc<Cell<Option<Over>>> = Rc::default();
-        let mut request = self.request(&launch, &over);
+        let Some(address) = launch.address.filter(|_| !launch.outbound.is_body_consumed()) else {
+            return result;
+        };
+        let time_left = launch.deadline.since(self.dispatcher.clock.now());
+        let stream_end: Rc<Cell<Option<StreamEnd>>> = Rc::default();
+        let mut request = self.build_request(&launch, &stream_end);
         loop {
             // Waiting for a connection ends when the launch may no longer be written.
-            let stands = self.desk.clock.instant(self.desk.stands(launch.hand, number).min(launch.ends));
-            let lease = match timeout_at(stands, self.pool.lease(backend, address)).await {
+            let write_deadline = self
+                .dispatcher
+                .clock
+                .instant(self.dispatcher.launch_valid_until(launch.hand, number).min(launch.deadline));
+            let lease = match timeout_at(write_deadline, self.pool.lease(backend, address)).await {
                 Ok(Ok(lease)) => lease,
-                Ok(Err(NoLease::Unreachable)) => {
-                    done.outcome = Outcome::Unreachable;
-                    put_back(&launch, request);
-                    return done;
+                Ok(Err(LeaseError::Unreachable)) => {
+                    result.outcome = Outcome::Unreachable;
+                    return_body(&launch, request);
+                    return result;
                 }
                 // No socket was available, or the time ran out during the connect: this says nothing about
                 // the backend.
-                Ok(Err(NoLease::Full)) | Err(_) => {
-                    put_back(&launch, request);
-                    return done;
+                Ok(Err(LeaseError::NoSocket)) | Err(_) => {
+                    return_body(&launch, request);
+                    return result;
                 }
             };
             // Check once more: the conditions under which the launch was placed may have changed while it
             // waited for a connection, or while a pooled connection turned out to be closed.
-            let there = self.desk.address(backend) == Some(address);
-            let stands = self.desk.clock.now() < self.desk.stands(launch.hand, number);
-            if launch.reins.is_off() || !there || !stands {
+            let is_at_address = self.dispatcher.address(backend) == Some(address);
+            let is_still_valid =
+                self.dispatcher.clock.now() < self.dispatcher.launch_valid_until(launch.hand, number);
+            if launch.control.is_cancelled() || !is_at_address || !is_still_valid {
                 // The connection is already open, so it goes to the pool. If its backend is no longer
                 // listed, the sweep closes it.
                 self.pool.give_back(backend, lease);
-                put_back(&launch, request);
-                return done;
+                return_body(&launch, request);
+                return result;
             }
-            launch.reins.writes(true);
+            launch.control.set_may_be_written(true);
             // The time left is set just before the write. When it was set before the wait for a connection,
             // it promised the backend time that the client no longer had. For a streaming body it counts
             // from the last byte.
-            let now = self.desk.clock.now();
-            let still = if launch.cargo.flows() { left } else { launch.ends.since(now) };
-            request.headers_mut().insert(TIME_LEFT, HeaderValue::from(still.0 / 1000));
-            let late = async {
-                if launch.cargo.flows() {
+            let now = self.dispatcher.clock.now();
+            let remaining =
+                if launch.outbound.is_streaming() { time_left } else { launch.deadline.since(now) };
+            request.headers_mut().insert(TIME_LEFT_HEADER, HeaderValue::from(remaining.0 / 1000));
+            let deadline_passed = async {
+                if launch.outbound.is_streaming() {
                     // The client's time counts from its last byte, and only the client decides when that is
                     // sent.
-                    let _ = launch.flowed.subscribe().wait_for(|flowed| *flowed).await;
-                    sleep(Duration::from_micros(left.0)).await;
+                    let _ = launch.body_complete.subscribe().wait_for(|body_complete| *body_complete).await;
+                    sleep(Duration::from_micros(time_left.0)).await;
                 } else {
-                    sleep_until(until).await;
+                    sleep_until(deadline).await;
                 }
             };
             let exchange = self.pool.exchange(backend, lease, request);
-            let came = tokio::select! {
+            let exchange_result = tokio::select! {
                 biased;
-                came = exchange => Some(came),
-                () = late => None,
+                exchange_result = exchange => Some(exchange_result),
+                () = deadline_passed => None,
             };
-            match came {
-                Some(Exchange::Stale(again)) => {
-                    launch.reins.writes(false);
-                    request = again;
+            match exchange_result {
+                Some(Exchange::Stale(retried_request)) => {
+                    launch.control.set_may_be_written(false);
+                    request = retried_request;
                     continue;
                 }
-                Some(Exchange::Came(response)) => self.read(&mut done, response),
+                Some(Exchange::Answered(response)) => self.read_answer(&mut result, response),
                 Some(Exchange::Unreachable(request)) => {
-                    put_back(&launch, request);
-                    done.outcome = Outcome::Unreachable;
+                    return_body(&launch, request);
+                    result.outcome = Outcome::Unreachable;
                 }
                 Some(Exchange::Broken) => {
-                    done.outcome = match over.get() {
+                    result.outcome = match stream_end.get() {
                         // The last byte was never written, so the backend cannot have run the command.
-                        Some(Over::Broken) => Outcome::Unsent,
-                        None if launch.cargo.flows() => Outcome::Unreachable,
+                        Some(StreamEnd::Broken) => Outcome::Unsent,
+                        None if launch.outbound.is_streaming() => Outcome::Unreachable,
                         _ => Outcome::Broken,
                     };
                 }
-                None => done.outcome = Outcome::TimedOut,
+                None => result.outcome = Outcome::TimedOut,
             }
-            return done;
+            return result;
         }
     }
 
     /// Builds the request as the client sent it. The time that is left is added when the request is written.
-    fn request(&self, launch: &Launch, over: &Rc<Cell<Option<Over>>>) -> Request<Out> {
-        let body = match &launch.cargo.body {
-            Load::Whole(body) => Out::from(body.clone()),
-            Load::Flows(flow) => match flow.take() {
-                Some(mut flow) => {
-                    let (over, flowed) = (over.clone(), launch.flowed.clone());
-                    flow.when_over(move |how| {
-                        over.set(Some(how));
-                        flowed.send_replace(true);
+    fn build_request(
+        &self,
+        launch: &Launch,
+        stream_end: &Rc<Cell<Option<StreamEnd>>>,
+    ) -> Request<OutgoingBody> {
+        let body = match &launch.outbound.body {
+            RequestBody::Buffered(body) => OutgoingBody::from(body.clone()),
+            RequestBody::Streaming(stream) => match stream.take() {
+                Some(mut stream) => {
+                    let (stream_end, body_complete) = (stream_end.clone(), launch.body_complete.clone());
+                    stream.on_end(move |end| {
+                        stream_end.set(Some(end));
+                        body_complete.send_replace(true);
                     });
-                    Out::Flows(flow)
+                    OutgoingBody::Streaming(stream)
                 }
-                None => Out::from(Bytes::new()),
+                None => OutgoingBody::from(Bytes::new()),
             },
         };
         let mut request = Request::new(body);
-        *request.method_mut() = launch.cargo.method.clone();
-        *request.uri_mut() = launch.cargo.uri.clone();
-        *request.headers_mut() = launch.cargo.headers.clone();
+        *request.method_mut() = launch.outbound.method.clone();
+        *request.uri_mut() = launch.outbound.uri.clone();
+        *request.headers_mut() = launch.outbound.headers.clone();
         request
     }
 
-    fn read(&self, done: &mut Done, response: Response<Start>) {
+    fn read_answer(&self, result: &mut LaunchResult, response: Response<ReadBody>) {
         let (head, body) = response.into_parts();
-        if let Some(load) = head.headers.get(BACKEND_LOAD) {
-            let names = self.desk.names();
-            done.report = probe::report(&names.report, load.as_bytes()).map(|values| (names.turn, values));
+        if let Some(load) = head.headers.get(BACKEND_LOAD_HEADER) {
+            let names = self.dispatcher.names();
+            result.report = probe::report(&names.report, load.as_bytes()).map(|values| (names.turn, values));
         }
-        let unprocessed = head.headers.get(UNPROCESSED).is_some_and(|v| v.as_bytes().trim_ascii() == b"1");
-        done.outcome = match head.status {
+        let unprocessed =
+            head.headers.get(UNPROCESSED_HEADER).is_some_and(|v| v.as_bytes().trim_ascii() == b"1");
+        result.outcome = match head.status {
             StatusCode::OK => Outcome::Finished,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Full,
             _ => Outcome::Errored,
         };
-        if done.outcome == Outcome::Finished {
+        if result.outcome == Outcome::Finished {
             let mut headers = onward(head.headers);
-            headers.remove(BACKEND_LOAD);
-            done.answer = Some(Answer { headers, body });
+            headers.remove(BACKEND_LOAD_HEADER);
+            result.answer = Some(BackendAnswer { headers, body });
         }
     }
 }
 
 /// Returns a body of which nothing was sent, so that another launch can use it.
-fn put_back(launch: &Launch, request: Request<Out>) {
-    if let (Load::Flows(place), Out::Flows(flow)) = (&launch.cargo.body, request.into_body()) {
-        place.replace(Some(flow));
+fn return_body(launch: &Launch, request: Request<OutgoingBody>) {
+    if let (RequestBody::Streaming(body_slot), OutgoingBody::Streaming(stream)) =
+        (&launch.outbound.body, request.into_body())
+    {
+        body_slot.replace(Some(stream));
     }
 }
 
 /// The text for the log line; the on-call page uses the same words.
-fn words(outcome: Outcome) -> &'static str {
+fn outcome_text(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Finished => "finished",
         Outcome::Full => "full or draining",
--- a/crates/node/src/launch_types.rs
+++ b/crates/node/src/launch_types.rs
@@ -1,7 +1,7 @@
 //! What the stages of a command share about its launches: the request to forward, the control over a launch,
 //! and its result.
 
-use crate::bodies::{Flow, Start};
+use crate::bodies::{BodyStream, ReadBody};
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
@@ -12,130 +12,131 @@
 
 /// The header with the time that the command's client still waits, in milliseconds: in the client's request
 /// and in the one that goes to a backend.
-pub const TIME_LEFT: &str = "x-time-left-ms";
+pub const TIME_LEFT_HEADER: &str = "x-time-left-ms";
 
 /// The parts of a command's request that go to a backend, unchanged.
-pub struct Cargo {
+pub struct OutboundRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
-    pub body: Load,
+    pub body: RequestBody,
 }
 
 /// The body of a command.
-pub enum Load {
-    Whole(Bytes),
+pub enum RequestBody {
+    Buffered(Bytes),
     /// A streaming body can be sent only once. It is here until a launch takes it, and again if that launch
     /// has sent nothing of it.
-    Flows(RefCell<Option<Flow>>),
+    Streaming(RefCell<Option<BodyStream>>),
 }
 
-impl Cargo {
+impl OutboundRequest {
     /// Whether the command can no longer be sent because a part of its body is gone.
-    pub fn spent(&self) -> bool {
-        matches!(&self.body, Load::Flows(flow) if flow.borrow().is_none())
+    pub fn is_body_consumed(&self) -> bool {
+        matches!(&self.body, RequestBody::Streaming(flow) if flow.borrow().is_none())
     }
 
-    pub fn flows(&self) -> bool {
-        matches!(self.body, Load::Flows(_))
+    pub fn is_streaming(&self) -> bool {
+        matches!(self.body, RequestBody::Streaming(_))
     }
 }
 
 /// The command's handle on one of its launches: cancels it, and tells whether any of it may have been
 /// written.
 #[derive(Default)]
-pub struct Reins {
-    off: watch::Sender<bool>,
-    written: Cell<bool>,
+pub struct LaunchControl {
+    cancelled: watch::Sender<bool>,
+    may_be_written: Cell<bool>,
     /// The command no longer waits for this launch.
-    left: Cell<bool>,
+    is_detached: Cell<bool>,
 }
 
-impl Reins {
-    pub fn call_off(&self) {
-        self.off.send_replace(true);
+impl LaunchControl {
+    pub fn cancel(&self) {
+        self.cancelled.send_replace(true);
     }
 
     /// The command is over. A launch that has not been written is cancelled. One that has been written runs
     /// on, so that the balancer learns from its outcome; if it turns out that nothing was written after all,
     /// it is cancelled then.
-    pub fn leave(&self) {
-        self.left.set(true);
-        if !self.written.get() {
-            self.call_off();
+    pub fn detach(&self) {
+        self.is_detached.set(true);
+        if !self.may_be_written.get() {
+            self.cancel();
         }
     }
 
-    pub fn is_off(&self) -> bool {
-        *self.off.borrow()
+    pub fn is_cancelled(&self) -> bool {
+        *self.cancelled.borrow()
     }
 
-    pub async fn called_off(&self) {
+    pub async fn wait_cancelled(&self) {
         // This cannot fail, as the sender lives as long as `self`.
-        let _ = self.off.subscribe().wait_for(|off| *off).await;
+        let _ = self.cancelled.subscribe().wait_for(|cancelled| *cancelled).await;
     }
 
     /// Records whether the launch may have been written from here on, or certainly was not.
-    pub fn writes(&self, may: bool) {
-        self.written.set(may);
-        if !may && self.left.get() {
-            self.call_off();
+    pub fn set_may_be_written(&self, may_be_written: bool) {
+        self.may_be_written.set(may_be_written);
+        if !may_be_written && self.is_detached.get() {
+            self.cancel();
         }
     }
 
-    pub fn written(&self) -> bool {
-        self.written.get()
+    pub fn may_be_written(&self) -> bool {
+        self.may_be_written.get()
     }
 }
 
 /// The answer of a backend: complete, or its beginning with the rest still streaming.
-pub struct Answer {
+pub struct BackendAnswer {
     pub headers: HeaderMap,
-    pub body: Start,
+    pub body: ReadBody,
 }
 
 /// How a launch ended.
-pub struct Done {
+pub struct LaunchResult {
     /// The number of the launch within its command, starting at 0.
     pub number: u8,
     pub backend: BackendId,
     pub outcome: Outcome,
-    pub answer: Option<Answer>,
+    pub answer: Option<BackendAnswer>,
     /// The values of the load report, and the generation of the names by which its fields were parsed.
     pub report: Option<(u32, Vec<f32>)>,
 }
 
-impl Done {
+impl LaunchResult {
     /// A result without an answer or a report.
-    pub fn bare(number: u8, backend: BackendId, outcome: Outcome) -> Done {
-        Done { number, backend, outcome, answer: None, report: None }
+    pub fn without_answer(number: u8, backend: BackendId, outcome: Outcome) -> LaunchResult {
+        LaunchResult { number, backend, outcome, answer: None, report: None }
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::Reins;
+    use super::LaunchControl;
 
     /// A launch runs on only while its command waits or if it may have been written. The last cases are
     /// launches whose write was in progress when the command ended and whose connection then turned out to
     /// be closed with nothing sent: they must be cancelled too.
     #[test]
     fn a_launch_whose_command_is_over() {
-        type Step = fn(&Reins);
-        let (writes, leaves): (Step, Step) = (|reins| reins.writes(true), Reins::leave);
-        let stale: Step = |reins| reins.writes(false);
+        type Step = fn(&LaunchControl);
+        let (write, detach): (Step, Step) =
+            (|control| control.set_may_be_written(true), LaunchControl::detach);
+        let unsent_after_all: Step = |control| control.set_may_be_written(false);
         let cases: [(&[Step], bool); 6] = [
             (&[], false),
-            (&[leaves], true),
-            (&[writes, leaves], false),
-            (&[writes, leaves, stale], true),
-            (&[writes, stale], false),
-            (&[writes, stale, leaves], true),
+            (&[detach], true),
+            (&[write, detach], false),
+            (&[write, detach, unsent_after_all], true),
+            (&[write, unsent_after_all], false),
+            (&[write, unsent_after_all, detach], true),
         ];
-        for (number, (steps, off)) in cases.into_iter().enumerate() {
-            let reins = Reins::default();
-            steps.iter().for_each(|step| step(&reins));
-            assert_eq!(reins.is_off(), off, "case {number}");
+        for (number, (steps, cancelled)) in cases.into_iter().enumerate() {
+            let control = LaunchControl::default();
+            steps.iter().for_each(|step| step(&control));
+            assert_eq!(control.is_cancelled(), cancelled, "case {number}");
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -38,7 +38,7 @@
 mod transport;
 mod trial;
 
-use crate::dispatcher::{Clock, Desk};
+use crate::dispatcher::{Clock, Dispatcher};
 use crate::log::note;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -92,14 +92,21 @@
     let said = (start.terms.full_may_have_run, start.terms.longest_come_back);
     let (errand, mut errands) = mpsc::unbounded_channel();
     let module = Balancer::new(start.terms, start.seed, clock.now());
-    let witness = start.sites.as_ref().map(|_| Rc::new(site_evidence::Witness::default()));
+    let site_evidence = start.sites.as_ref().map(|_| Rc::new(site_evidence::SiteEvidence::default()));
     let counts = start.trial.as_ref().map(|terms| Rc::new(counts::Counts::new(terms.seconds)));
-    let desk =
-        Rc::new(Desk::new(module, start.names, clock, limits.tick, errand, (counts, witness.clone()), said));
-    let room = bodies::Room::new(limits.held_bytes);
+    let dispatcher = Rc::new(Dispatcher::new(
+        module,
+        start.names,
+        clock,
+        limits.tick,
+        errand,
+        (counts, site_evidence.clone()),
+        said,
+    ));
+    let room = bodies::BodyMemory::new(limits.held_bytes);
     let pool = Rc::new(pool::Pool::new(limits.clone(), room.clone()));
 
-    let lister = list::Lister::new(desk.clone());
+    let lister = list::Lister::new(dispatcher.clone());
     if let Some(Err(why)) = start.known.map(|known| lister.told(&known, true)) {
         return Err(format!("known: {why}"));
     }
@@ -114,7 +121,7 @@
         Some(handover::Heritage { state, listener, stream }) => {
             // Operators' settings come first, so that they apply to the list.
             for name in &state.left_out {
-                desk.maint(desk.id(name), true);
+                dispatcher.set_maintenance(dispatcher.backend_id(name), true);
             }
             stop.drain(state.drained);
             life = state.life;
@@ -127,32 +134,38 @@
         None => accept::bind(start.listen, limits.backlog, path.is_some()),
     };
     let listener = Rc::new(listener.map_err(|e| format!("listen: {e}"))?);
-    let shared = (desk.clone(), stop.clone(), limits.clone(), room.clone());
+    let shared = (dispatcher.clone(), stop.clone(), limits.clone(), room.clone());
     let peer = handover::Peer::new(shared, path, &listener);
     let fleet = start.view.map(|view| {
-        let own = fleet::Own::of(&start.file, &desk);
-        let parts = (desk.clone(), stop.clone(), peer.clone());
+        let own = fleet::Own::of(&start.file, &dispatcher);
+        let parts = (dispatcher.clone(), stop.clone(), peer.clone());
         fleet::Fleet::new(view, &start.name, own, (life, start.seed), parts)
     });
-    let sites = match (start.sites, witness) {
-        (Some(plan), Some(witness)) => {
-            let own = fleet::Own::of(&start.file, &desk).site;
-            Some(sites::Sites::new(plan, &own, (desk.clone(), fleet.clone(), witness), warm_within)?)
+    let sites = match (start.sites, site_evidence) {
+        (Some(plan), Some(site_evidence)) => {
+            let own = fleet::Own::of(&start.file, &dispatcher).site;
+            Some(sites::Sites::new(
+                plan,
+                &own,
+                (dispatcher.clone(), fleet.clone(), site_evidence),
+                warm_within,
+            )?)
         }
         _ => None,
     };
     let (trial, asked) = start.trial.map(trial::Trial::new).transpose()?.unzip();
     let trial = trial.map(Rc::new);
     let (moved, discovery) = watch::channel(start.discovery);
-    let parts = (desk.clone(), limits.clone(), stop.clone());
+    let parts = (dispatcher.clone(), limits.clone(), stop.clone());
     let beside = (fleet.clone(), trial.clone(), sites.clone());
     let reload = reload::Reload::new(signals.hangup, moved, start.file, parts, beside);
     if let Some(at) = start.admin {
         let listener = accept::bind(at, limits.backlog, false).map_err(|e| format!("admin: {at}: {e}"))?;
-        let (desk, stop, limits, peer) = (desk.clone(), stop.clone(), limits.clone(), peer.clone());
+        let (dispatcher, stop, limits, peer) =
+            (dispatcher.clone(), stop.clone(), limits.clone(), peer.clone());
         let (fleet, sites, digest) = (fleet.clone(), sites.clone(), reload.digest());
         let admin = admin::Admin {
-            desk,
+            dispatcher,
             stop,
             limits,
             peer,
@@ -171,11 +184,11 @@
         // Where the list is pushed, the node still opens a watch, at once.
         let _ = follow.send(());
     }
-    let watches = list_watches::Watches::new(lister, desk.clone(), limits.clone(), start.discovery);
+    let watches = list_watches::Watches::new(lister, dispatcher.clone(), limits.clone(), start.discovery);
     spawn_local(watches.run(followed, discovery));
 
-    let prober = probe::Prober { desk: desk.clone(), pool: pool.clone(), limits: limits.clone() };
-    let (pool_of_errands, kept) = (pool.clone(), desk.clone());
+    let prober = probe::Prober { dispatcher: dispatcher.clone(), pool: pool.clone(), limits: limits.clone() };
+    let (pool_of_errands, kept) = (pool.clone(), dispatcher.clone());
     spawn_local(async move {
         while let Some(errand) = errands.recv().await {
             match errand {
@@ -187,8 +200,8 @@
             }
         }
     });
-    spawn_local(async move { kept.upkeep().await });
-    let (swept, addresses, pause) = (pool.clone(), desk.clone(), limits.sweep);
+    spawn_local(async move { kept.run_timers().await });
+    let (swept, addresses, pause) = (pool.clone(), dispatcher.clone(), limits.sweep);
     spawn_local(async move {
         loop {
             tokio::time::sleep(pause).await;
@@ -198,7 +211,7 @@
     let stopped = stop.clone();
     spawn_local(async move { stopped.listen(signals.stop).await });
 
-    let launcher = launch::Launcher { pool, desk: desk.clone() };
+    let launcher = launch::Launcher { pool, dispatcher: dispatcher.clone() };
     peer.take_over(old).await;
     if let Some(fleet) = &fleet {
         spawn_local(fleet.clone().run());
@@ -210,7 +223,11 @@
     if must_ask {
         note!("list: discovery is queried; its changes bind this node after {} ms", ask_within.as_millis());
     }
-    accept::accept(listener, Rc::new(node::Node { desk, launcher, limits, room, stop, sites })).await;
+    accept::accept_connections(
+        listener,
+        Rc::new(node::Node { dispatcher, launcher, limits, room, stop, sites }),
+    )
+    .await;
     if let Some(fleet) = fleet {
         fleet.leave();
     }
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -1,7 +1,7 @@
 //! All sizes, counts and times that bound the node, computed once at the start. Those that derive from the
 //! settings follow a reload; file descriptors and memory belong to the process and stay.
 
-use crate::bodies::Reading;
+use crate::bodies::ReadLimits;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,12 +20,12 @@
     /// The maximum size of a request's or an answer's head.
     pub head_bytes: usize,
     /// How the bodies of requests and of answers are read.
-    pub commands: Reading,
-    pub answers: Reading,
+    pub request_bodies: ReadLimits,
+    pub answer_bodies: ReadLimits,
     /// How long the sender of a streaming body may send nothing: a client, and a backend. The second one
     /// also bounds how long a client may take to read on.
-    pub body_silent: Duration,
-    pub flow_silent: Duration,
+    pub client_silence: Duration,
+    pub backend_silence: Duration,
     /// The memory budget of all bodies, of requests and of answers, in bytes.
     pub held_bytes: usize,
     /// The maximum size of one message of the list.
@@ -60,8 +60,8 @@
     /// How long a connection rests after an answer before the next launch uses it, and how long this holds
     /// after a backend was seen to answer twice. A second answer comes some milliseconds after the first.
     /// Resting at all times, and not only then, cost a tenth of the result in short test runs.
-    pub quiet: Duration,
-    pub twice_for: Duration,
+    pub rest_after_answer: Duration,
+    pub rest_for: Duration,
     /// How long an idle connection to a backend is kept.
     pub backend_idle: Cell<Duration>,
     /// The timeout of a probe. A backend answers it without queueing, in about a round trip.
@@ -91,7 +91,7 @@
     /// How long a connection may take to its first complete head, and how long one that had a command may be
     /// idle.
     pub first_wait: Duration,
-    pub guest_idle: Duration,
+    pub client_idle: Duration,
     /// The maximum time that a command may be in flight, whatever its client asks for.
     pub longest_command: Duration,
     /// The interval between two sweeps of idle connections to backends.
@@ -152,27 +152,27 @@
             head_bytes: 16 << 10,
             // A body has no time limit of its own until its last byte. A well-behaved client sends 64 kB per
             // second in pieces: half of that rate is required, after two seconds to begin with.
-            commands: Reading {
-                window: WINDOW,
-                most: LARGEST,
-                silent: Duration::from_millis(2000),
-                rate: 32 << 10,
-                early: None,
+            request_bodies: ReadLimits {
+                window_bytes: WINDOW,
+                max_bytes: LARGEST,
+                max_silence: Duration::from_millis(2000),
+                min_bytes_per_s: 32 << 10,
+                stream_after: None,
             },
             // The launch has a time limit already. An answer of unknown length is buffered only for the
             // early time.
-            answers: Reading {
-                window: WINDOW,
-                most: LARGEST,
-                silent: Duration::from_secs(600),
-                rate: 32 << 10,
-                early: Some(Duration::from_millis(100)),
+            answer_bodies: ReadLimits {
+                window_bytes: WINDOW,
+                max_bytes: LARGEST,
+                max_silence: Duration::from_secs(600),
+                min_bytes_per_s: 32 << 10,
+                stream_after: Some(Duration::from_millis(100)),
             },
             // A few round trips, and the time until the client stops writing because it has read its answer.
             linger: Duration::from_millis(500),
-            body_silent: Duration::from_millis(2500),
+            client_silence: Duration::from_millis(2500),
             // The kernel buffers some megabytes for a slow reader, so it can take long before it reads on.
-            flow_silent: Duration::from_secs(60),
+            backend_silence: Duration::from_secs(60),
             // The other half is for the buffers of connections, the list and the program itself.
             held_bytes: memory / 2,
             line_bytes: 4 << 20,
@@ -193,8 +193,8 @@
             backlog: 1024,
             dial: Cell::new(dial),
             ready_wait: Duration::from_millis(20),
-            quiet: Duration::from_millis(10),
-            twice_for: Duration::from_secs(60),
+            rest_after_answer: Duration::from_millis(10),
+            rest_for: Duration::from_secs(60),
             // Half of the backend's own idle timeout is early enough, whatever the network delay and however
             // late the node.
             backend_idle: Cell::new(idle / 2),
@@ -213,7 +213,7 @@
             first_wait: Duration::from_millis(2600),
             // Clients come back within a few seconds or not at all; each connection costs a descriptor and a
             // buffer.
-            guest_idle: Duration::from_secs(20),
+            client_idle: Duration::from_secs(20),
             longest_command: Duration::from_secs(600),
             sweep: Duration::from_secs(1),
             accept_pause: Duration::from_millis(5),
@@ -224,8 +224,8 @@
 
     /// The part of a budget that is left for this process, given what the other one uses: at least a
     /// quarter, since the other process takes nothing more and releases what it has.
-    fn left(most: usize, other: &Cell<usize>) -> usize {
-        most.saturating_sub(other.get()).max(most / 4)
+    fn left(budget: usize, other: &Cell<usize>) -> usize {
+        budget.saturating_sub(other.get()).max(budget / 4)
     }
 
     pub fn client_sockets(&self) -> usize {
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -1,6 +1,6 @@
 //! The list of backends: parses discovery's messages and the list cached in the configuration.
 
-use crate::dispatcher::{Desk, Line};
+use crate::dispatcher::{AddressedEntry, Dispatcher};
 use crate::log::note;
 use serde_json::Value;
 use std::cell::Cell;
@@ -12,7 +12,7 @@
 use yarrowfront::times::Moment;
 
 pub struct Lister {
-    desk: Rc<Desk>,
+    dispatcher: Rc<Dispatcher>,
     /// The list version that this node has.
     index: Cell<u64>,
 }
@@ -33,8 +33,8 @@
 }
 
 impl Lister {
-    pub fn new(desk: Rc<Desk>) -> Lister {
-        Lister { desk, index: Cell::new(0) }
+    pub fn new(dispatcher: Rc<Dispatcher>) -> Lister {
+        Lister { dispatcher, index: Cell::new(0) }
     }
 
     pub fn index(&self) -> u64 {
@@ -62,12 +62,12 @@
         if !cached {
             self.log_message(whole, &lines);
         }
-        self.desk.keep(self.index.get(), kind != ListKind::Changes, entries);
-        self.desk.list(kind, &lines);
+        self.dispatcher.store_list_message(self.index.get(), kind != ListKind::Changes, entries);
+        self.dispatcher.apply_list(kind, &lines);
         Ok(())
     }
 
-    fn log_message(&self, whole: bool, lines: &[Line]) {
+    fn log_message(&self, whole: bool, lines: &[AddressedEntry]) {
         let count = |state| lines.iter().filter(|(listed, _)| listed.state == state).count();
         note!(
             "list: version {} ({}): {} ready, {} draining, {} gone",
@@ -79,7 +79,7 @@
         );
     }
 
-    fn line(&self, entry: &Value) -> Result<Line, String> {
+    fn line(&self, entry: &Value) -> Result<AddressedEntry, String> {
         let name = entry.get("name").and_then(Value::as_str).ok_or("name is not a string")?;
         let state = match entry.get("status").and_then(Value::as_str) {
             Some("ready") => State::Ready,
@@ -89,17 +89,18 @@
         };
         match self.whole_line(entry, name, state) {
             // No new command goes to it, so the other fields of its entry may be missing or invalid.
-            Err(_) if state != State::Ready => {
-                Ok((Listed { backend: self.desk.id(name), state: State::Gone, ..Listed::default() }, None))
-            }
+            Err(_) if state != State::Ready => Ok((
+                Listed { backend: self.dispatcher.backend_id(name), state: State::Gone, ..Listed::default() },
+                None,
+            )),
             line => line,
         }
     }
 
-    fn whole_line(&self, entry: &Value, name: &str, state: State) -> Result<Line, String> {
+    fn whole_line(&self, entry: &Value, name: &str, state: State) -> Result<AddressedEntry, String> {
         let address = entry.get("address").and_then(Value::as_str).and_then(|a| a.parse().ok());
         let address = address.ok_or("address is not an IP address with a port")?;
-        let names = self.desk.names();
+        let names = self.dispatcher.names();
         let listed = Listed {
             mark: mark(name),
             size: entry
@@ -113,7 +114,7 @@
             state,
             started: Moment(number(entry, "since_ms")?.saturating_mul(1000)),
             // Last, so that an invalid entry does not use up an id.
-            backend: self.desk.id(name),
+            backend: self.dispatcher.backend_id(name),
         };
         Ok((listed, Some(address)))
     }
--- a/crates/node/src/list_watches.rs
+++ b/crates/node/src/list_watches.rs
@@ -5,7 +5,7 @@
 //! watch at the former address stays open until the present one has answered. This avoids calls whose answer
 //! nobody uses, and no node is answered twice before others were answered once.
 
-use crate::dispatcher::Desk;
+use crate::dispatcher::Dispatcher;
 use crate::limits::Limits;
 use crate::list::Lister;
 use crate::list_age::ListAge;
@@ -62,7 +62,7 @@
 /// All calls and watches of this process.
 pub struct Watches {
     lister: Lister,
-    desk: Rc<Desk>,
+    dispatcher: Rc<Dispatcher>,
     limits: Rc<Limits>,
     age: RefCell<ListAge>,
     /// Discovery's configured address, and the address of the newest call.
@@ -76,7 +76,7 @@
 
 /// The open calls and watches, owned by the loop in `run`.
 #[derive(Default)]
-struct Open {
+struct OpenCalls {
     tasks: JoinSet<(CallNumber, End)>,
     handles: BTreeMap<CallNumber, AbortHandle>,
     /// When to make another call beside those that are open.
@@ -84,10 +84,15 @@
 }
 
 impl Watches {
-    pub fn new(lister: Lister, desk: Rc<Desk>, limits: Rc<Limits>, discovery: SocketAddr) -> Rc<Watches> {
+    pub fn new(
+        lister: Lister,
+        dispatcher: Rc<Dispatcher>,
+        limits: Rc<Limits>,
+        discovery: SocketAddr,
+    ) -> Rc<Watches> {
         let present = Cell::new(discovery);
         let (age, called, newest, answered, answer) = Default::default();
-        Rc::new(Watches { lister, desk, limits, age, present, called, newest, answered, answer })
+        Rc::new(Watches { lister, dispatcher, limits, age, present, called, newest, answered, answer })
     }
 
     /// Calls discovery whenever the balancer requests the list or discovery has moved, and reports the
@@ -97,7 +102,7 @@
         mut wanted: mpsc::UnboundedReceiver<()>,
         mut discovery: watch::Receiver<SocketAddr>,
     ) {
-        let mut open = Open::default();
+        let mut open = OpenCalls::default();
         loop {
             let call_at = open.call_at;
             tokio::select! {
@@ -129,7 +134,7 @@
 
     /// Handles a move of discovery: calls the new address, at once unless a call is still waiting for its
     /// answer.
-    fn moved(self: &Rc<Self>, open: &mut Open) {
+    fn moved(self: &Rc<Self>, open: &mut OpenCalls) {
         self.change_age(|age, now| age.discovery_moved(now));
         let waits = open.handles.contains_key(&self.newest.get()) && self.newest.get() > self.answered.get();
         if !waits {
@@ -145,7 +150,7 @@
     }
 
     /// Calls discovery at its present address.
-    fn call(self: &Rc<Self>, open: &mut Open) {
+    fn call(self: &Rc<Self>, open: &mut OpenCalls) {
         let (address, watches, call) = (self.present.get(), self.clone(), self.newest.get() + 1);
         self.newest.set(call);
         self.called.set(Some(address));
@@ -154,7 +159,7 @@
         open.handles.insert(call, open.tasks.spawn_local(task));
     }
 
-    fn ended(self: &Rc<Self>, open: &mut Open, call: CallNumber, end: End) {
+    fn ended(self: &Rc<Self>, open: &mut OpenCalls, call: CallNumber, end: End) {
         open.close_before(self.answered.get());
         if open.handles.remove(&call).is_none() {
             return;
@@ -183,7 +188,7 @@
             self.call(open);
         } else if open.handles.is_empty() {
             open.call_at = None;
-            self.desk.list(kind, &[]);
+            self.dispatcher.apply_list(kind, &[]);
         } else if newest {
             open.call_at = Some(Instant::now() + RETRY_BESIDE_FORMER);
         }
@@ -192,10 +197,10 @@
     fn change_age(&self, change: impl FnOnce(&mut ListAge, Moment)) {
         let binds = {
             let mut age = self.age.borrow_mut();
-            change(&mut age, self.desk.clock.now());
+            change(&mut age, self.dispatcher.clock.now());
             age.binds_from()
         };
-        self.desk.list_binds_from(binds);
+        self.dispatcher.list_binds_from(binds);
     }
 
     async fn watch(&self, call: CallNumber, discovery: SocketAddr) -> End {
@@ -251,7 +256,7 @@
                 if heard.is_none() {
                     self.first_message(call, discovery, asked);
                 }
-                heard = Some(self.desk.clock.now());
+                heard = Some(self.dispatcher.clock.now());
             }
             if reader.unfinished() > 0 {
                 note!("list: {} bytes of an incomplete message received", reader.unfinished());
@@ -281,11 +286,11 @@
     }
 
     fn take(&self, line: &[u8], first: bool) {
-        self.desk.heard_list();
+        self.dispatcher.record_discovery_contact();
         if line.is_empty() {
             if first {
                 // Nothing has changed since the requested version, which is an answer as well.
-                self.desk.list(ListKind::Changes, &[]);
+                self.dispatcher.apply_list(ListKind::Changes, &[]);
             }
             return;
         }
@@ -296,7 +301,7 @@
     }
 }
 
-impl Open {
+impl OpenCalls {
     /// Closes all calls that were made before this one.
     fn close_before(&mut self, call: CallNumber) {
         let later = self.handles.split_off(&call);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,7 +1,7 @@
 //! What all stages of serving a command share.
 
-use crate::bodies::Room;
-use crate::dispatcher::Desk;
+use crate::bodies::BodyMemory;
+use crate::dispatcher::Dispatcher;
 use crate::launch::Launcher;
 use crate::lifecycle::Stop;
 use crate::limits::Limits;
@@ -9,10 +9,10 @@
 use std::rc::Rc;
 
 pub struct Node {
-    pub desk: Rc<Desk>,
+    pub dispatcher: Rc<Dispatcher>,
     pub launcher: Launcher,
     pub limits: Rc<Limits>,
-    pub room: Room,
+    pub room: BodyMemory,
     pub stop: Rc<Stop>,
     pub sites: Option<Rc<Sites>>,
 }
--- a/crates/node/src/observed_stream.rs
+++ b/crates/node/src/observed_stream.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// Observes the reads and writes on a connection.
-pub trait Watch {
+pub trait StreamObserver {
     /// Reads from the stream on hyper's behalf.
     fn read(
         &mut self,
@@ -17,28 +17,28 @@
     ) -> Poll<io::Result<()>>;
 
     /// Called after each write; `stuck` if the peer accepts no more data at present.
-    fn wrote(&self, _stuck: bool) {}
+    fn on_write(&self, _is_stalled: bool) {}
 
     /// Called when hyper flushes, which it does after all other work that it can do for now.
-    fn rests(&self, _stream: &Transport) {}
+    fn on_flush(&self, _stream: &Transport) {}
 }
 
-pub struct Watched<W> {
+pub struct ObservedStream<W> {
     pub stream: Transport,
-    pub watch: W,
+    pub observer: W,
 }
 
-impl<W: Watch + Unpin> AsyncRead for Watched<W> {
+impl<W: StreamObserver + Unpin> AsyncRead for ObservedStream<W> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        this.watch.read(Pin::new(&mut this.stream), cx, buf)
+        this.observer.read(Pin::new(&mut this.stream), cx, buf)
     }
 }
 
-impl<W: Watch + Unpin> AsyncWrite for Watched<W> {
+impl<W: StreamObserver + Unpin> AsyncWrite for ObservedStream<W> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.watch.wrote(written.is_pending());
+        self.observer.on_write(written.is_pending());
         written
     }
 
@@ -48,7 +48,7 @@
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, parts);
-        self.watch.wrote(written.is_pending());
+        self.observer.on_write(written.is_pending());
         written
     }
 
@@ -57,7 +57,7 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.watch.rests(&self.stream);
+        self.observer.on_flush(&self.stream);
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -1,10 +1,10 @@
 //! The pool of connections to backends. It uses the most recently used idle connection first, opens a new
 //! one if there is none, and never opens more than the socket budget allows.
 
-use crate::bodies::{Out, Over, Room, Start};
+use crate::bodies::{BodyMemory, OutgoingBody, ReadBody, StreamEnd};
 use crate::limits::Limits;
 use crate::log::note;
-use crate::observed_stream::{Watch, Watched};
+use crate::observed_stream::{ObservedStream, StreamObserver};
 use crate::transport::{is_local, Transport};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, Response};
@@ -24,16 +24,16 @@
 use yarrowfront::ids::BackendId;
 
 /// Counts a socket while it is open or being opened.
-struct Open(Rc<Cell<usize>>);
+struct SocketGuard(Rc<Cell<usize>>);
 
-impl Open {
-    fn new(count: &Rc<Cell<usize>>) -> Open {
-        count.set(count.get() + 1);
-        Open(count.clone())
+impl SocketGuard {
+    fn new(open_sockets: &Rc<Cell<usize>>) -> SocketGuard {
+        open_sockets.set(open_sockets.get() + 1);
+        SocketGuard(open_sockets.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for SocketGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -41,22 +41,22 @@
 
 /// A connection in use. Dropping it closes the connection, which is how a launch is cancelled.
 pub struct Lease {
-    sender: SendRequest<Out>,
+    sender: SendRequest<OutgoingBody>,
     /// It was opened for this use and does not come from the pool.
-    fresh: bool,
+    is_new: bool,
     address: SocketAddr,
     /// No request is outstanding on it.
     idle: Rc<Cell<bool>>,
-    _task: TaskEnd,
+    _task: AbortOnDrop,
 }
 
 /// Detects data that a backend sends on a connection without an outstanding request.
-struct Heard {
+struct UnsolicitedDataObserver {
     idle: Rc<Cell<bool>>,
-    twice: Rc<Cell<Option<Instant>>>,
+    unsolicited_at: Rc<Cell<Option<Instant>>>,
 }
 
-impl Watch for Heard {
+impl StreamObserver for UnsolicitedDataObserver {
     fn read(
         &mut self,
         stream: Pin<&mut Transport>,
@@ -66,7 +66,7 @@
         let before = buf.filled().len();
         ready!(stream.poll_read(cx, buf))?;
         if self.idle.get() && buf.filled().len() > before {
-            self.twice.set(Some(Instant::now()));
+            self.unsolicited_at.set(Some(Instant::now()));
             note!("pool: a backend sent data without a request; connections now rest after each answer");
         }
         Poll::Ready(Ok(()))
@@ -74,22 +74,22 @@
 }
 
 /// Aborts the task that drives a connection, which closes the connection.
-struct TaskEnd(AbortHandle);
+struct AbortOnDrop(AbortHandle);
 
-impl Drop for TaskEnd {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-struct Idle {
+struct IdleConnection {
     lease: Lease,
-    since: Instant,
+    idle_since: Instant,
 }
 
-pub enum NoLease {
+pub enum LeaseError {
     /// The socket budget is used up and no idle connection can be closed.
-    Full,
+    NoSocket,
     /// The connection was refused, reset or not established in time.
     Unreachable,
 }
@@ -97,54 +97,54 @@
 /// The result of a request on a leased connection.
 pub enum Exchange {
     /// The complete answer, or its beginning.
-    Came(Response<Start>),
+    Answered(Response<ReadBody>),
     /// The backend had closed the pooled connection, and the request was certainly not written: retry on
     /// another connection.
-    Stale(Request<Out>),
+    Stale(Request<OutgoingBody>),
     /// The same on a connection that was newly opened.
-    Unreachable(Request<Out>),
+    Unreachable(Request<OutgoingBody>),
     /// The request may have been written completely, and no valid answer came.
     Broken,
 }
 
 pub struct Pool {
     limits: Rc<Limits>,
-    room: Room,
-    idle: RefCell<HashMap<BackendId, Vec<Idle>>>,
+    body_memory: BodyMemory,
+    idle: RefCell<HashMap<BackendId, Vec<IdleConnection>>>,
     /// When data was last received on an idle connection, as it happens when a backend answers twice.
-    twice: Rc<Cell<Option<Instant>>>,
+    unsolicited_at: Rc<Cell<Option<Instant>>>,
 }
 
 impl Pool {
-    pub fn new(limits: Rc<Limits>, room: Room) -> Pool {
-        Pool { limits, room, idle: RefCell::new(HashMap::new()), twice: Rc::default() }
+    pub fn new(limits: Rc<Limits>, body_memory: BodyMemory) -> Pool {
+        Pool { limits, body_memory, idle: RefCell::new(HashMap::new()), unsolicited_at: Rc::default() }
     }
 
     /// Returns the most recently used idle connection that is still usable, or opens a new one.
-    pub async fn lease(&self, backend: BackendId, address: SocketAddr) -> Result<Lease, NoLease> {
-        while let Some(mut lease) = self.newest(backend, address) {
+    pub async fn lease(&self, backend: BackendId, address: SocketAddr) -> Result<Lease, LeaseError> {
+        while let Some(mut lease) = self.take_newest_idle(backend, address) {
             // This is ready at once unless the backend has closed the connection or has not read all of
             // the previous command yet.
             if let Ok(Ok(())) = timeout(self.limits.ready_wait, lease.sender.ready()).await {
                 return Ok(lease);
             }
         }
-        self.dial(address).await
+        self.open_connection(address).await
     }
 
-    fn newest(&self, backend: BackendId, address: SocketAddr) -> Option<Lease> {
+    fn take_newest_idle(&self, backend: BackendId, address: SocketAddr) -> Option<Lease> {
         let mut idle = self.idle.borrow_mut();
-        let there = idle.get_mut(&backend)?;
+        let connections = idle.get_mut(&backend)?;
         // If backends have been seen to answer twice, a connection whose answer has only just arrived may
         // deliver a second one, which would be taken for the answer to the next request.
-        let twice = self.twice.get().is_some_and(|at| at.elapsed() < self.limits.twice_for);
-        let rest = if twice { self.limits.quiet } else { Duration::ZERO };
-        let mut rested = there.partition_point(|idle| idle.since.elapsed() >= rest);
-        while rested > 0 {
-            rested -= 1;
-            let mut idle = there.remove(rested);
-            if self.good(&idle, Some(address)) {
-                idle.lease.fresh = false;
+        let must_rest = self.unsolicited_at.get().is_some_and(|at| at.elapsed() < self.limits.rest_for);
+        let rest_time = if must_rest { self.limits.rest_after_answer } else { Duration::ZERO };
+        let mut usable_count = connections.partition_point(|idle| idle.idle_since.elapsed() >= rest_time);
+        while usable_count > 0 {
+            usable_count -= 1;
+            let mut idle = connections.remove(usable_count);
+            if self.is_usable(&idle, Some(address)) {
+                idle.lease.is_new = false;
                 idle.lease.idle.set(false);
                 return Some(idle.lease);
             }
@@ -153,52 +153,55 @@
     }
 
     /// Whether an idle connection may be reused, given the present address of its backend.
-    fn good(&self, idle: &Idle, address: Option<SocketAddr>) -> bool {
-        idle.since.elapsed() < self.limits.backend_idle.get()
+    fn is_usable(&self, idle: &IdleConnection, address: Option<SocketAddr>) -> bool {
+        idle.idle_since.elapsed() < self.limits.backend_idle.get()
             && address == Some(idle.lease.address)
             && !idle.lease.sender.is_closed()
     }
 
-    async fn dial(&self, address: SocketAddr) -> Result<Lease, NoLease> {
-        let count = &self.limits.sockets.backends;
-        if count.get() >= self.limits.backend_sockets() && !self.close_oldest() {
-            return Err(NoLease::Full);
+    async fn open_connection(&self, address: SocketAddr) -> Result<Lease, LeaseError> {
+        let open_sockets = &self.limits.sockets.backends;
+        if open_sockets.get() >= self.limits.backend_sockets() && !self.close_oldest_idle() {
+            return Err(LeaseError::NoSocket);
         }
-        let (open, idle) = (Open::new(count), Rc::<Cell<bool>>::default());
+        let (socket_guard, idle) = (SocketGuard::new(open_sockets), Rc::<Cell<bool>>::default());
         let stream = self.connect(address).await?;
         let mut builder = http1::Builder::new();
         builder.max_buf_size(self.limits.head_bytes);
-        let heard = Heard { idle: idle.clone(), twice: self.twice.clone() };
-        let handshake = builder.handshake::<_, Out>(TokioIo::new(Watched { stream, watch: heard }));
-        let (sender, connection) = handshake.await.map_err(|_| NoLease::Unreachable)?;
+        let observer =
+            UnsolicitedDataObserver { idle: idle.clone(), unsolicited_at: self.unsolicited_at.clone() };
+        let handshake =
+            builder.handshake::<_, OutgoingBody>(TokioIo::new(ObservedStream { stream, observer: observer }));
+        let (sender, connection) = handshake.await.map_err(|_| LeaseError::Unreachable)?;
         let task = tokio::task::spawn_local(async move {
             // An error here is reported through the sender.
             let _ = connection.await;
-            drop(open);
+            drop(socket_guard);
         });
-        Ok(Lease { sender, fresh: true, address, idle, _task: TaskEnd(task.abort_handle()) })
+        Ok(Lease { sender, is_new: true, address, idle, _task: AbortOnDrop(task.abort_handle()) })
     }
 
     /// Connects within the dial timeout. If this machine lacks a port or a file descriptor, it retries until
     /// the timeout.
-    async fn connect(&self, address: SocketAddr) -> Result<Transport, NoLease> {
-        let lacks = Cell::new(false);
-        let dial = async {
+    async fn connect(&self, address: SocketAddr) -> Result<Transport, LeaseError> {
+        let is_waiting_for_socket = Cell::new(false);
+        let open_connection = async {
             loop {
                 match Transport::connect(address).await {
                     Ok(stream) => return Ok(stream),
                     Err(error) if is_local(&error) => {
                         note!("pool: no local socket available to connect: {error}");
-                        lacks.set(true);
+                        is_waiting_for_socket.set(true);
                         sleep(self.limits.accept_pause).await;
-                        lacks.set(false);
+                        is_waiting_for_socket.set(false);
                     }
-                    Err(_) => return Err(NoLease::Unreachable),
+                    Err(_) => return Err(LeaseError::Unreachable),
                 }
             }
         };
-        let unanswered = |_| if lacks.get() { NoLease::Full } else { NoLease::Unreachable };
-        timeout(self.limits.dial.get(), dial).await.map_err(unanswered)?
+        let timeout_error =
+            |_| if is_waiting_for_socket.get() { LeaseError::NoSocket } else { LeaseError::Unreachable };
+        timeout(self.limits.dial.get(), open_connection).await.map_err(timeout_error)?
     }
 
     /// Sends a request and reads the answer. The connection returns to the pool once the answer is complete;
@@ -207,7 +210,7 @@
         self: &Rc<Pool>,
         backend: BackendId,
         mut lease: Lease,
-        request: Request<Out>,
+        request: Request<OutgoingBody>,
     ) -> Exchange {
         let response = match lease.sender.try_send_request(request).await {
             Ok(response) => response,
@@ -215,44 +218,44 @@
             Err(mut error) => {
                 return match error.take_message() {
                     None => Exchange::Broken,
-                    Some(request) if lease.fresh => Exchange::Unreachable(request),
+                    Some(request) if lease.is_new => Exchange::Unreachable(request),
                     Some(request) => Exchange::Stale(request),
                 }
             }
         };
         let (head, body) = response.into_parts();
-        let start = match self.room.read(body, self.limits.answers, pending()).await {
-            Ok(start) => start,
-            Err(why) => {
+        let read_body = match self.body_memory.read(body, self.limits.answer_bodies, pending()).await {
+            Ok(read_body) => read_body,
+            Err(error) => {
                 // The lease is dropped here, which closes the connection: it is in an unknown state.
-                note!("pool: an answer could not be read: {why:?}");
+                note!("pool: an answer could not be read: {error:?}");
                 return Exchange::Broken;
             }
         };
-        let start = match start {
-            Start::Whole(body) => {
+        let read_body = match read_body {
+            ReadBody::Buffered(body) => {
                 self.give_back(backend, lease);
-                Start::Whole(body)
+                ReadBody::Buffered(body)
             }
-            Start::Flows(mut flow) => {
+            ReadBody::Streaming(mut stream) => {
                 let pool = self.clone();
-                flow.patience(self.limits.flow_silent, false);
-                flow.when_over(move |over| {
-                    if over == Over::Whole {
+                stream.set_timeout(self.limits.backend_silence, false);
+                stream.on_end(move |end| {
+                    if end == StreamEnd::Complete {
                         pool.give_back(backend, lease);
                     }
                 });
-                Start::Flows(flow)
+                ReadBody::Streaming(stream)
             }
         };
-        Exchange::Came(Response::from_parts(head, start))
+        Exchange::Answered(Response::from_parts(head, read_body))
     }
 
     /// Returns a connection to the pool.
     pub fn give_back(&self, backend: BackendId, lease: Lease) {
         if !lease.sender.is_closed() {
             lease.idle.set(true);
-            let idle = Idle { lease, since: Instant::now() };
+            let idle = IdleConnection { lease, idle_since: Instant::now() };
             self.idle.borrow_mut().entry(backend).or_default().push(idle);
         }
     }
@@ -264,16 +267,19 @@
 
     /// Closes connections that have been idle for too long or whose backend is gone or has moved.
     pub fn sweep(&self, address: impl Fn(BackendId) -> Option<SocketAddr>) {
-        self.idle.borrow_mut().retain(|&backend, there| {
+        self.idle.borrow_mut().retain(|&backend, connections| {
             let at = address(backend);
-            there.retain(|idle| self.good(idle, at));
-            !there.is_empty()
+            connections.retain(|idle| self.is_usable(idle, at));
+            !connections.is_empty()
         });
     }
 
-    fn close_oldest(&self) -> bool {
+    fn close_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter_mut().filter(|(_, there)| !there.is_empty()).min_by_key(|(_, t)| t[0].since);
-        oldest.map(|(_, there)| there.remove(0)).is_some()
+        let oldest = idle
+            .iter_mut()
+            .filter(|(_, connections)| !connections.is_empty())
+            .min_by_key(|(_, t)| t[0].idle_since);
+        oldest.map(|(_, connections)| connections.remove(0)).is_some()
     }
 }
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -1,7 +1,7 @@
 //! Probes a backend for its load, and parses load reports.
 
-use crate::bodies::{Out, Start};
-use crate::dispatcher::Desk;
+use crate::bodies::{OutgoingBody, ReadBody};
+use crate::dispatcher::Dispatcher;
 use crate::limits::Limits;
 use crate::log::note;
 use crate::pool::{Exchange, Pool};
@@ -42,20 +42,20 @@
 
 #[derive(Clone)]
 pub struct Prober {
-    pub desk: Rc<Desk>,
+    pub dispatcher: Rc<Dispatcher>,
     pub pool: Rc<Pool>,
     pub limits: Rc<Limits>,
 }
 
 impl Prober {
     pub async fn probe(self, backend: BackendId) {
-        let sent = self.desk.clock.now();
-        let found = match self.desk.address(backend) {
+        let sent = self.dispatcher.clock.now();
+        let found = match self.dispatcher.address(backend) {
             Some(address) => timeout(self.limits.probe_wait, self.ask(backend, address)).await.ok().flatten(),
             None => None,
         };
-        let trip = self.desk.clock.now().since(sent);
-        self.desk.probed(backend, found.is_some(), trip, found.as_deref().unwrap_or_default());
+        let trip = self.dispatcher.clock.now().since(sent);
+        self.dispatcher.record_probe(backend, found.is_some(), trip, found.as_deref().unwrap_or_default());
     }
 
     /// Returns the report: empty if the backend answers without a valid one, and `None` if it does not
@@ -64,15 +64,19 @@
         let host = HeaderValue::from_str(&address.to_string()).ok()?;
         loop {
             let lease = self.pool.lease(backend, address).await.ok()?;
-            let mut request = Request::new(Out::from(Bytes::new()));
+            let mut request = Request::new(OutgoingBody::from(Bytes::new()));
             *request.uri_mut() = Uri::from_static("/metrics/load");
             request.headers_mut().insert(HOST, host.clone());
             return match self.pool.exchange(backend, lease, request).await {
                 Exchange::Stale(_) => continue,
-                Exchange::Came(response) if response.status() == StatusCode::OK => match response.body() {
-                    Start::Whole(body) => Some(report(&self.desk.names().report, body).unwrap_or_default()),
-                    Start::Flows(_) => None,
-                },
+                Exchange::Answered(response) if response.status() == StatusCode::OK => {
+                    match response.body() {
+                        ReadBody::Buffered(body) => {
+                            Some(report(&self.dispatcher.names().report, body).unwrap_or_default())
+                        }
+                        ReadBody::Streaming(_) => None,
+                    }
+                }
                 _ => None,
             };
         }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -2,7 +2,7 @@
 //! operator's request brings and which are rolled back unless they are confirmed.
 
 use crate::config::{at, Start};
-use crate::dispatcher::Desk;
+use crate::dispatcher::Dispatcher;
 use crate::fleet::{Fleet, Own};
 use crate::lifecycle::Stop;
 use crate::limits::Limits;
@@ -27,7 +27,7 @@
     discovery: watch::Sender<SocketAddr>,
     /// The file as it was last adopted.
     file: Value,
-    desk: Rc<Desk>,
+    dispatcher: Rc<Dispatcher>,
     limits: Rc<Limits>,
     stop: Rc<Stop>,
     fleet: Option<Rc<Fleet>>,
@@ -68,11 +68,23 @@
         hangup: mpsc::UnboundedReceiver<()>,
         discovery: watch::Sender<SocketAddr>,
         file: Value,
-        (desk, limits, stop): (Rc<Desk>, Rc<Limits>, Rc<Stop>),
+        (dispatcher, limits, stop): (Rc<Dispatcher>, Rc<Limits>, Rc<Stop>),
         (fleet, trial, sites): Beside,
     ) -> Reload {
-        let digest = Rc::new(Cell::new(Own::of(&file, &desk).digest));
-        Reload { hangup, discovery, file, desk, limits, stop, fleet, trial, sites, former: None, digest }
+        let digest = Rc::new(Cell::new(Own::of(&file, &dispatcher).digest));
+        Reload {
+            hangup,
+            discovery,
+            file,
+            dispatcher,
+            limits,
+            stop,
+            fleet,
+            trial,
+            sites,
+            former: None,
+            digest,
+        }
     }
 
     /// The digest of the settings in force, without those that are specific to each node.
@@ -154,11 +166,11 @@
         changes(self.file.get("settings"), new.file.get("settings"), "settings", &mut changed);
         // Unchanged settings are not applied again, which would reset what derives from them.
         if !changed.is_empty() {
-            let (names, terms) = self.desk.names().followed_by(&new.names, new.terms)?;
+            let (names, terms) = self.dispatcher.names().followed_by(&new.names, new.terms)?;
             self.limits.follow(&new.limits);
-            self.desk.switch(names, terms);
+            self.dispatcher.replace_settings(names, terms);
         }
-        let own = Own::of(&new.file, &self.desk);
+        let own = Own::of(&new.file, &self.dispatcher);
         self.digest.set(own.digest);
         if let (Some(fleet), Some(view)) = (&self.fleet, new.view) {
             fleet.follow(view, own);
@@ -185,9 +197,9 @@
                 let mut file = self.file.clone();
                 file["settings"] = kept(settings, &self.file["settings"]).map_err(bad)?;
                 let new = Start::of(file, Self::variable).map_err(bad)?;
-                let names = self.desk.names().followed_by(&new.names, new.terms);
+                let names = self.dispatcher.names().followed_by(&new.names, new.terms);
                 names.map_err(bad)?;
-                Ok(format!("{:016x}", Own::of(&new.file, &self.desk).digest))
+                Ok(format!("{:016x}", Own::of(&new.file, &self.dispatcher).digest))
             }
             Word::Try { from, settings, for_ms } => {
                 let until = Instant::now() + trial.span(for_ms)?;
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -1,13 +1,13 @@
 //! Building blocks for answers: plain text replies, and the headers that are forwarded from one connection
 //! to another.
 
-use crate::bodies::Out;
+use crate::bodies::OutgoingBody;
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
 use yarrowfront::times::Span;
 
-pub type Reply = Response<Out>;
+pub type Reply = Response<OutgoingBody>;
 
 /// Headers that apply to one connection only and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
@@ -23,7 +23,7 @@
 
 /// A one-line text reply.
 pub fn plain(status: StatusCode, text: &str) -> Reply {
-    let mut reply = Response::new(Out::from(Bytes::from(format!("{text}\n"))));
+    let mut reply = Response::new(OutgoingBody::from(Bytes::from(format!("{text}\n"))));
     *reply.status_mut() = status;
     reply.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     reply
--- a/crates/node/src/request_framing.rs
+++ b/crates/node/src/request_framing.rs
@@ -7,8 +7,8 @@
 //! Disconnects: hyper detects that a client has closed only while it holds no data behind the request in
 //! progress. What arrives behind one is therefore held back here until its turn.
 
-use crate::client_connections::Guest;
-use crate::observed_stream::Watch;
+use crate::client_connections::ClientConnection;
+use crate::observed_stream::StreamObserver;
 use crate::transport::Transport;
 use std::future::Future;
 use std::io;
@@ -19,90 +19,101 @@
 use tokio::net::TcpStream;
 
 /// The bytes that are kept of a header line: enough for the longer of the two names and any valid length.
-const KEPT: usize = 64;
+const MAX_LINE_BYTES: usize = 64;
 
 /// The read size in bytes for data behind a command: a head and a small body.
-const BEHIND: usize = 1024;
+const READ_BYTES: usize = 1024;
 
-enum At {
+enum ParserState {
     Head,
     Body(u64),
     /// In a chunked body: the chunk size line, the chunk with its remaining bytes, the line end after it,
     /// and the trailers.
-    Size,
+    ChunkSize,
     Chunk(u64),
     ChunkEnd,
     Trailers,
     /// The framing is invalid. hyper cannot read it either and closes the connection.
-    Over,
+    Invalid,
 }
 
 /// A parser of the request framing on one connection.
-pub struct Heads {
-    at: At,
+pub struct FramingParser {
+    state: ParserState,
     line: Vec<u8>,
     /// Non-empty lines of the present head.
-    lines: usize,
+    head_lines: usize,
     /// The `Content-Length` of the present head.
-    length: Option<u64>,
+    content_length: Option<u64>,
     /// Whether the present head has a `Transfer-Encoding`.
-    coded: bool,
+    is_chunked: bool,
     /// The number of heads that are complete.
-    ended: usize,
+    heads_complete: usize,
     /// The number of the first head that states both lengths, counting from one.
-    clash: Option<usize>,
+    conflicting_head: Option<usize>,
 }
 
-impl Heads {
-    pub fn new() -> Heads {
-        let line = Vec::with_capacity(KEPT);
-        Heads { at: At::Head, line, lines: 0, length: None, coded: false, ended: 0, clash: None }
+impl FramingParser {
+    pub fn new() -> FramingParser {
+        let line = Vec::with_capacity(MAX_LINE_BYTES);
+        FramingParser {
+            state: ParserState::Head,
+            line,
+            head_lines: 0,
+            content_length: None,
+            is_chunked: false,
+            heads_complete: 0,
+            conflicting_head: None,
+        }
     }
 
     /// Whether a head was received in part.
-    fn part(&self) -> bool {
-        matches!(self.at, At::Head) && (self.lines > 0 || !self.line.is_empty())
+    fn has_partial_head(&self) -> bool {
+        matches!(self.state, ParserState::Head) && (self.head_lines > 0 || !self.line.is_empty())
     }
 
     /// Whether the received data ends exactly at the end of a request.
-    fn whole(&self) -> bool {
-        matches!(self.at, At::Head) && self.ended > 0 && !self.part()
+    fn is_at_request_end(&self) -> bool {
+        matches!(self.state, ParserState::Head) && self.heads_complete > 0 && !self.has_partial_head()
     }
 
     /// Parses data up to the end of a request and returns how many bytes that were.
-    fn follow(&mut self, all: &[u8]) -> usize {
+    fn parse(&mut self, all: &[u8]) -> usize {
         let mut bytes = all;
         while !bytes.is_empty() {
-            match self.at {
-                At::Over => return all.len(),
-                At::Body(left) | At::Chunk(left) => {
-                    let here = (bytes.len() as u64).min(left);
-                    bytes = &bytes[here as usize..];
-                    self.at = match (&self.at, left - here) {
-                        (At::Body(_), 0) => At::Head,
-                        (At::Body(_), left) => At::Body(left),
-                        (_, 0) => At::ChunkEnd,
-                        (_, left) => At::Chunk(left),
+            match self.state {
+                ParserState::Invalid => return all.len(),
+                ParserState::Body(left) | ParserState::Chunk(left) => {
+                    let available = (bytes.len() as u64).min(left);
+                    bytes = &bytes[available as usize..];
+                    self.state = match (&self.state, left - available) {
+                        (ParserState::Body(_), 0) => ParserState::Head,
+                        (ParserState::Body(_), left) => ParserState::Body(left),
+                        (_, 0) => ParserState::ChunkEnd,
+                        (_, left) => ParserState::Chunk(left),
                     };
                 }
-                At::Head | At::Size | At::ChunkEnd | At::Trailers => {
+                ParserState::Head
+                | ParserState::ChunkSize
+                | ParserState::ChunkEnd
+                | ParserState::Trailers => {
                     let (part, rest) = match bytes.iter().position(|&b| b == b'\n') {
                         Some(end) => (&bytes[..end], Some(&bytes[end + 1..])),
                         None => (bytes, None),
                     };
-                    let room = KEPT - self.line.len();
-                    self.line.extend_from_slice(&part[..part.len().min(room)]);
+                    let buffer = MAX_LINE_BYTES - self.line.len();
+                    self.line.extend_from_slice(&part[..part.len().min(buffer)]);
                     bytes = rest.unwrap_or_default();
                     if rest.is_none() {
                         continue;
                     }
-                    match self.at {
-                        At::Head => self.line_ends(),
-                        _ => self.chunk_line_ends(),
+                    match self.state {
+                        ParserState::Head => self.end_head_line(),
+                        _ => self.end_chunk_line(),
                     }
                 }
             }
-            if self.whole() {
+            if self.is_at_request_end() {
                 break;
             }
         }
@@ -110,20 +121,20 @@
     }
 
     /// Handles the end of a line within a chunked body.
-    fn chunk_line_ends(&mut self) {
+    fn end_chunk_line(&mut self) {
         let line = self.line.trim_ascii_end();
-        self.at = match self.at {
-            At::ChunkEnd => At::Size,
-            At::Trailers if line.is_empty() => At::Head,
-            At::Trailers => At::Trailers,
+        self.state = match self.state {
+            ParserState::ChunkEnd => ParserState::ChunkSize,
+            ParserState::Trailers if line.is_empty() => ParserState::Head,
+            ParserState::Trailers => ParserState::Trailers,
             _ => {
                 let size = line.split(|&b| b == b';').next().unwrap_or_default();
                 let size =
                     std::str::from_utf8(size).ok().and_then(|s| u64::from_str_radix(s.trim(), 16).ok());
                 match size {
-                    Some(0) => At::Trailers,
-                    Some(size) => At::Chunk(size),
-                    None => At::Over,
+                    Some(0) => ParserState::Trailers,
+                    Some(size) => ParserState::Chunk(size),
+                    None => ParserState::Invalid,
                 }
             }
         };
@@ -131,141 +142,141 @@
     }
 
     /// Handles the end of a line of a head.
-    fn line_ends(&mut self) {
+    fn end_head_line(&mut self) {
         let empty = self.line.is_empty() || self.line == b"\r";
         if !empty {
-            self.lines += 1;
+            self.head_lines += 1;
             if let Some(colon) = self.line.iter().position(|&b| b == b':') {
                 let (name, value) = (&self.line[..colon], &self.line[colon + 1..]);
-                self.coded |= name.eq_ignore_ascii_case(b"transfer-encoding");
+                self.is_chunked |= name.eq_ignore_ascii_case(b"transfer-encoding");
                 if name.eq_ignore_ascii_case(b"content-length") {
                     let number = std::str::from_utf8(value).ok().and_then(|v| v.trim().parse().ok());
                     // hyper closes the connection if this is not a number.
-                    self.length = Some(number.unwrap_or(u64::MAX));
+                    self.content_length = Some(number.unwrap_or(u64::MAX));
                 }
             }
         }
         self.line.clear();
         // Empty lines before a head are ignored.
-        if !empty || self.lines == 0 {
+        if !empty || self.head_lines == 0 {
             return;
         }
-        self.ended += 1;
-        self.lines = 0;
-        let (length, coded) = (self.length.take(), std::mem::take(&mut self.coded));
-        self.at = match (length, coded) {
-            (_, true) => At::Size,
-            (Some(length), false) if length > 0 => At::Body(length),
-            _ => At::Head,
+        self.heads_complete += 1;
+        self.head_lines = 0;
+        let (content_length, is_chunked) = (self.content_length.take(), std::mem::take(&mut self.is_chunked));
+        self.state = match (content_length, is_chunked) {
+            (_, true) => ParserState::ChunkSize,
+            (Some(content_length), false) if content_length > 0 => ParserState::Body(content_length),
+            _ => ParserState::Head,
         };
-        if length.is_some() && coded {
-            self.clash = self.clash.or(Some(self.ended));
+        if content_length.is_some() && is_chunked {
+            self.conflicting_head = self.conflicting_head.or(Some(self.heads_complete));
         }
     }
 }
 
 /// Observes the requests on a client's connection while hyper reads them.
-pub struct Followed {
-    heads: Heads,
-    guest: Rc<Guest>,
+pub struct RequestObserver {
+    parser: FramingParser,
+    client: Rc<ClientConnection>,
     /// Data that arrived behind the command in flight, and the maximum that is held back, in bytes.
-    behind: Vec<u8>,
-    most: usize,
+    held_back: Vec<u8>,
+    max_held_back: usize,
 }
 
-impl Followed {
-    pub fn new(guest: Rc<Guest>, most: usize) -> Followed {
-        Followed { heads: Heads::new(), guest, behind: Vec::new(), most }
+impl RequestObserver {
+    pub fn new(client: Rc<ClientConnection>, max_held_back: usize) -> RequestObserver {
+        RequestObserver { parser: FramingParser::new(), client, held_back: Vec::new(), max_held_back }
     }
 
     /// Reads on. While a read is pending, the client's close is seen as soon as it comes. After a read that
     /// returned, unread data may be waiting, because hyper reads no further until the data is consumed.
-    fn more(
+    fn read_more(
         &self,
         stream: Pin<&mut Transport>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let read = stream.poll_read(cx, buf);
-        self.guest.unread(read.is_ready());
+        self.client.set_may_have_unread(read.is_ready());
         read
     }
 
     /// While a command is in flight, the data behind it is held back, so that the client's close is still
     /// seen.
-    fn look_behind(&mut self, mut stream: Pin<&mut Transport>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn hold_back(&mut self, mut stream: Pin<&mut Transport>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         loop {
-            if !self.behind.is_empty() {
-                self.guest.part.set(true);
-                self.guest.when_answered(cx.waker());
+            if !self.held_back.is_empty() {
+                self.client.has_partial_request.set(true);
+                self.client.wake_when_answered(cx.waker());
             }
             // A client that follows the protocol never sends this much ahead. From here on its close is
             // detected behind the unread data.
-            if self.behind.len() >= self.most {
+            if self.held_back.len() >= self.max_held_back {
                 return Poll::Pending;
             }
-            let mut room = [0; BEHIND];
-            let mut some = ReadBuf::new(&mut room);
-            ready!(self.more(stream.as_mut(), cx, &mut some))?;
-            if some.filled().is_empty() {
+            let mut buffer = [0; READ_BYTES];
+            let mut read_buf = ReadBuf::new(&mut buffer);
+            ready!(self.read_more(stream.as_mut(), cx, &mut read_buf))?;
+            if read_buf.filled().is_empty() {
                 return Poll::Ready(Ok(()));
             }
-            self.behind.extend_from_slice(some.filled());
-            if self.behind.len() >= self.most {
-                self.guest.look.notify_one();
+            self.held_back.extend_from_slice(read_buf.filled());
+            if self.held_back.len() >= self.max_held_back {
+                self.client.recheck.notify_one();
             }
         }
     }
 }
 
-impl Watch for Followed {
+impl StreamObserver for RequestObserver {
     fn read(
         &mut self,
         stream: Pin<&mut Transport>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.heads.whole() && self.guest.in_hand(self.heads.ended) {
-            return self.look_behind(stream, cx);
+        if self.parser.is_at_request_end() && self.client.has_unanswered_request(self.parser.heads_complete) {
+            return self.hold_back(stream, cx);
         }
         let before = buf.filled().len();
-        if self.behind.is_empty() {
-            ready!(self.more(stream, cx, buf))?;
-            let own = self.heads.follow(&buf.filled()[before..]);
-            self.behind.extend_from_slice(&buf.filled()[before + own..]);
-            buf.set_filled(before + own);
+        if self.held_back.is_empty() {
+            ready!(self.read_more(stream, cx, buf))?;
+            let request_bytes = self.parser.parse(&buf.filled()[before..]);
+            self.held_back.extend_from_slice(&buf.filled()[before + request_bytes..]);
+            buf.set_filled(before + request_bytes);
         } else {
-            let here = self.behind.len().min(buf.remaining());
-            let own = self.heads.follow(&self.behind[..here]);
-            buf.put_slice(&self.behind[..own]);
-            self.behind.drain(..own);
+            let available = self.held_back.len().min(buf.remaining());
+            let request_bytes = self.parser.parse(&self.held_back[..available]);
+            buf.put_slice(&self.held_back[..request_bytes]);
+            self.held_back.drain(..request_bytes);
         }
-        self.guest.clash.set(self.heads.clash);
-        self.guest.part.set(self.heads.part() || !self.behind.is_empty());
+        self.client.conflicting_head.set(self.parser.conflicting_head);
+        self.client.has_partial_request.set(self.parser.has_partial_head() || !self.held_back.is_empty());
         Poll::Ready(Ok(()))
     }
 
-    fn wrote(&self, stuck: bool) {
-        self.guest.writes(stuck);
+    fn on_write(&self, is_stalled: bool) {
+        self.client.record_write(is_stalled);
     }
 
-    fn rests(&self, stream: &Transport) {
-        if self.guest.blind() && ended(stream.tcp()) {
-            self.guest.gone.set(true);
-            self.guest.look.notify_one();
+    fn on_flush(&self, stream: &Transport) {
+        if self.client.cannot_detect_close() && is_closed_by_peer(stream.tcp()) {
+            self.client.close_detected.set(true);
+            self.client.recheck.notify_one();
         }
     }
 }
 
 /// Whether the client has closed its side, even if data that it sent before is still unread.
-fn ended(stream: &TcpStream) -> bool {
+fn is_closed_by_peer(stream: &TcpStream) -> bool {
     let ready = pin!(stream.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
     matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
 }
 
 #[cfg(test)]
 mod tests {
-    use super::Heads;
+    use super::FramingParser;
 
     /// A head with two lengths must be detected whatever precedes it on the connection and wherever the data
     /// is split. While chunked bodies were not parsed, such a head passed undetected behind one, and the
@@ -288,18 +299,18 @@
             let text = parts.concat();
             for cut in 0..text.len() {
                 let (first, rest) = text.as_bytes().split_at(cut);
-                let (mut heads, mut ends) = (Heads::new(), Vec::new());
-                let mut at = 0;
+                let (mut parser, mut ends) = (FramingParser::new(), Vec::new());
+                let mut state = 0;
                 for mut part in [first, rest] {
                     while !part.is_empty() {
-                        let own = heads.follow(part);
-                        (at, part) = (at + own, &part[own..]);
-                        if heads.whole() {
-                            ends.push(at);
+                        let request_bytes = parser.parse(part);
+                        (state, part) = (state + request_bytes, &part[request_bytes..]);
+                        if parser.is_at_request_end() {
+                            ends.push(state);
                         }
                     }
                 }
-                assert_eq!(heads.clash, found, "{text:?} at {cut}");
+                assert_eq!(parser.conflicting_head, found, "{text:?} at {cut}");
                 if found.is_none() && !text.contains("no size") {
                     // Data is delivered up to the end of each request and no further: what follows waits for
                     // the answer.
