--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,11 +1,11 @@
 //! Serves one command, from the moment it is accepted to its answer.
 
-use crate::bodies::{Out, Start};
-use crate::client_connections::Busy;
-use crate::counts::{Account, End};
-use crate::dispatcher::Desk;
+use crate::bodies::{OutgoingBody, ReadBody};
+use crate::client_connections::CommandGuard;
+use crate::counts::{CommandEnd, CommandRecorder};
+use crate::dispatcher::Dispatcher;
 use crate::launch::Launch;
-use crate::launch_types::{Answer, Cargo, Done, Reins};
+use crate::launch_types::{BackendAnswer, LaunchControl, LaunchResult, OutboundRequest};
 use crate::log::note;
 use crate::node::Node;
 use crate::reply::{plain, turn_back, Reply};
@@ -22,52 +22,52 @@
 use yarrowfront::times::Span;
 
 /// A command in flight. It is dropped when the command has its answer, or earlier if the client disconnects.
-struct Held {
-    desk: Rc<Desk>,
+struct ActiveCommand {
+    dispatcher: Rc<Dispatcher>,
     hand: Hand,
     /// Receives the results of the launches.
-    ended: mpsc::UnboundedReceiver<Done>,
+    results: mpsc::UnboundedReceiver<LaunchResult>,
     /// Indexed by the launch's number.
-    out: Vec<Rc<Reins>>,
+    controls: Vec<Rc<LaunchControl>>,
     /// The statistics of the command, if any are kept, and its admission by the site failover plan, if there
     /// is one.
-    account: Option<Account>,
+    recorder: Option<CommandRecorder>,
     ticket: Option<Ticket>,
     /// Keeps its connection from being closed as idle.
-    _busy: Busy,
+    _command_guard: CommandGuard,
 }
 
-impl Held {
+impl ActiveCommand {
     /// Reports how the command ended to the statistics and the failover plan, once.
-    fn over(&mut self, end: End) {
-        let (account, ticket) = (&mut self.account, self.ticket.take());
-        if account.is_none() && ticket.is_none() {
+    fn record_end(&mut self, end: CommandEnd) {
+        let (recorder, ticket) = (&mut self.recorder, self.ticket.take());
+        if recorder.is_none() && ticket.is_none() {
             return;
         }
-        let (now, arrived) = (self.desk.clock.now(), self.desk.arrived(self.hand));
+        let (now, arrived) = (self.dispatcher.clock.now(), self.dispatcher.arrived(self.hand));
         if let Some(ticket) = ticket {
-            ticket.ended(end, now.since(arrived));
+            ticket.record_end(end, now.since(arrived));
         }
-        if let Some(account) = account {
-            account.over(now, arrived, end);
+        if let Some(recorder) = recorder {
+            recorder.record_end(now, arrived, end);
         }
     }
 }
 
-impl Drop for Held {
+impl Drop for ActiveCommand {
     fn drop(&mut self) {
-        self.over(End::Left);
+        self.record_end(CommandEnd::ClientGone);
         // A launch with an incomplete streaming body cannot complete any more.
-        let coming = self.desk.coming(self.hand);
-        self.out.iter().for_each(|out| if coming { out.call_off() } else { out.leave() });
-        if self.desk.leave(self.hand) {
+        let coming = self.dispatcher.is_body_streaming(self.hand);
+        self.controls.iter().for_each(|controls| if coming { controls.cancel() } else { controls.detach() });
+        if self.dispatcher.record_client_done(self.hand) {
             note!("command: the client disconnected before its answer");
         }
         // Results that were not received yet are still reported to the balancer. Launches that end later
         // report their own.
-        self.ended.close();
-        while let Ok(done) = self.ended.try_recv() {
-            self.desk.after(self.hand, &done, false);
+        self.results.close();
+        while let Ok(result) = self.results.try_recv() {
+            self.dispatcher.record_launch_result(self.hand, &result, false);
         }
     }
 }
@@ -75,108 +75,127 @@
 pub async fn serve(
     node: &Node,
     command: Command,
-    id: HeaderValue,
-    cargo: Rc<Cargo>,
-    (busy, ticket): (Busy, Option<Ticket>),
+    client_id: HeaderValue,
+    outbound: Rc<OutboundRequest>,
+    (guard, ticket): (CommandGuard, Option<Ticket>),
 ) -> Reply {
-    let desk = &node.desk;
-    let ends = command.ends;
-    let Some((hand, again)) = desk.take(command, id) else {
+    let dispatcher = &node.dispatcher;
+    let deadline = command.ends;
+    let Some((hand, placement_due)) = dispatcher.register(command, client_id) else {
         return plain(StatusCode::CONFLICT, "a command with this id is in flight");
     };
-    let (end, ended) = mpsc::unbounded_channel();
-    let account = desk.account(hand);
-    let out = Vec::new();
-    let mut held = Held { desk: desk.clone(), hand, ended, out, account, ticket, _busy: busy };
-    let (flowed, mut over) = watch::channel(false);
-    let flowed = Rc::new(flowed);
-    let mut say = desk.place(hand);
+    let (end, results) = mpsc::unbounded_channel();
+    let recorder = dispatcher.start_recorder(hand);
+    let controls = Vec::new();
+    let mut active = ActiveCommand {
+        dispatcher: dispatcher.clone(),
+        hand,
+        results,
+        controls,
+        recorder,
+        ticket,
+        _command_guard: guard,
+    };
+    let (body_complete, mut body_completed) = watch::channel(false);
+    let body_complete = Rc::new(body_complete);
+    let mut decision = dispatcher.place(hand);
     loop {
-        match say {
+        match decision {
             Say::Launch(backend) => {
-                let (number, address) = (desk.last_launch(hand), desk.address(backend));
-                let (cargo, flowed) = (cargo.clone(), flowed.clone());
-                let reins = Rc::<Reins>::default();
-                held.out.push(reins.clone());
-                let launch =
-                    Launch { cargo, hand, number, backend, address, ends, flowed, reins: reins.clone() };
-                let (launcher, desk, end) = (node.launcher.clone(), desk.clone(), end.clone());
-                held.account.iter_mut().for_each(|account| account.launched(desk.clock.now()));
+                let (number, address) = (dispatcher.last_launch_number(hand), dispatcher.address(backend));
+                let (outbound, body_complete) = (outbound.clone(), body_complete.clone());
+                let control = Rc::<LaunchControl>::default();
+                active.controls.push(control.clone());
+                let launch = Launch {
+                    outbound,
+                    hand,
+                    number,
+                    backend,
+                    address,
+                    deadline,
+                    body_complete,
+                    control: control.clone(),
+                };
+                let (launcher, dispatcher, end) = (node.launcher.clone(), dispatcher.clone(), end.clone());
+                active
+                    .recorder
+                    .iter_mut()
+                    .for_each(|recorder| recorder.record_launch(dispatcher.clock.now()));
                 // The launch has its own task: if the client disconnects, the balancer still learns the
                 // outcome.
                 tokio::task::spawn_local(async move {
-                    let done = tokio::select! {
+                    let result = tokio::select! {
                         biased;
-                        Ok(done) = launcher.oneshot(launch) => done,
+                        Ok(result) = launcher.oneshot(launch) => result,
                         // Dropping the launch closes its connection. If it was written, the backend may have
                         // run it.
-                        () = reins.called_off() => Done::bare(number, backend, match reins.written() {
+                        () = control.wait_cancelled() => LaunchResult::without_answer(number, backend, match control.may_be_written() {
                             true => Outcome::Cancelled,
                             false => Outcome::Unsent,
                         }),
                     };
-                    if let Err(unread) = end.send(done) {
-                        desk.after(hand, &unread.0, false);
+                    if let Err(unreceived) = end.send(result) {
+                        dispatcher.record_launch_result(hand, &unreceived.0, false);
                     }
                 });
             }
             Say::NotYet => {}
             Say::TurnBack(span) => {
-                held.over(End::TurnedBack);
+                active.record_end(CommandEnd::Rejected);
                 return turn_back(span);
             }
             Say::Errored => {
-                held.over(End::Errored);
+                active.record_end(CommandEnd::Failed);
                 return plain(StatusCode::BAD_GATEWAY, "errored");
             }
             Say::CallOff(launch) => {
                 // If a result is queued already, it is handled before the cancellation's.
-                held.out[usize::from(launch)].call_off();
+                active.controls[usize::from(launch)].cancel();
             }
         }
-        let wait = desk.wait(hand);
+        let check_delay = dispatcher.time_until_check(hand);
         // No deadline applies while the request body is streaming: the command's time counts from the last
         // byte.
-        let flows = desk.coming(hand);
-        say = tokio::select! {
+        let body_is_streaming = dispatcher.is_body_streaming(hand);
+        decision = tokio::select! {
             biased;
-            Some(mut done) = held.ended.recv() => {
-                let say = desk.after(hand, &done, cargo.spent());
-                let proves = done.outcome.proves_not_run(desk.full_may_have_run());
-                held.account.iter_mut().for_each(|account| account.outcome(proves));
-                if let Some(answer) = done.answer.take() {
-                    held.over(End::Finished);
-                    return finished(answer, held);
+            Some(mut result) = active.results.recv() => {
+                let decision = dispatcher.record_launch_result(hand, &result, outbound.is_body_consumed());
+                let proves_not_run = result.outcome.proves_not_run(dispatcher.full_may_have_run());
+                active.recorder.iter_mut().for_each(|recorder| recorder.record_outcome(proves_not_run));
+                if let Some(answer) = result.answer.take() {
+                    active.record_end(CommandEnd::Finished);
+                    return answer_client(answer, active);
                 }
-                say
+                decision
             }
-            Ok(()) = over.changed(), if flows => {
-                desk.flowed(hand);
+            Ok(()) = body_completed.changed(), if body_is_streaming => {
+                dispatcher.record_body_complete(hand);
                 Say::NotYet
             }
             // During a stop the last byte would arrive too late for an answer. Without it the command cannot
             // have run.
-            () = node.stop.past(node.limits.idle_on), if flows => {
-                held.over(End::TurnedBack);
+            () = node.stop.past(node.limits.idle_on), if body_is_streaming => {
+                active.record_end(CommandEnd::Rejected);
                 return turn_back(Span(0));
             }
             // Even an answer that a backend sends now would not reach the client before the process is
             // killed.
-            () = node.stop.past(node.limits.answer_by.get()), if !flows => desk.give_up(hand),
-            () = again.notified(), if !flows => desk.place(hand),
-            () = sleep(wait.unwrap_or_default()), if wait.is_some() && !flows => desk.place(hand),
+            () = node.stop.past(node.limits.answer_by.get()), if !body_is_streaming => dispatcher.give_up(hand),
+            () = placement_due.notified(), if !body_is_streaming => dispatcher.place(hand),
+            () = sleep(check_delay.unwrap_or_default()), if check_delay.is_some() && !body_is_streaming => dispatcher.place(hand),
         };
     }
 }
 
-fn finished(answer: Answer, held: Held) -> Reply {
+fn answer_client(answer: BackendAnswer, active: ActiveCommand) -> Reply {
     let mut reply = Response::new(match answer.body {
-        Start::Whole(body) => Out::from(body),
+        ReadBody::Buffered(body) => OutgoingBody::from(body),
         // The command stays in flight until the last byte of the answer is written: until then its id is not
         // free and its connection does not count as idle.
-        Start::Flows(mut flow) => {
-            flow.keep(Rc::new(held));
-            Out::Flows(flow)
+        ReadBody::Streaming(mut stream) => {
+            stream.keep_until_end(Rc::new(active));
+            OutgoingBody::Streaming(stream)
         }
     });
     *reply.headers_mut() = answer.headers;
--- a/crates/node/src/site_evidence.rs
+++ b/crates/node/src/site_evidence.rs
@@ -8,59 +8,59 @@
 /// Launches and probes that were answered in any way, those that were not answered, and how many of the
 /// answers said that the backend was full.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Came {
+pub struct LaunchCounts {
     pub answered: u32,
-    pub dead: u32,
-    pub slow: u32,
+    pub unanswered: u32,
+    pub full: u32,
 }
 
 #[derive(Default)]
-pub struct Witness {
+pub struct SiteEvidence {
     /// The site of each backend, indexed by `BackendId`.
     site_of: RefCell<Vec<u16>>,
     /// Indexed by site.
-    by: RefCell<Vec<Came>>,
+    counts: RefCell<Vec<LaunchCounts>>,
 }
 
-impl Witness {
-    pub fn listed(&self, backend: BackendId, site: u16) {
+impl SiteEvidence {
+    pub fn set_site(&self, backend: BackendId, site: u16) {
         let sites = &mut *self.site_of.borrow_mut();
-        let place = backend.0 as usize;
-        if sites.len() <= place {
-            sites.resize(place + 1, 0);
+        let index = backend.0 as usize;
+        if sites.len() <= index {
+            sites.resize(index + 1, 0);
         }
-        sites[place] = site;
+        sites[index] = site;
     }
 
-    fn count(&self, backend: BackendId, change: impl FnOnce(&mut Came)) {
+    fn count(&self, backend: BackendId, change: impl FnOnce(&mut LaunchCounts)) {
         let Some(&site) = self.site_of.borrow().get(backend.0 as usize) else { return };
-        let by = &mut *self.by.borrow_mut();
-        let place = usize::from(site);
-        if by.len() <= place {
-            by.resize(place + 1, Came::default());
+        let counts = &mut *self.counts.borrow_mut();
+        let index = usize::from(site);
+        if counts.len() <= index {
+            counts.resize(index + 1, LaunchCounts::default());
         }
-        change(&mut by[place]);
+        change(&mut counts[index]);
     }
 
     /// Counts a launch that has ended. One that was cancelled or never sent says nothing about the site.
-    pub fn came(&self, backend: BackendId, outcome: Outcome) {
-        self.count(backend, |came| match outcome {
-            Outcome::Finished | Outcome::Errored => came.answered += 1,
-            Outcome::Full => (came.answered, came.slow) = (came.answered + 1, came.slow + 1),
-            Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken => came.dead += 1,
+    pub fn count_launch(&self, backend: BackendId, outcome: Outcome) {
+        self.count(backend, |counts| match outcome {
+            Outcome::Finished | Outcome::Errored => counts.answered += 1,
+            Outcome::Full => (counts.answered, counts.full) = (counts.answered + 1, counts.full + 1),
+            Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken => counts.unanswered += 1,
             Outcome::Cancelled | Outcome::Unsent => {}
         });
     }
 
-    pub fn probed(&self, backend: BackendId, found: bool) {
-        self.count(backend, |came| match found {
-            true => came.answered += 1,
-            false => came.dead += 1,
+    pub fn count_probe(&self, backend: BackendId, found: bool) {
+        self.count(backend, |counts| match found {
+            true => counts.answered += 1,
+            false => counts.unanswered += 1,
         });
     }
 
     /// Returns the counts since the last call, indexed by site, and resets them.
-    pub fn take(&self) -> Vec<Came> {
-        std::mem::take(&mut self.by.borrow_mut())
+    pub fn take(&self) -> Vec<LaunchCounts> {
+        std::mem::take(&mut self.counts.borrow_mut())
     }
 }
--- a/crates/node/src/sites.rs
+++ b/crates/node/src/sites.rs
@@ -1,11 +1,11 @@
 //! Site failover: collects what this node observes of each site, and admits or rejects commands accordingly.
 //! Runs only if a site failover plan is configured.
 
-use crate::counts::End;
-use crate::dispatcher::Desk;
+use crate::counts::CommandEnd;
+use crate::dispatcher::Dispatcher;
 use crate::fleet::Fleet;
 use crate::log::note;
-use crate::site_evidence::{Came, Witness};
+use crate::site_evidence::{LaunchCounts, SiteEvidence};
 use serde_json::{json, Value};
 use sites::door::{Door, Look, Said};
 use sites::going::Whose;
@@ -33,11 +33,11 @@
 pub struct Sites {
     /// Admits commands by site, and keeps the state of each site.
     door: RefCell<Door>,
-    desk: Rc<Desk>,
+    dispatcher: Rc<Dispatcher>,
     fleet: Option<Rc<Fleet>>,
-    witness: Rc<Witness>,
+    site_evidence: Rc<SiteEvidence>,
     /// The results of launches in each of the latest intervals, by site.
-    lately: RefCell<VecDeque<Vec<Came>>>,
+    lately: RefCell<VecDeque<Vec<LaunchCounts>>>,
     /// The number of backends that each site has had on the list, decaying over time.
     listed: RefCell<Vec<f64>>,
     warm_within: Cell<Span>,
@@ -53,9 +53,9 @@
 impl Ticket {
     /// Records how the command ended and how long it took. A client that gives up within the goal time says
     /// nothing about the capacity.
-    pub fn ended(self, end: End, took: Span) {
-        let in_goal = end == End::Finished && took <= self.goal;
-        if in_goal || end != End::Left || took > self.goal {
+    pub fn record_end(self, end: CommandEnd, took: Span) {
+        let in_goal = end == CommandEnd::Finished && took <= self.goal;
+        if in_goal || end != CommandEnd::ClientGone || took > self.goal {
             self.sites.door.borrow_mut().ended(self.profile, in_goal);
         }
     }
@@ -66,7 +66,7 @@
     pub fn new(
         plan: Plan,
         own: &str,
-        (desk, fleet, witness): (Rc<Desk>, Option<Rc<Fleet>>, Rc<Witness>),
+        (dispatcher, fleet, site_evidence): (Rc<Dispatcher>, Option<Rc<Fleet>>, Rc<SiteEvidence>),
         warm_within: Span,
     ) -> Result<Rc<Sites>, String> {
         let place = plan.sites.iter().position(|site| site.name == own);
@@ -74,9 +74,9 @@
             .map(SiteId)
             .ok_or_else(|| format!("sites: the plan has no entry for this node's site {own:?}"))?;
         let listed = RefCell::new(vec![0.0; plan.sites.len()]);
-        let door = RefCell::new(Door::new(desk.clock.now(), plan, own, Times::default()));
+        let door = RefCell::new(Door::new(dispatcher.clock.now(), plan, own, Times::default()));
         let (lately, warm_within) = (RefCell::default(), Cell::new(warm_within));
-        Ok(Rc::new(Sites { door, desk, fleet, witness, lately, listed, warm_within }))
+        Ok(Rc::new(Sites { door, dispatcher, fleet, site_evidence, lately, listed, warm_within }))
     }
 
     /// Adopts a changed plan for the same sites and profiles.
@@ -92,7 +92,7 @@
     }
 
     fn look(&self) {
-        let now = self.desk.clock.now();
+        let now = self.dispatcher.clock.now();
         let names: Vec<String> = self.door.borrow().plan.sites.iter().map(|site| site.name.clone()).collect();
         let own = self.door.borrow().own();
         let look = self.found(now, &names, own);
@@ -119,26 +119,27 @@
             lately.pop_front();
         }
         let sum = |place: usize| {
-            lately.iter().fold(Came::default(), |sum, came| {
+            lately.iter().fold(LaunchCounts::default(), |sum, came| {
                 let came = came.get(place).copied().unwrap_or_default();
-                let (answered, dead) = (sum.answered + came.answered, sum.dead + came.dead);
-                Came { answered, dead, slow: sum.slow + came.slow }
+                let (answered, unanswered) = (sum.answered + came.answered, sum.unanswered + came.unanswered);
+                LaunchCounts { answered, unanswered, full: sum.full + came.full }
             })
         };
-        let (ready, cold) = self.desk.listed_by_site(names, now, self.warm_within.get());
+        let (ready, cold) = self.dispatcher.listed_by_site(names, now, self.warm_within.get());
         let known = &mut *self.listed.borrow_mut();
         for (known, ready) in known.iter_mut().zip(&ready) {
             *known = (*known * FORGET).max(f64::from(*ready));
         }
         let all: u32 = ready.iter().sum();
         let emptied = all == 0 && known.iter().any(|known| *known >= 1.0);
-        let list_age = self.desk.load().4.map_or(Span(u64::MAX), |age| Span(age.as_micros() as u64));
+        let list_age = self.dispatcher.load().4.map_or(Span(u64::MAX), |age| Span(age.as_micros() as u64));
         let view = self.fleet.as_ref().map(|fleet| fleet.sites());
         let isolated = view.as_ref().is_some_and(|view| view.isolated);
         let evidence = |place: usize| {
             let came = sum(place);
             let elsewhere = (0..names.len()).filter(|other| *other != place).map(sum);
-            let elsewhere = elsewhere.fold((0, 0), |all, came| (all.0 + came.answered, all.1 + came.dead));
+            let elsewhere =
+                elsewhere.fold((0, 0), |all, came| (all.0 + came.answered, all.1 + came.unanswered));
             let nodes = view.as_ref().map(|view| view.of.get(&names[place]).copied().unwrap_or_default());
             let listed = (known[place] >= 0.5).then(|| (ready[place], known[place].round() as u32));
             Evidence {
@@ -148,22 +149,22 @@
                 list_age,
                 emptied,
                 answered: came.answered,
-                dead: came.dead,
+                dead: came.unanswered,
                 elsewhere,
-                slow: came.slow,
+                slow: came.full,
             }
         };
         let beside = view.as_ref().and_then(|view| view.of.get(&names[own.0])).map_or(1, |(here, _)| *here);
-        let young = now.since(self.desk.clock.began()) < YOUNG;
-        let older = |life: u64| life + YOUNG.0 < self.desk.clock.began().0;
+        let young = now.since(self.dispatcher.clock.process_start()) < YOUNG;
+        let older = |life: u64| life + YOUNG.0 < self.dispatcher.clock.process_start().0;
         let joined = young && view.as_ref().is_some_and(|view| view.oldest_elsewhere.is_some_and(older));
         let share = f64::from(cold[own.0]) / f64::from(ready[own.0].max(1));
         Look { evidence: (0..names.len()).map(evidence).collect(), beside, joined, cold: share }
     }
 
     /// The results of launches, in the plan's order of sites.
-    fn by_name(&self, names: &[String]) -> Vec<Came> {
-        let (by, zones) = (self.witness.take(), &self.desk.names().zones);
+    fn by_name(&self, names: &[String]) -> Vec<LaunchCounts> {
+        let (by, zones) = (self.site_evidence.take(), &self.dispatcher.names().zones);
         let of = |name: &String| {
             zones.iter().position(|zone| zone == name).and_then(|place| by.get(place).copied())
         };
@@ -178,9 +179,9 @@
         else {
             return Ok(None);
         };
-        let own = door.since.is_none_or(|since| came < self.desk.clock.instant(since));
+        let own = door.since.is_none_or(|since| came < self.dispatcher.clock.instant(since));
         let whose = if own { Whose::Own } else { Whose::Guest };
-        match door.ask(whose, profile, self.desk.longest_come_back()) {
+        match door.ask(whose, profile, self.dispatcher.max_retry_after()) {
             Said::In => Ok(Some(Ticket { sites: self.clone(), profile, goal })),
             Said::Back(span) => Err(span),
         }
@@ -196,7 +197,7 @@
         };
         let door = &mut *self.door.borrow_mut();
         let place = door.plan.sites.iter().position(|site| site.name == name)?;
-        door.declare(self.desk.clock.now(), SiteId(place), word);
+        door.declare(self.dispatcher.clock.now(), SiteId(place), word);
         let said = match word {
             Word::Lost => "is declared lost, for an hour at the most",
             Word::Held => "is not to come back yet, for an hour at the most",
@@ -207,7 +208,7 @@
 
     /// The state as JSON: times in milliseconds, work in standard commands per second.
     pub fn told(&self) -> Value {
-        let (door, now) = (self.door.borrow(), self.desk.clock.now());
+        let (door, now) = (self.door.borrow(), self.dispatcher.clock.now());
         let (room, open) = door.room();
         let site = |id: SiteId| {
             let knowing = door.knows(id);
