--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -148,13 +148,13 @@
     fn sites(&self) -> Reply {
         match &self.sites {
             None => plain(StatusCode::NOT_FOUND, "no site failover plan is configured"),
-            Some(sites) => as_json(&sites.told()),
+            Some(sites) => as_json(&sites.to_json()),
         }
     }
 
     fn site(&self, name: &str, word: &str) -> Reply {
         let Some(sites) = &self.sites else { return self.sites() };
-        match sites.declare(name, word) {
+        match sites.set_override(name, word) {
             Some(now) => {
                 note!("admin: {now}");
                 plain(StatusCode::OK, &now)
--- a/crates/node/src/client_service.rs
+++ b/crates/node/src/client_service.rs
@@ -4,7 +4,7 @@
 use crate::bodies::{ReadBody, ReadError};
 use crate::client_connections::ClientConnection;
 use crate::launch_types::{OutboundRequest, RequestBody, TIME_LEFT_HEADER};
-use crate::list::mark;
+use crate::list::stable_hash;
 use crate::node::Node;
 use crate::reply::{onward, plain, turn_back, Reply};
 use crate::serve::serve;
@@ -22,8 +22,8 @@
 use tower::Service;
 use yarrowfront::command::Command;
 use yarrowfront::ids::CommandId;
-use yarrowfront::terms::Effect;
-use yarrowfront::times::Span;
+use yarrowfront::settings::Idempotency;
+use yarrowfront::times::Micros;
 
 const CORRELATION_ID_HEADER: &str = "x-correlation-id";
 const PROFILE_HEADER: &str = "x-service-class";
@@ -85,7 +85,7 @@
             Ok(command) => command,
             Err(why) => return plain(StatusCode::BAD_REQUEST, &why),
         };
-        let time_left = command.ends.since(command.arrived);
+        let time_left = command.deadline.since(command.arrived_at);
         let (head, body) = request.into_parts();
         // During a stop the rest of the body would arrive too late for an answer.
         let stopped = self.stop.past(self.limits.idle_on);
@@ -115,8 +115,9 @@
             None => None,
             Some(sites) => {
                 let names = self.dispatcher.names();
-                let known = names.known(command.profile).map(|(name, profile)| (name, profile.goal_time));
-                match known.map_or(Ok(None), |(name, goal)| sites.ask(name, goal, client.accepted_at)) {
+                let known =
+                    names.definition(command.profile).map(|(name, profile)| (name, profile.goal_time));
+                match known.map_or(Ok(None), |(name, goal)| sites.admit(name, goal, client.accepted_at)) {
                     Ok(ticket) => ticket,
                     // No launch was made, so the command certainly has not run.
                     Err(span) => return turn_back(span),
@@ -125,8 +126,8 @@
         };
         // The command's time counts from its last byte: from now if the body is complete, otherwise from now
         // and again when the last byte arrives.
-        command.arrived = self.dispatcher.clock.now();
-        command.ends = command.arrived + time_left;
+        command.arrived_at = self.dispatcher.clock.now();
+        command.deadline = command.arrived_at + time_left;
         let path = head.uri.path_and_query().cloned().unwrap_or_else(|| PathAndQuery::from_static("/api"));
         let id = head.headers[CORRELATION_ID_HEADER].clone();
         let (method, headers) = (head.method, onward(head.headers));
@@ -135,7 +136,7 @@
             ReadBody::Buffered(body) => RequestBody::Buffered(body),
             ReadBody::Streaming(mut stream) => {
                 stream.set_timeout(self.limits.client_silence, true);
-                command.coming = true;
+                command.is_body_incomplete = true;
                 // When the connection closes, hyper drops this future together with the rest of the body.
                 _cut_guard = Some(stream.cut_guard());
                 client.recheck.notify_one();
@@ -156,13 +157,16 @@
         }
         let name = header(PROFILE_HEADER).ok_or_else(|| format!("{PROFILE_HEADER} is missing"))?;
         let names = self.dispatcher.names();
-        let (profile, definition) =
-            names.profile(name).ok_or_else(|| format!("{PROFILE_HEADER} is not a configured profile"))?;
+        let (profile, definition) = names
+            .find_profile(name)
+            .ok_or_else(|| format!("{PROFILE_HEADER} is not a configured profile"))?;
         if method != Method::GET && method != Method::POST {
             return Err("a command must use the method GET or POST".into());
         }
         // Without its key a repeat could not be recognized as one.
-        if definition.effect == Effect::Tagged && header(IDEMPOTENCY_KEY_HEADER).is_none_or(str::is_empty) {
+        if definition.idempotency == Idempotency::ByKey
+            && header(IDEMPOTENCY_KEY_HEADER).is_none_or(str::is_empty)
+        {
             return Err(format!("{IDEMPOTENCY_KEY_HEADER} is missing"));
         }
         let time_left = header(TIME_LEFT_HEADER).ok_or_else(|| format!("{TIME_LEFT_HEADER} is missing"))?;
@@ -171,11 +175,11 @@
             .map_err(|_| format!("{TIME_LEFT_HEADER} is not a whole number of milliseconds"))?;
         let time_left = Duration::from_millis(time_left).min(self.limits.longest_command);
         let now = self.dispatcher.clock.now();
-        let mut command = Command::new(CommandId(0), profile, now, Span(time_left.as_micros() as u64));
+        let mut command = Command::new(CommandId(0), profile, now, Micros(time_left.as_micros() as u64));
         // A hint that cannot be parsed is ignored.
-        command.hint = header(WEIGHT_HINT_HEADER).and_then(|h| h.parse().ok()).map(Span);
-        command.repeat = header(REPEAT_HEADER) == Some("1");
-        command.key = header(FACTS_HEADER).map_or(0, affinity_key);
+        command.work_hint = header(WEIGHT_HINT_HEADER).and_then(|h| h.parse().ok()).map(Micros);
+        command.is_client_retry = header(REPEAT_HEADER) == Some("1");
+        command.affinity_key = header(FACTS_HEADER).map_or(0, affinity_key);
         Ok(command)
     }
 }
@@ -185,7 +189,7 @@
 fn affinity_key(facts: &str) -> u64 {
     let pairs = facts.split(',').filter_map(|pair| pair.split_once('='));
     let key = pairs.filter(|(name, _)| name.trim() == "nameKey").map(|(_, value)| value.trim()).next();
-    key.filter(|key| !key.is_empty() && *key != "0").map_or(0, |key| mark(key).max(1))
+    key.filter(|key| !key.is_empty() && *key != "0").map_or(0, |key| stable_hash(key).max(1))
 }
 
 #[cfg(test)]
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -7,8 +7,8 @@
 use sites::plan::Plan;
 use std::net::SocketAddr;
 use std::time::Duration;
-use yarrowfront::terms::Terms;
-use yarrowfront::times::Span;
+use yarrowfront::settings::Settings;
+use yarrowfront::times::Micros;
 use yarrowfront_view::terms::ViewTerms;
 
 pub struct Start {
@@ -21,7 +21,7 @@
     /// The address for operators' requests.
     pub admin: Option<SocketAddr>,
     pub seed: u64,
-    pub terms: Terms,
+    pub settings: Settings,
     pub names: Names,
     pub limits: Limits,
     /// The list as this node last had it, as a cache for the start.
@@ -151,20 +151,20 @@
         let admin = admin.map(|(at, _)| at);
         let seed = text(&file, "seed")?;
         let seed = u64::from_str_radix(&seed, 16).map_err(|_| format!("seed is not hexadecimal: {seed}"))?;
-        let settings = at(&file, "settings")?;
-        let mut terms = Terms::from_json(settings.to_string().as_bytes())?;
+        let settings_json = at(&file, "settings")?;
+        let mut settings = Settings::from_json(settings_json.to_string().as_bytes())?;
         let zones = texts(&file, "settings.zones", None)?;
-        if !zones.is_empty() && usize::from(terms.zone) >= zones.len() {
-            return Err(format!("settings.zone: there is no zone {} in settings.zones", terms.zone));
+        if !zones.is_empty() && usize::from(settings.zone) >= zones.len() {
+            return Err(format!("settings.zone: there is no zone {} in settings.zones", settings.zone));
         }
         let names = Names::new(
             zones,
             texts(&file, "settings.flavors", None)?,
             texts(&file, "settings.profiles", Some("name"))?,
             texts(&file, "settings.report.names", None)?,
-            &terms,
+            &settings,
         );
-        let longest = terms.profiles.iter().map(|p| p.time_limit).max().unwrap_or_default();
+        let longest = settings.profiles.iter().map(|p| p.time_limit).max().unwrap_or_default();
         let limits = Limits::fill(
             number(&file, "limits.sockets")? as usize,
             number(&file, "limits.memory_mb")? as usize,
@@ -174,7 +174,7 @@
         )?;
         // The pool closes idle connections before their backend does, so its idle timeout is the one that
         // counts.
-        terms.conn_idle = Span(limits.backend_idle.get().as_micros() as u64);
+        settings.connection_idle_timeout = Micros(limits.backend_idle.get().as_micros() as u64);
         let known = file.get("known").filter(|k| !k.is_null()).cloned();
         let folder = variable("TMPDIR");
         let view = match variable("ROUTER_FLEET").is_some() || at(&file, "fleet").is_ok() {
@@ -199,7 +199,7 @@
             folder,
             admin,
             seed,
-            terms,
+            settings,
             names,
             limits,
             known,
--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -8,8 +8,8 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 use yarrowfront::command::Outcome;
-use yarrowfront::terms::{Effect, Profile};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::settings::{Idempotency, Profile};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// The version of the statistics' format and of the rollout requests.
 pub const VERSION: u32 = 1;
@@ -84,10 +84,10 @@
         Outcome::Errored => 1,
         Outcome::Full => 2,
         Outcome::TimedOut => 3,
-        Outcome::Unreachable => 4,
-        Outcome::Broken => 5,
+        Outcome::ConnectFailed => 4,
+        Outcome::ConnectionLost => 5,
         Outcome::Cancelled => 6,
-        Outcome::Unsent => 7,
+        Outcome::NotSent => 7,
     }
 }
 
@@ -121,8 +121,8 @@
     inner: RefCell<Inner>,
 }
 
-fn bucket(span: Span) -> u8 {
-    let steps = (span.micros() / FIRST_BUCKET_US).max(1.0).log2() * BUCKETS_PER_DOUBLING;
+fn bucket(span: Micros) -> u8 {
+    let steps = (span.as_f64() / FIRST_BUCKET_US).max(1.0).log2() * BUCKETS_PER_DOUBLING;
     steps.min((BUCKETS - 1) as f64) as u8
 }
 
@@ -150,7 +150,7 @@
     }
 
     /// Calls a function with the inner state, which then has an entry for the present second.
-    fn with_second<T>(&self, now: Moment, call: impl FnOnce(&mut Inner) -> T) -> T {
+    fn with_second<T>(&self, now: Timestamp, call: impl FnOnce(&mut Inner) -> T) -> T {
         let inner = &mut *self.inner.borrow_mut();
         let at = now.0 / 1_000_000;
         if inner.seconds.back().is_none_or(|last| last.at < at) {
@@ -162,7 +162,7 @@
         call(inner)
     }
 
-    fn update_profile(&self, now: Moment, profile: &str, change: impl Fn(&mut ProfileCounts)) {
+    fn update_profile(&self, now: Timestamp, profile: &str, change: impl Fn(&mut ProfileCounts)) {
         self.with_second(now, |inner| {
             let place = inner.profile_index(profile);
             change(&mut inner.totals[place]);
@@ -175,13 +175,13 @@
         });
     }
 
-    fn count_accepted(&self, now: Moment, profile: &str) {
+    fn count_accepted(&self, now: Timestamp, profile: &str) {
         self.update_profile(now, profile, |entry| entry.accepted += 1);
     }
 
     /// Counts a launch; `extra` if it is not the command's first, `twice` if the command is once-only and
     /// may have run already.
-    fn count_launch(&self, now: Moment, profile: &str, extra: bool, possible_second_runs: bool) {
+    fn count_launch(&self, now: Timestamp, profile: &str, extra: bool, possible_second_runs: bool) {
         self.update_profile(now, profile, |entry| {
             entry.launches += 1;
             entry.extra += u32::from(extra);
@@ -192,10 +192,10 @@
     /// Counts a command that has ended, with or without an answer.
     fn count_end(
         &self,
-        now: Moment,
+        now: Timestamp,
         name: &str,
-        (payoff, goal_time): (f64, Span),
-        arrived: Moment,
+        (payoff, goal_time): (f64, Micros),
+        arrived: Timestamp,
         end: CommandEnd,
     ) {
         let latency = now.since(arrived);
@@ -226,7 +226,7 @@
         });
     }
 
-    pub fn count_outcome(&self, now: Moment, outcome: Outcome) {
+    pub fn count_outcome(&self, now: Timestamp, outcome: Outcome) {
         self.with_second(now, |inner| {
             inner.outcomes[outcome_index(outcome)] += 1;
             if let Some(second) = inner.seconds.back_mut() {
@@ -235,21 +235,21 @@
         });
     }
 
-    pub fn count_connection(&self, now: Moment) {
+    pub fn count_connection(&self, now: Timestamp) {
         self.with_second(now, |inner| {
             inner.connections += 1;
             inner.seconds.back_mut().into_iter().for_each(|second| second.connections += 1);
         });
     }
 
-    pub fn count_probe(&self, now: Moment) {
+    pub fn count_probe(&self, now: Timestamp) {
         self.with_second(now, |inner| {
             inner.probes += 1;
             inner.seconds.back_mut().into_iter().for_each(|second| second.probes += 1);
         });
     }
 
-    pub fn count_list_update(&self, now: Moment) {
+    pub fn count_list_update(&self, now: Timestamp) {
         self.with_second(now, |inner| {
             inner.lists += 1;
             inner.seconds.back_mut().into_iter().for_each(|second| second.lists += 1);
@@ -258,7 +258,7 @@
 
     /// Totals since the start, and every complete second after the given one. Latencies are in microseconds;
     /// those of a second are pairs of a bucket's lower bound and its count.
-    pub fn to_json(&self, now: Moment, after: u64) -> Value {
+    pub fn to_json(&self, now: Timestamp, after: u64) -> Value {
         let inner = self.inner.borrow();
         let by_profile = |tallies: &[ProfileCounts]| -> Value {
             let some = inner
@@ -301,7 +301,7 @@
     counts: Rc<Counts>,
     name: String,
     payoff: f64,
-    goal_time: Span,
+    goal_time: Micros,
     is_once_only: bool,
     launch_count: u32,
     in_flight: u32,
@@ -311,10 +311,10 @@
 }
 
 impl CommandRecorder {
-    pub fn start(counts: Rc<Counts>, now: Moment, name: &str, profile: &Profile) -> CommandRecorder {
+    pub fn start(counts: Rc<Counts>, now: Timestamp, name: &str, profile: &Profile) -> CommandRecorder {
         counts.count_accepted(now, name);
         let (payoff, goal_time, is_once_only) =
-            (profile.payoff, profile.goal_time, profile.effect == Effect::OnceOnly);
+            (profile.payoff, profile.goal_time, profile.idempotency == Idempotency::Once);
         let (launch_count, in_flight, may_have_run, has_ended) = Default::default();
         CommandRecorder {
             counts,
@@ -330,7 +330,7 @@
     }
 
     /// Counts a launch that is sent.
-    pub fn record_launch(&mut self, now: Moment) {
+    pub fn record_launch(&mut self, now: Timestamp) {
         let possible_second_runs = self.is_once_only && (self.may_have_run || self.in_flight > 0);
         self.counts.count_launch(now, &self.name, self.launch_count > 0, possible_second_runs);
         (self.launch_count, self.in_flight) = (self.launch_count + 1, self.in_flight + 1);
@@ -344,7 +344,7 @@
 
     /// Counts the end of the command: the client has its answer or has disconnected. Only the first call
     /// counts.
-    pub fn record_end(&mut self, now: Moment, arrived: Moment, end: CommandEnd) {
+    pub fn record_end(&mut self, now: Timestamp, arrived: Timestamp, end: CommandEnd) {
         if !std::mem::replace(&mut self.has_ended, true) {
             self.counts.count_end(now, &self.name, (self.payoff, self.goal_time), arrived, end);
         }
@@ -382,7 +382,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use yarrowfront::terms::Among;
+    use yarrowfront::settings::DedupScope;
 
     /// Each second is reported once, after it is complete; its counters add up to the totals, and old
     /// seconds are dropped. A rollout that read an incomplete second, or one second twice, would compare
@@ -391,18 +391,18 @@
     fn seconds_add_up() {
         let counts = Counts::new(5);
         for second in 0..9u64 {
-            let now = Moment(second * 1_000_000 + 1000);
+            let now = Timestamp(second * 1_000_000 + 1000);
             counts.count_accepted(now, "pay");
             counts.count_launch(now, "pay", false, false);
             counts.count_launch(now, "pay", true, second == 3);
             counts.count_outcome(now, Outcome::Finished);
             let end = if second % 2 == 0 { CommandEnd::Finished } else { CommandEnd::Rejected };
-            counts.count_end(now + Span::millis(40), "pay", (2.0, Span::millis(50)), now, end);
+            counts.count_end(now + Micros::from_millis(40), "pay", (2.0, Micros::from_millis(50)), now, end);
         }
-        let json = counts.to_json(Moment(8_500_000), 0);
+        let json = counts.to_json(Timestamp(8_500_000), 0);
         let seconds = json["seconds"].as_array().expect("seconds");
         assert_eq!(seconds.iter().map(|s| s["at"].as_u64()).collect::<Vec<_>>(), [4, 5, 6, 7].map(Some));
-        assert_eq!(counts.to_json(Moment(9_000_000), 6)["seconds"].as_array().map(Vec::len), Some(2));
+        assert_eq!(counts.to_json(Timestamp(9_000_000), 6)["seconds"].as_array().map(Vec::len), Some(2));
         let all = &json["total"]["all"];
         assert_eq!([&all["taken"], &all["in_goal"], &all["turned_back"]], [&json!(9), &json!(5), &json!(4)]);
         assert_eq!([&all["asked"], &all["served"]], [&json!(18.0), &json!(10.0)]);
@@ -421,31 +421,37 @@
     #[test]
     fn second_runs() {
         let cases = [
-            (Effect::OnceOnly, Some(true), 0),
-            (Effect::OnceOnly, Some(false), 1),
-            (Effect::OnceOnly, None, 1),
-            (Effect::Repeatable, Some(false), 0),
-            (Effect::Tagged, None, 0),
+            (Idempotency::Once, Some(true), 0),
+            (Idempotency::Once, Some(false), 1),
+            (Idempotency::Once, None, 1),
+            (Idempotency::Repeatable, Some(false), 0),
+            (Idempotency::ByKey, None, 0),
         ];
-        for (effect, proves_not_run, possible_second_runs) in cases {
-            let span = Span::millis(500);
-            let (goal_time, time_limit, memory_span) = (span, span, span);
-            let profile =
-                Profile { goal_time, time_limit, effect, among: Among::All, memory_span, payoff: 1.0 };
+        for (idempotency, proves_not_run, possible_second_runs) in cases {
+            let span = Micros::from_millis(500);
+            let (goal_time, time_limit, dedup_window) = (span, span, span);
+            let profile = Profile {
+                goal_time,
+                time_limit,
+                idempotency,
+                dedup_scope: DedupScope::All,
+                dedup_window,
+                payoff: 1.0,
+            };
             let counts = Rc::new(Counts::new(10));
-            let mut recorder = CommandRecorder::start(counts.clone(), Moment(1), "p", &profile);
-            recorder.record_launch(Moment(1));
+            let mut recorder = CommandRecorder::start(counts.clone(), Timestamp(1), "p", &profile);
+            recorder.record_launch(Timestamp(1));
             if let Some(proves) = proves_not_run {
                 recorder.record_outcome(proves);
             }
-            recorder.record_launch(Moment(1));
-            recorder.record_end(Moment(2), Moment(1), CommandEnd::Failed);
-            recorder.record_end(Moment(2), Moment(1), CommandEnd::ClientGone);
-            let all = counts.to_json(Moment(1), 0)["total"]["all"].clone();
+            recorder.record_launch(Timestamp(1));
+            recorder.record_end(Timestamp(2), Timestamp(1), CommandEnd::Failed);
+            recorder.record_end(Timestamp(2), Timestamp(1), CommandEnd::ClientGone);
+            let all = counts.to_json(Timestamp(1), 0)["total"]["all"].clone();
             assert_eq!(
                 [&all["twice"], &all["left"]],
                 [&json!(possible_second_runs), &json!(0)],
-                "{effect:?}"
+                "{idempotency:?}"
             );
         }
     }
@@ -455,20 +461,21 @@
     #[test]
     #[ignore = "measures"]
     fn what_it_costs() {
-        let (goal_time, time_limit, memory_span) = (Span::millis(50), Span::millis(500), Span(0));
-        let (effect, among) = (Effect::Repeatable, Among::All);
-        let profile = Profile { goal_time, time_limit, effect, among, memory_span, payoff: 1.0 };
+        let (goal_time, time_limit, dedup_window) =
+            (Micros::from_millis(50), Micros::from_millis(500), Micros(0));
+        let (idempotency, dedup_scope) = (Idempotency::Repeatable, DedupScope::All);
+        let profile = Profile { goal_time, time_limit, idempotency, dedup_scope, dedup_window, payoff: 1.0 };
         let (counts, many) = (Rc::new(Counts::new(300)), 1_000_000u64);
         let start = std::time::Instant::now();
         for number in 0..many {
             // Two thousand commands per second with four profiles.
-            let now = Moment(number * 500);
+            let now = Timestamp(number * 500);
             let name = ["list", "book", "pay", "count"][number as usize % 4];
             let mut recorder = CommandRecorder::start(counts.clone(), now, name, &profile);
             recorder.record_launch(now);
             counts.count_outcome(now, Outcome::Finished);
             recorder.record_outcome(false);
-            recorder.record_end(now + Span(number % 40_000), now, CommandEnd::Finished);
+            recorder.record_end(now + Micros(number % 40_000), now, CommandEnd::Finished);
         }
         println!("{:.0} ns a command", start.elapsed().as_nanos() as f64 / many as f64);
     }
@@ -479,19 +486,19 @@
     fn bounded() {
         let counts = Counts::new(3);
         for name in 0..1000u64 {
-            let now = Moment(name * 1000);
+            let now = Timestamp(name * 1000);
             counts.count_accepted(now, &format!("p{name}"));
             counts.count_end(
-                Moment(name * 1_000_000_000),
+                Timestamp(name * 1_000_000_000),
                 "x",
-                (1.0, Span(1)),
-                Moment(0),
+                (1.0, Micros(1)),
+                Timestamp(0),
                 CommandEnd::Finished,
             );
         }
-        let profiles = counts.to_json(Moment(0), 0)["total"]["profiles"].clone();
+        let profiles = counts.to_json(Timestamp(0), 0)["total"]["profiles"].clone();
         assert_eq!(profiles.as_object().map(serde_json::Map::len), Some(MAX_PROFILES + 1));
-        assert_eq!(bucket(Span(u64::MAX / 2)) as usize, BUCKETS - 1);
-        assert_eq!((bucket(Span(0)), bucket_start_us(0), bucket_start_us(8)), (0, 32, 64));
+        assert_eq!(bucket(Micros(u64::MAX / 2)) as usize, BUCKETS - 1);
+        assert_eq!((bucket(Micros(0)), bucket_start_us(0), bucket_start_us(8)), (0, 32, 64));
     }
 }
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -17,10 +17,10 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::Instant;
 use yarrowfront::command::{Command, Outcome};
-use yarrowfront::decide::{Balancer, Errand, ListKind, Listed, Say};
-use yarrowfront::ids::{BackendId, CommandId, Hand};
-use yarrowfront::terms::Terms;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::decide::{Action, Balancer, Decision, ListEntry, ListUpdateKind};
+use yarrowfront::ids::{BackendId, CommandHandle, CommandId};
+use yarrowfront::settings::Settings;
+use yarrowfront::times::{Micros, Timestamp};
 
 /// The Unix time at process start plus the monotonic time since then: start times in the list are Unix times
 /// and can be compared with it, and it never goes backwards.
@@ -36,23 +36,23 @@
         Clock { unix_start_us: unix_start_us.as_micros() as u64, start: Instant::now() }
     }
 
-    pub fn now(&self) -> Moment {
-        Moment(self.unix_start_us + self.start.elapsed().as_micros() as u64)
+    pub fn now(&self) -> Timestamp {
+        Timestamp(self.unix_start_us + self.start.elapsed().as_micros() as u64)
     }
 
     /// The time at which the process started.
-    pub fn process_start(&self) -> Moment {
-        Moment(self.unix_start_us)
+    pub fn process_start(&self) -> Timestamp {
+        Timestamp(self.unix_start_us)
     }
 
-    pub fn instant(&self, at: Moment) -> Instant {
-        self.start + Duration::from_micros(at.since(Moment(self.unix_start_us)).0)
+    pub fn instant(&self, at: Timestamp) -> Instant {
+        self.start + Duration::from_micros(at.since(Timestamp(self.unix_start_us)).0)
     }
 }
 
 /// One entry of the list as the balancer takes it, and the address of its backend; `None` for a backend that
 /// is gone.
-pub type AddressedEntry = (Listed, Option<SocketAddr>);
+pub type AddressedEntry = (ListEntry, Option<SocketAddr>);
 
 /// A command that was accepted and is not finished yet.
 struct CommandInFlight {
@@ -79,7 +79,7 @@
     /// A backend that reports itself full may nevertheless have run the command.
     full_may_have_run: bool,
     /// The longest `Retry-After` that may be sent; zero if none may be sent.
-    max_retry_after: Span,
+    max_retry_after: Micros,
     /// The number of nodes that share the common budgets and this node's index among them, as the fleet view
     /// has it; `None` without a view.
     node_share: Option<NodeShare>,
@@ -91,7 +91,7 @@
 pub struct NodeShare {
     pub nodes: u32,
     pub me: u32,
-    pub until: Moment,
+    pub until: Timestamp,
     pub without: (u32, u32),
 }
 
@@ -100,7 +100,7 @@
     pub clock: Clock,
     tick: Duration,
     inner: RefCell<Inner>,
-    errands: mpsc::UnboundedSender<Errand>,
+    errands: mpsc::UnboundedSender<Action>,
     /// Notified when the time of the balancer's next timer has changed.
     timer_changed: Notify,
     /// Whether a list of backends has been received or read from the cache.
@@ -122,9 +122,9 @@
         names: Names,
         clock: Clock,
         tick: Duration,
-        errands: mpsc::UnboundedSender<Errand>,
+        errands: mpsc::UnboundedSender<Action>,
         (counts, site_evidence): (Option<Rc<Counts>>, Option<Rc<SiteEvidence>>),
-        (full_may_have_run, max_retry_after): (bool, Span),
+        (full_may_have_run, max_retry_after): (bool, Micros),
     ) -> Dispatcher {
         let (commands_in_flight, backend_ids) = (Slab::new(), HashMap::new());
         let (command_ids, addresses) = (HashSet::new(), Vec::new());
@@ -162,20 +162,20 @@
     }
 
     /// Makes one call of the balancer and carries out or queues the actions that it requests.
-    fn with_balancer<T>(&self, call: impl FnOnce(&mut Inner, Moment) -> T) -> T {
+    fn with_balancer<T>(&self, call: impl FnOnce(&mut Inner, Timestamp) -> T) -> T {
         let now = self.clock.now();
         let inner = &mut *self.inner.borrow_mut();
         // A process that was suspended, or one whose fleet view has stalled, must not use an outdated
         // position.
         if let Some(old) = inner.node_share.take_if(|node_share| node_share.until < now) {
-            inner.balancer.fleet(old.without.0, old.without.1);
+            inner.balancer.set_membership(old.without.0, old.without.1);
         }
-        let before = inner.balancer.wait(now, None);
+        let before = inner.balancer.wakeup_delay(now, None);
         let value = call(inner, now);
-        while let Some(errand) = inner.balancer.errand(now) {
+        while let Some(errand) = inner.balancer.next_action(now) {
             match errand {
-                Errand::Again(hand) => {
-                    if let Some(held) = inner.commands_in_flight.get(hand.0 as usize) {
+                Action::Reevaluate(handle) => {
+                    if let Some(held) = inner.commands_in_flight.get(handle.0 as usize) {
                         held.placement_due.notify_one();
                     }
                 }
@@ -183,7 +183,7 @@
                 other => drop(self.errands.send(other)),
             }
         }
-        if inner.balancer.wait(now, None) != before {
+        if inner.balancer.wakeup_delay(now, None) != before {
             self.timer_changed.notify_one();
         }
         value
@@ -205,7 +205,11 @@
 
     /// Registers a command and returns its handle; `None` if a command with the same client id is in flight,
     /// since a second one would run the command twice.
-    pub fn register(&self, mut command: Command, client_id: HeaderValue) -> Option<(Hand, Rc<Notify>)> {
+    pub fn register(
+        &self,
+        mut command: Command,
+        client_id: HeaderValue,
+    ) -> Option<(CommandHandle, Rc<Notify>)> {
         if client_id.to_str().is_ok_and(|id| self.peer_command_ids.borrow().contains(id)) {
             return None;
         }
@@ -222,24 +226,29 @@
             placement_due: placement_due.clone(),
             client_done: false,
         });
-        Some((Hand(key as u32), placement_due))
+        Some((CommandHandle(key as u32), placement_due))
     }
 
-    pub fn place(&self, hand: Hand) -> Say {
+    pub fn place(&self, handle: CommandHandle) -> Decision {
         self.with_balancer(|inner, now| {
-            inner.balancer.place(now, hand, &mut inner.commands_in_flight[hand.0 as usize].command)
+            inner.balancer.decide(now, handle, &mut inner.commands_in_flight[handle.0 as usize].command)
         })
     }
 
     /// Ends this command now. The answer depends on whether any launch of it may have run.
-    pub fn give_up(&self, hand: Hand) -> Say {
+    pub fn give_up(&self, handle: CommandHandle) -> Decision {
         self.with_balancer(|inner, _| {
-            inner.balancer.give_up(&mut inner.commands_in_flight[hand.0 as usize].command)
+            inner.balancer.reject_or_fail(&mut inner.commands_in_flight[handle.0 as usize].command)
         })
     }
 
     /// Records that a launch of this command has ended; `spent` if the command cannot be sent again.
-    pub fn record_launch_result(&self, hand: Hand, result: &LaunchResult, spent: bool) -> Say {
+    pub fn record_launch_result(
+        &self,
+        handle: CommandHandle,
+        result: &LaunchResult,
+        spent: bool,
+    ) -> Decision {
         if let Some(counts) = &self.counts {
             counts.count_outcome(self.clock.now(), result.outcome);
         }
@@ -247,15 +256,21 @@
             site_evidence.count_launch(result.backend, result.outcome);
         }
         self.with_balancer(|inner, now| {
-            let key = hand.0 as usize;
+            let key = handle.0 as usize;
             let command = &mut inner.commands_in_flight[key].command;
-            command.closed |= result.outcome == Outcome::Finished;
-            command.spent = spent;
-            let say = inner.balancer.after(now, hand, command, result.number, result.outcome);
+            command.is_closed |= result.outcome == Outcome::Finished;
+            command.is_body_consumed = spent;
+            let say = inner.balancer.on_launch_outcome(now, handle, command, result.number, result.outcome);
             // A report is used only if it was parsed with the present order of its fields, which a reload
             // may have changed.
-            let report = result.report.as_ref().filter(|(turn, _)| *turn == inner.names.turn);
-            inner.balancer.report(now, result.backend, true, None, report.map_or(&[], |(_, values)| values));
+            let report = result.report.as_ref().filter(|(revision, _)| *revision == inner.names.revision);
+            inner.balancer.on_load_report(
+                now,
+                result.backend,
+                true,
+                None,
+                report.map_or(&[], |(_, values)| values),
+            );
             inner.remove_if_done(key);
             say
         })
@@ -263,16 +278,16 @@
 
     /// Whether a launch is out that was started before the request body was complete, and the body still is
     /// not.
-    pub fn is_body_streaming(&self, hand: Hand) -> bool {
-        let command = &self.inner.borrow().commands_in_flight[hand.0 as usize].command;
-        command.coming && command.out() > 0
+    pub fn is_body_streaming(&self, handle: CommandHandle) -> bool {
+        let command = &self.inner.borrow().commands_in_flight[handle.0 as usize].command;
+        command.is_body_incomplete && command.in_flight_count() > 0
     }
 
     /// Records that the last byte of the request body has been passed on: the command's time counts from
     /// now.
-    pub fn record_body_complete(&self, hand: Hand) {
+    pub fn record_body_complete(&self, handle: CommandHandle) {
         self.with_balancer(|inner, now| {
-            inner.balancer.came_whole(now, &mut inner.commands_in_flight[hand.0 as usize].command)
+            inner.balancer.on_body_complete(now, &mut inner.commands_in_flight[handle.0 as usize].command)
         });
     }
 
@@ -282,15 +297,16 @@
     }
 
     /// The time from which the command's deadlines are counted.
-    pub fn arrived(&self, hand: Hand) -> Moment {
-        self.inner.borrow().commands_in_flight[hand.0 as usize].command.arrived
+    pub fn arrived(&self, handle: CommandHandle) -> Timestamp {
+        self.inner.borrow().commands_in_flight[handle.0 as usize].command.arrived_at
     }
 
     /// Starts the statistics of a command in flight; `None` if no statistics are kept.
-    pub fn start_recorder(&self, hand: Hand) -> Option<CommandRecorder> {
+    pub fn start_recorder(&self, handle: CommandHandle) -> Option<CommandRecorder> {
         let counts = self.counts.clone()?;
         let inner = self.inner.borrow();
-        let (name, profile) = inner.names.known(inner.commands_in_flight[hand.0 as usize].command.profile)?;
+        let (name, profile) =
+            inner.names.definition(inner.commands_in_flight[handle.0 as usize].command.profile)?;
         Some(CommandRecorder::start(counts, self.clock.now(), name, profile))
     }
 
@@ -300,14 +316,14 @@
     }
 
     /// Replaces the names and the settings. Held commands are placed again under the new settings.
-    pub fn replace_settings(&self, names: Names, terms: Terms) {
+    pub fn replace_settings(&self, names: Names, settings: Settings) {
         self.with_balancer(|inner, _| {
             inner.names = Rc::new(names);
-            inner.full_may_have_run = terms.full_may_have_run;
-            inner.max_retry_after = terms.longest_come_back;
-            inner.balancer.switch(terms);
+            inner.full_may_have_run = settings.full_may_have_run;
+            inner.max_retry_after = settings.max_retry_after;
+            inner.balancer.replace_settings(settings);
             if let Some(node_share) = inner.node_share {
-                inner.balancer.fleet(node_share.nodes, node_share.me);
+                inner.balancer.set_membership(node_share.nodes, node_share.me);
             }
             for (_, held) in &inner.commands_in_flight {
                 held.placement_due.notify_one();
@@ -315,20 +331,20 @@
         });
     }
 
-    pub fn max_retry_after(&self) -> Span {
+    pub fn max_retry_after(&self) -> Micros {
         self.inner.borrow().max_retry_after
     }
 
     /// For each of these sites: how many of its backends are listed as ready, and how many of those are
     /// still warming up.
-    pub fn listed_by_site(&self, names: &[String], now: Moment, warm: Span) -> (Vec<u32>, Vec<u32>) {
+    pub fn listed_by_site(&self, names: &[String], now: Timestamp, warm: Micros) -> (Vec<u32>, Vec<u32>) {
         let (mut ready, mut cold) = (vec![0; names.len()], vec![0; names.len()]);
         for entry in self.list_entries.borrow().1.values() {
             let text = |key| entry.get(key).and_then(Value::as_str);
             let place = text("zone").and_then(|zone| names.iter().position(|name| name == zone));
             let Some(place) = place.filter(|_| text("status") == Some("ready")) else { continue };
             ready[place] += 1;
-            let age = now.since(Moment(started_ms(entry) * 1000));
+            let age = now.since(Timestamp(started_ms(entry) * 1000));
             cold[place] += u32::from(age < warm);
         }
         (ready, cold)
@@ -350,7 +366,7 @@
             return;
         }
         self.with_balancer(|inner, _| {
-            inner.balancer.fleet(node_share.nodes, node_share.me);
+            inner.balancer.set_membership(node_share.nodes, node_share.me);
             inner.node_share = Some(node_share);
         });
     }
@@ -375,55 +391,57 @@
     }
 
     /// Records that the client has its answer or has disconnected; true if it had no answer.
-    pub fn record_client_done(&self, hand: Hand) -> bool {
+    pub fn record_client_done(&self, handle: CommandHandle) -> bool {
         self.with_balancer(|inner, _| {
-            let held = &mut inner.commands_in_flight[hand.0 as usize];
-            let unanswered = !held.command.closed;
+            let held = &mut inner.commands_in_flight[handle.0 as usize];
+            let unanswered = !held.command.is_closed;
             if unanswered {
-                inner.balancer.dropped(&mut held.command);
+                inner.balancer.on_client_gone(&mut held.command);
             }
             held.client_done = true;
-            inner.remove_if_done(hand.0 as usize);
+            inner.remove_if_done(handle.0 as usize);
             unanswered
         })
     }
 
     /// The time until which this launch may still be written. It is computed anew, as the conditions under
     /// which the launch was placed may have changed while it waited for a connection.
-    pub fn launch_valid_until(&self, hand: Hand, number: u8) -> Moment {
+    pub fn launch_valid_until(&self, handle: CommandHandle, number: u8) -> Timestamp {
         let inner = self.inner.borrow();
-        inner.balancer.stands(&inner.commands_in_flight[hand.0 as usize].command, number)
+        inner.balancer.launch_valid_until(&inner.commands_in_flight[handle.0 as usize].command, number)
     }
 
-    pub fn time_until_check(&self, hand: Hand) -> Option<Duration> {
+    pub fn time_until_check(&self, handle: CommandHandle) -> Option<Duration> {
         let inner = self.inner.borrow();
-        self.timer_delay(&inner, Some(&inner.commands_in_flight[hand.0 as usize].command))
+        self.timer_delay(&inner, Some(&inner.commands_in_flight[handle.0 as usize].command))
     }
 
     /// How long until the balancer's next timer, for one command or for the node, rounded up to the
     /// runtime's timer resolution.
     fn timer_delay(&self, inner: &Inner, command: Option<&Command>) -> Option<Duration> {
-        let span = inner.balancer.wait(self.clock.now(), command)?;
+        let span = inner.balancer.wakeup_delay(self.clock.now(), command)?;
         Some(Duration::from_micros(span.0).max(self.tick))
     }
 
     /// The number of the command's newest launch.
-    pub fn last_launch_number(&self, hand: Hand) -> u8 {
-        (self.inner.borrow().commands_in_flight[hand.0 as usize].command.launched() - 1) as u8
+    pub fn last_launch_number(&self, handle: CommandHandle) -> u8 {
+        (self.inner.borrow().commands_in_flight[handle.0 as usize].command.launch_count() - 1) as u8
     }
 
     /// Records the result of a probe.
-    pub fn record_probe(&self, backend: BackendId, found: bool, trip: Span, values: &[f32]) {
+    pub fn record_probe(&self, backend: BackendId, found: bool, trip: Micros, values: &[f32]) {
         if let Some(counts) = &self.counts {
             counts.count_probe(self.clock.now());
         }
         if let Some(site_evidence) = &self.site_evidence {
             site_evidence.count_probe(backend, found);
         }
-        self.with_balancer(|inner, now| inner.balancer.report(now, backend, found, Some(trip), values));
+        self.with_balancer(|inner, now| {
+            inner.balancer.on_load_report(now, backend, found, Some(trip), values)
+        });
     }
 
-    pub fn apply_list(&self, kind: ListKind, lines: &[AddressedEntry]) {
+    pub fn apply_list(&self, kind: ListUpdateKind, lines: &[AddressedEntry]) {
         if let Some(counts) = &self.counts {
             counts.count_list_update(self.clock.now());
         }
@@ -431,23 +449,23 @@
             lines.iter().for_each(|(listed, _)| site_evidence.set_site(listed.backend, listed.zone.0));
         }
         self.with_balancer(|inner, now| {
-            if kind == ListKind::Whole || kind == ListKind::Cached {
+            if kind == ListUpdateKind::Snapshot || kind == ListUpdateKind::Cached {
                 inner.addresses.fill(None);
             }
             for (listed, address) in lines {
                 inner.addresses[listed.backend.0 as usize] = *address;
             }
-            inner.balancer.list(now, kind, lines.iter().map(|(listed, _)| *listed));
+            inner.balancer.apply_list(now, kind, lines.iter().map(|(listed, _)| *listed));
         });
-        if !kind.tells_nothing() {
+        if !kind.is_failure() {
             self.has_list.set(true);
         }
     }
 
     /// From this moment on the node is held to list changes that it may not have received; `None` while it
     /// may have missed none.
-    pub fn list_binds_from(&self, binds: Option<Moment>) {
-        self.with_balancer(|inner, _| inner.balancer.list_binds_from(binds));
+    pub fn list_binds_from(&self, binds: Option<Timestamp>) {
+        self.with_balancer(|inner, _| inner.balancer.set_list_expiry(binds));
     }
 
     /// Whether there is a list of backends to use, even an old one.
@@ -477,7 +495,7 @@
     /// Tells the balancer whether the previous process of this node still runs: until it ends, the spare
     /// part of the launch budget belongs to that process.
     pub fn set_predecessor_running(&self, other: bool) {
-        self.with_balancer(|inner, now| inner.balancer.beside(now, other));
+        self.with_balancer(|inner, now| inner.balancer.set_predecessor_running(now, other));
     }
 
     /// The id of a backend that has been listed at any time since the start.
@@ -487,7 +505,7 @@
 
     /// Takes a backend out of service for maintenance, or puts it back, from this call on.
     pub fn set_maintenance(&self, backend: BackendId, out: bool) {
-        self.with_balancer(|inner, now| inner.balancer.maint(now, backend, out));
+        self.with_balancer(|inner, now| inner.balancer.set_maintenance(now, backend, out));
         // The process that takes over must also know that the backend has to warm up again.
         let name = self.backend_name(backend);
         if let Some(entry) = self.list_entries.borrow_mut().1.get_mut(&name).filter(|_| !out) {
@@ -498,7 +516,7 @@
     /// The names of all backends that operators have taken out of service.
     pub fn backends_in_maintenance(&self) -> Vec<String> {
         let inner = self.inner.borrow();
-        let out = |(_, id): &(&String, &BackendId)| inner.balancer.is_left_out(**id);
+        let out = |(_, id): &(&String, &BackendId)| inner.balancer.is_in_maintenance(**id);
         inner.backend_ids.iter().filter(out).map(|(name, _)| name.clone()).collect()
     }
 
@@ -560,7 +578,7 @@
 impl Inner {
     fn remove_if_done(&mut self, key: usize) {
         let held = &self.commands_in_flight[key];
-        if held.client_done && held.command.out() == 0 {
+        if held.client_done && held.command.in_flight_count() == 0 {
             let held = self.commands_in_flight.remove(key);
             self.command_ids.remove(&held.client_id);
         }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::dispatcher::{Dispatcher, NodeShare};
 use crate::handover::Peer;
 use crate::lifecycle::Stop;
-use crate::list::mark;
+use crate::list::stable_hash;
 use crate::log::note;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -17,7 +17,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 use yarrowfront_view::card::{Card, Life, Load, Phase};
 use yarrowfront_view::member::Member;
 use yarrowfront_view::share::{Share, Sharer, Why};
@@ -32,7 +32,7 @@
 /// 16,000 datagrams per second; the kernel drops the rest.
 const BREATH: Duration = Duration::from_millis(2);
 /// The interval at which this node's own state is published and its position in the fleet is updated.
-const LOOK: Span = Span::millis(200);
+const LOOK: Micros = Micros::from_millis(200);
 /// The interval between two attempts to bind the address while a previous process still has it.
 const BIND: Duration = Duration::from_millis(50);
 /// The interval between two reads of the seeds file.
@@ -72,7 +72,7 @@
         }
         Own {
             site: site.chars().take(16).collect(),
-            digest: mark(&settings.to_string()),
+            digest: stable_hash(&settings.to_string()),
             place: whole("settings.me"),
             places: whole("settings.balancers").max(1),
         }
@@ -89,10 +89,10 @@
     stop: Rc<Stop>,
     peer: Rc<Peer>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    looked: Cell<Moment>,
+    looked: Cell<Timestamp>,
     seeds_read: Cell<Instant>,
     /// Recent changes of the view, the newest last.
-    lately: RefCell<Vec<(Moment, String)>>,
+    lately: RefCell<Vec<(Timestamp, String)>>,
     /// Notified when the loop has to act on something other than a datagram or the view's own timer.
     moved: Notify,
 }
@@ -126,7 +126,7 @@
             stop,
             peer,
             socket: RefCell::new(None),
-            looked: Cell::new(Moment(0)),
+            looked: Cell::new(Timestamp(0)),
             seeds_read: Cell::new(Instant::now()),
             lately: RefCell::new(Vec::new()),
             moved: Notify::new(),
@@ -149,7 +149,7 @@
         *self.sharer.borrow_mut() = Sharer::new(self.dispatcher.clock.now(), terms.times);
         self.view.borrow_mut().follow(self.dispatcher.clock.now(), terms);
         *self.own.borrow_mut() = own;
-        self.looked.set(Moment(0));
+        self.looked.set(Timestamp(0));
         self.moved.notify_one();
     }
 
@@ -340,7 +340,7 @@
     /// start.
     pub fn told(&self) -> Value {
         let (view, own, now) = (self.view.borrow(), self.own.borrow(), self.dispatcher.clock.now());
-        let age = |at: Moment| now.since(at).0 / 1000;
+        let age = |at: Timestamp| now.since(at).0 / 1000;
         let card = |card: &Card| {
             json!({"address": card.address, "site": card.site, "build": card.build,
                 "settings": format!("{:016x}", card.digest), "phase": card.phase.to_string(),
@@ -377,7 +377,7 @@
     /// The view as plain text.
     pub fn page(&self) -> String {
         let (view, now) = (self.view.borrow(), self.dispatcher.clock.now());
-        let seconds = |at: Moment| format!("{:.1} s", now.since(at).micros() / 1e6);
+        let seconds = |at: Timestamp| format!("{:.1} s", now.since(at).as_f64() / 1e6);
         let mut page = String::new();
         let mut line = |text: String| {
             page.push_str(&text);
--- a/crates/node/src/launch.rs
+++ b/crates/node/src/launch.rs
@@ -24,21 +24,21 @@
 use tokio::time::{sleep, sleep_until, timeout_at};
 use tower::Service;
 use yarrowfront::command::Outcome;
-use yarrowfront::ids::{BackendId, Hand};
-use yarrowfront::times::Moment;
+use yarrowfront::ids::{BackendId, CommandHandle};
+use yarrowfront::times::Timestamp;
 
 const UNPROCESSED_HEADER: &str = "x-unprocessed";
 const BACKEND_LOAD_HEADER: &str = "x-backend-load";
 
 pub struct Launch {
     pub outbound: Rc<OutboundRequest>,
-    pub hand: Hand,
+    pub handle: CommandHandle,
     pub number: u8,
     pub backend: BackendId,
     pub address: Option<SocketAddr>,
     /// When the client's deadline ends; for a body that is still streaming, the time that is left is counted
     /// from its last byte.
-    pub deadline: Moment,
+    pub deadline: Timestamp,
     /// Set to true once the last byte of a streaming body has been passed on.
     pub body_complete: Rc<watch::Sender<bool>>,
     pub control: Rc<LaunchControl>,
@@ -75,7 +75,7 @@
 impl Launcher {
     async fn run(&self, launch: Launch) -> LaunchResult {
         let (number, backend) = (launch.number, launch.backend);
-        let mut result = LaunchResult::without_answer(number, backend, Outcome::Unsent);
+        let mut result = LaunchResult::without_answer(number, backend, Outcome::NotSent);
         let deadline = self.dispatcher.clock.instant(launch.deadline);
         // A streaming body that was already consumed must not be sent as an empty one.
         let Some(address) = launch.address.filter(|_| !launch.outbound.is_body_consumed()) else {
@@ -89,11 +89,11 @@
             let write_deadline = self
                 .dispatcher
                 .clock
-                .instant(self.dispatcher.launch_valid_until(launch.hand, number).min(launch.deadline));
+                .instant(self.dispatcher.launch_valid_until(launch.handle, number).min(launch.deadline));
             let lease = match timeout_at(write_deadline, self.pool.lease(backend, address)).await {
                 Ok(Ok(lease)) => lease,
                 Ok(Err(LeaseError::Unreachable)) => {
-                    result.outcome = Outcome::Unreachable;
+                    result.outcome = Outcome::ConnectFailed;
                     return_body(&launch, request);
                     return result;
                 }
@@ -108,7 +108,7 @@
             // waited for a connection, or while a pooled connection turned out to be closed.
             let is_at_address = self.dispatcher.address(backend) == Some(address);
             let is_still_valid =
-                self.dispatcher.clock.now() < self.dispatcher.launch_valid_until(launch.hand, number);
+                self.dispatcher.clock.now() < self.dispatcher.launch_valid_until(launch.handle, number);
             if launch.control.is_cancelled() || !is_at_address || !is_still_valid {
                 // The connection is already open, so it goes to the pool. If its backend is no longer
                 // listed, the sweep closes it.
@@ -149,14 +149,14 @@
                 Some(Exchange::Answered(response)) => self.read_answer(&mut result, response),
                 Some(Exchange::Unreachable(request)) => {
                     return_body(&launch, request);
-                    result.outcome = Outcome::Unreachable;
+                    result.outcome = Outcome::ConnectFailed;
                 }
                 Some(Exchange::Broken) => {
                     result.outcome = match stream_end.get() {
                         // The last byte was never written, so the backend cannot have run the command.
-                        Some(StreamEnd::Broken) => Outcome::Unsent,
-                        None if launch.outbound.is_streaming() => Outcome::Unreachable,
-                        _ => Outcome::Broken,
+                        Some(StreamEnd::Broken) => Outcome::NotSent,
+                        None if launch.outbound.is_streaming() => Outcome::ConnectFailed,
+                        _ => Outcome::ConnectionLost,
                     };
                 }
                 None => result.outcome = Outcome::TimedOut,
@@ -196,7 +196,8 @@
         let (head, body) = response.into_parts();
         if let Some(load) = head.headers.get(BACKEND_LOAD_HEADER) {
             let names = self.dispatcher.names();
-            result.report = probe::report(&names.report, load.as_bytes()).map(|values| (names.turn, values));
+            result.report =
+                probe::report(&names.report_fields, load.as_bytes()).map(|values| (names.revision, values));
         }
         let unprocessed =
             head.headers.get(UNPROCESSED_HEADER).is_some_and(|v| v.as_bytes().trim_ascii() == b"1");
@@ -229,9 +230,9 @@
         Outcome::Full => "full or draining",
         Outcome::Errored => "answered with an error",
         Outcome::TimedOut => "no answer in the command's time",
-        Outcome::Unreachable => "no connection",
-        Outcome::Broken => "the connection broke before the answer",
+        Outcome::ConnectFailed => "no connection",
+        Outcome::ConnectionLost => "the connection broke before the answer",
         Outcome::Cancelled => "cancelled",
-        Outcome::Unsent => "not sent: no time or socket left, or the client or backend is gone",
+        Outcome::NotSent => "not sent: no time or socket left, or the client or backend is gone",
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -45,7 +45,7 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::task::{spawn_local, LocalSet};
-use yarrowfront::decide::{Balancer, Errand};
+use yarrowfront::decide::{Action, Balancer};
 
 /// Runs the whole program: reads the configuration, serves, and returns the exit code. A bad configuration
 /// or listening address is a failure, reported in one line on standard error.
@@ -87,11 +87,11 @@
     let limits = Rc::new(start.limits);
     log::allow(limits.notes_per_s);
     let clock = Clock::start();
-    let (must_ask, warm_within) = (start.terms.must_ask, start.terms.warm_within);
-    let ask_within = Duration::from_micros(start.terms.ask_within.0);
-    let said = (start.terms.full_may_have_run, start.terms.longest_come_back);
+    let (list_is_requested, warm_up_time) = (start.settings.list_is_requested, start.settings.warm_up_time);
+    let list_request_interval = Duration::from_micros(start.settings.list_request_interval.0);
+    let said = (start.settings.full_may_have_run, start.settings.max_retry_after);
     let (errand, mut errands) = mpsc::unbounded_channel();
-    let module = Balancer::new(start.terms, start.seed, clock.now());
+    let module = Balancer::new(start.settings, start.seed, clock.now());
     let site_evidence = start.sites.as_ref().map(|_| Rc::new(site_evidence::SiteEvidence::default()));
     let counts = start.trial.as_ref().map(|terms| Rc::new(counts::Counts::new(terms.seconds)));
     let dispatcher = Rc::new(Dispatcher::new(
@@ -106,8 +106,8 @@
     let room = bodies::BodyMemory::new(limits.held_bytes);
     let pool = Rc::new(pool::Pool::new(limits.clone(), room.clone()));
 
-    let lister = list::Lister::new(dispatcher.clone());
-    if let Some(Err(why)) = start.known.map(|known| lister.told(&known, true)) {
+    let list_updater = list::ListUpdater::new(dispatcher.clone());
+    if let Some(Err(why)) = start.known.map(|known| list_updater.apply_message(&known, true)) {
         return Err(format!("known: {why}"));
     }
     let stop = Rc::new(lifecycle::Stop::new());
@@ -125,7 +125,7 @@
             }
             stop.drain(state.drained);
             life = state.life;
-            if let Err(why) = lister.told(&state.list, true) {
+            if let Err(why) = list_updater.apply_message(&state.list, true) {
                 note!("handover: the list could not be used: {why}");
             }
             old = Some(stream);
@@ -148,7 +148,7 @@
                 plan,
                 &own,
                 (dispatcher.clone(), fleet.clone(), site_evidence),
-                warm_within,
+                warm_up_time,
             )?)
         }
         _ => None,
@@ -180,11 +180,12 @@
     }
     spawn_local(reload.run(asked));
     let (follow, followed) = mpsc::unbounded_channel();
-    if !must_ask {
+    if !list_is_requested {
         // Where the list is pushed, the node still opens a watch, at once.
         let _ = follow.send(());
     }
-    let watches = list_watches::Watches::new(lister, dispatcher.clone(), limits.clone(), start.discovery);
+    let watches =
+        list_watches::Watches::new(list_updater, dispatcher.clone(), limits.clone(), start.discovery);
     spawn_local(watches.run(followed, discovery));
 
     let prober = probe::Prober { dispatcher: dispatcher.clone(), pool: pool.clone(), limits: limits.clone() };
@@ -192,11 +193,11 @@
     spawn_local(async move {
         while let Some(errand) = errands.recv().await {
             match errand {
-                Errand::Probe(backend) => drop(spawn_local(prober.clone().probe(backend))),
-                Errand::Follow => drop(follow.send(())),
-                Errand::Close(backend) => pool_of_errands.close(backend),
+                Action::Probe(backend) => drop(spawn_local(prober.clone().probe(backend))),
+                Action::RequestList => drop(follow.send(())),
+                Action::CloseIdleConnections(backend) => pool_of_errands.close(backend),
                 // The dispatcher has already woken that command.
-                Errand::Again(_) => {}
+                Action::Reevaluate(_) => {}
             }
         }
     });
@@ -220,8 +221,11 @@
         spawn_local(sites.clone().run());
     }
     note!("{}: listening on {}", start.name, start.listen);
-    if must_ask {
-        note!("list: discovery is queried; its changes bind this node after {} ms", ask_within.as_millis());
+    if list_is_requested {
+        note!(
+            "list: discovery is queried; its changes bind this node after {} ms",
+            list_request_interval.as_millis()
+        );
     }
     accept::accept_connections(
         listener,
--- a/crates/node/src/list_age.rs
+++ b/crates/node/src/list_age.rs
@@ -5,37 +5,37 @@
 //! moved, whether or not they have arrived. Only a call that is still waiting for its answer can deliver
 //! them in time.
 
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// A change that the end of a watch hides binds the node after this time.
-const KNOWN_AFTER_END: Span = Span::millis(2000);
+const KNOWN_AFTER_END: Micros = Micros::from_millis(2000);
 /// A change that a silent watch misses binds the node this long after the last message, as it may have come
 /// right behind it.
-const KNOWN_AFTER_SILENCE: Span = Span::millis(6000);
+const KNOWN_AFTER_SILENCE: Micros = Micros::from_millis(6000);
 /// Every change binds the node this long after a new configuration gave another address of discovery.
-const KNOWN_AFTER_MOVE: Span = Span::millis(4000);
+const KNOWN_AFTER_MOVE: Micros = Micros::from_millis(4000);
 
 /// The times from which changes bind that may have been missed since discovery's last answer.
 #[derive(Debug, Default)]
 pub struct ListAge {
-    after_move: Option<Moment>,
-    after_loss: Option<Moment>,
+    after_move: Option<Timestamp>,
+    after_loss: Option<Timestamp>,
 }
 
 impl ListAge {
-    pub fn discovery_moved(&mut self, now: Moment) {
+    pub fn discovery_moved(&mut self, now: Timestamp) {
         self.after_move.get_or_insert(now + KNOWN_AFTER_MOVE);
     }
 
-    pub fn watch_ended(&mut self, now: Moment) {
+    pub fn watch_ended(&mut self, now: Timestamp) {
         self.lost(now + KNOWN_AFTER_END);
     }
 
-    pub fn watch_silent(&mut self, last_message: Moment) {
+    pub fn watch_silent(&mut self, last_message: Timestamp) {
         self.lost(last_message + KNOWN_AFTER_SILENCE);
     }
 
-    fn lost(&mut self, known: Moment) {
+    fn lost(&mut self, known: Timestamp) {
         self.after_loss = Some(self.after_loss.map_or(known, |earlier| earlier.min(known)));
     }
 
@@ -54,16 +54,16 @@
 
     /// The time from which changes that were not received bind this node; `None` if none can have been
     /// missed.
-    pub fn binds_from(&self) -> Option<Moment> {
+    pub fn binds_from(&self) -> Option<Timestamp> {
         self.after_move.into_iter().chain(self.after_loss).min()
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::{ListAge, Moment};
+    use super::{ListAge, Timestamp};
 
-    const NOW: Moment = Moment(1_000_000);
+    const NOW: Timestamp = Timestamp(1_000_000);
 
     fn binds_after_millis(change: impl Fn(&mut ListAge)) -> Option<u64> {
         let mut age = ListAge::default();
--- a/crates/node/src/list_watches.rs
+++ b/crates/node/src/list_watches.rs
@@ -7,7 +7,7 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::limits::Limits;
-use crate::list::Lister;
+use crate::list::ListUpdater;
 use crate::list_age::ListAge;
 use crate::log::note;
 use crate::message_reader::MessageReader;
@@ -27,8 +27,8 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
-use yarrowfront::decide::ListKind;
-use yarrowfront::times::Moment;
+use yarrowfront::decide::ListUpdateKind;
+use yarrowfront::times::Timestamp;
 
 /// The interval from a failed call at the present address to the next one, while a watch at a former address
 /// is still open.
@@ -43,7 +43,7 @@
 /// How a call or its watch ended.
 enum End {
     /// No message has come within the heartbeat timeout after this time.
-    Silent(Moment),
+    Silent(Timestamp),
     Failed(String),
 }
 
@@ -61,7 +61,7 @@
 
 /// All calls and watches of this process.
 pub struct Watches {
-    lister: Lister,
+    list_updater: ListUpdater,
     dispatcher: Rc<Dispatcher>,
     limits: Rc<Limits>,
     age: RefCell<ListAge>,
@@ -85,14 +85,14 @@
 
 impl Watches {
     pub fn new(
-        lister: Lister,
+        list_updater: ListUpdater,
         dispatcher: Rc<Dispatcher>,
         limits: Rc<Limits>,
         discovery: SocketAddr,
     ) -> Rc<Watches> {
         let present = Cell::new(discovery);
         let (age, called, newest, answered, answer) = Default::default();
-        Rc::new(Watches { lister, dispatcher, limits, age, present, called, newest, answered, answer })
+        Rc::new(Watches { list_updater, dispatcher, limits, age, present, called, newest, answered, answer })
     }
 
     /// Calls discovery whenever the balancer requests the list or discovery has moved, and reports the
@@ -167,8 +167,8 @@
         let (newest, elsewhere) = (call == self.newest.get(), self.call_is_due_elsewhere());
         let was_answered = call == self.answered.get();
         let kind = match &end {
-            End::Silent(_) => ListKind::Silent,
-            End::Failed(_) => ListKind::Failed,
+            End::Silent(_) => ListUpdateKind::Silent,
+            End::Failed(_) => ListUpdateKind::Failed,
         };
         match end {
             End::Silent(since) => {
@@ -194,7 +194,7 @@
         }
     }
 
-    fn change_age(&self, change: impl FnOnce(&mut ListAge, Moment)) {
+    fn change_age(&self, change: impl FnOnce(&mut ListAge, Timestamp)) {
         let binds = {
             let mut age = self.age.borrow_mut();
             change(&mut age, self.dispatcher.clock.now());
@@ -234,7 +234,7 @@
     ) -> Result<(), End> {
         let request = self.request(discovery)?;
         let asked = Instant::now();
-        note!("list: requesting from {discovery} the changes since version {}", self.lister.index());
+        note!("list: requesting from {discovery} the changes since version {}", self.list_updater.version());
         let mut beat = asked + self.limits.call_wait;
         let response = timeout_at(beat, sender.send_request(request)).await;
         let response = response.map_err(|_| "timed out waiting for an answer")?.map_err(|e| e.to_string())?;
@@ -269,7 +269,7 @@
 
     fn request(&self, discovery: SocketAddr) -> Result<Request<Empty<Bytes>>, End> {
         let mut request = Request::new(Empty::new());
-        let path = format!("/discovery/hosts?stream=1&index={}", self.lister.index());
+        let path = format!("/discovery/hosts?stream=1&index={}", self.list_updater.version());
         *request.uri_mut() = path.parse().map_err(|e| format!("{e}"))?;
         let host = HeaderValue::from_str(&discovery.to_string()).map_err(|e| e.to_string())?;
         request.headers_mut().insert(HOST, host);
@@ -279,7 +279,7 @@
     /// The call has been answered, so all earlier calls are closed.
     fn first_message(&self, call: CallNumber, discovery: SocketAddr, asked: Instant) {
         let waited = asked.elapsed().as_millis();
-        note!("list: version {} received {waited} ms after the call", self.lister.index());
+        note!("list: version {} received {waited} ms after the call", self.list_updater.version());
         self.answered.set(self.answered.get().max(call));
         self.answer.notify_one();
         self.change_age(|age, _| age.answered(self.present.get() == discovery));
@@ -290,12 +290,12 @@
         if line.is_empty() {
             if first {
                 // Nothing has changed since the requested version, which is an answer as well.
-                self.dispatcher.apply_list(ListKind::Changes, &[]);
+                self.dispatcher.apply_list(ListUpdateKind::Delta, &[]);
             }
             return;
         }
         let told = serde_json::from_slice::<Value>(line).map_err(|e| e.to_string());
-        if let Err(why) = told.and_then(|message| self.lister.told(&message, false)) {
+        if let Err(why) = told.and_then(|message| self.list_updater.apply_message(&message, false)) {
             note!("list: skipped an invalid message: {why}");
         }
     }
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -72,7 +72,7 @@
                 Exchange::Answered(response) if response.status() == StatusCode::OK => {
                     match response.body() {
                         ReadBody::Buffered(body) => {
-                            Some(report(&self.dispatcher.names().report, body).unwrap_or_default())
+                            Some(report(&self.dispatcher.names().report_fields, body).unwrap_or_default())
                         }
                         ReadBody::Streaming(_) => None,
                     }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -160,15 +160,15 @@
             fleet.may_follow(view)?;
         }
         if let (Some(sites), Some(plan)) = (&self.sites, &new.sites) {
-            sites.follow(plan.clone())?;
+            sites.replace_plan(plan.clone())?;
         }
         let mut changed = Vec::new();
         changes(self.file.get("settings"), new.file.get("settings"), "settings", &mut changed);
         // Unchanged settings are not applied again, which would reset what derives from them.
         if !changed.is_empty() {
-            let (names, terms) = self.dispatcher.names().followed_by(&new.names, new.terms)?;
+            let (names, settings) = self.dispatcher.names().merged_with(&new.names, new.settings)?;
             self.limits.follow(&new.limits);
-            self.dispatcher.replace_settings(names, terms);
+            self.dispatcher.replace_settings(names, settings);
         }
         let own = Own::of(&new.file, &self.dispatcher);
         self.digest.set(own.digest);
@@ -197,7 +197,7 @@
                 let mut file = self.file.clone();
                 file["settings"] = kept(settings, &self.file["settings"]).map_err(bad)?;
                 let new = Start::of(file, Self::variable).map_err(bad)?;
-                let names = self.dispatcher.names().followed_by(&new.names, new.terms);
+                let names = self.dispatcher.names().merged_with(&new.names, new.settings);
                 names.map_err(bad)?;
                 Ok(format!("{:016x}", Own::of(&new.file, &self.dispatcher).digest))
             }
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 pub type Reply = Response<OutgoingBody>;
 
@@ -30,10 +30,10 @@
 }
 
 /// The reply that rejects a command, with `Retry-After` unless the time is zero.
-pub fn turn_back(span: Span) -> Reply {
+pub fn turn_back(span: Micros) -> Reply {
     let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "turned back");
-    if span > Span(0) {
-        let seconds = format!("{:.3}", span.micros() / 1e6);
+    if span > Micros(0) {
+        let seconds = format!("{:.3}", span.as_f64() / 1e6);
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             reply.headers_mut().insert(header::RETRY_AFTER, value);
         }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -9,7 +9,7 @@
 use crate::log::note;
 use crate::node::Node;
 use crate::reply::{plain, turn_back, Reply};
-use crate::sites::Ticket;
+use crate::sites::AdmissionTicket;
 use hyper::header::HeaderValue;
 use hyper::{Response, StatusCode};
 use std::rc::Rc;
@@ -17,14 +17,14 @@
 use tokio::time::sleep;
 use tower::ServiceExt;
 use yarrowfront::command::{Command, Outcome};
-use yarrowfront::decide::Say;
-use yarrowfront::ids::Hand;
-use yarrowfront::times::Span;
+use yarrowfront::decide::Decision;
+use yarrowfront::ids::CommandHandle;
+use yarrowfront::times::Micros;
 
 /// A command in flight. It is dropped when the command has its answer, or earlier if the client disconnects.
 struct ActiveCommand {
     dispatcher: Rc<Dispatcher>,
-    hand: Hand,
+    handle: CommandHandle,
     /// Receives the results of the launches.
     results: mpsc::UnboundedReceiver<LaunchResult>,
     /// Indexed by the launch's number.
@@ -32,7 +32,7 @@
     /// The statistics of the command, if any are kept, and its admission by the site failover plan, if there
     /// is one.
     recorder: Option<CommandRecorder>,
-    ticket: Option<Ticket>,
+    ticket: Option<AdmissionTicket>,
     /// Keeps its connection from being closed as idle.
     _command_guard: CommandGuard,
 }
@@ -44,7 +44,7 @@
         if recorder.is_none() && ticket.is_none() {
             return;
         }
-        let (now, arrived) = (self.dispatcher.clock.now(), self.dispatcher.arrived(self.hand));
+        let (now, arrived) = (self.dispatcher.clock.now(), self.dispatcher.arrived(self.handle));
         if let Some(ticket) = ticket {
             ticket.record_end(end, now.since(arrived));
         }
@@ -58,16 +58,16 @@
     fn drop(&mut self) {
         self.record_end(CommandEnd::ClientGone);
         // A launch with an incomplete streaming body cannot complete any more.
-        let coming = self.dispatcher.is_body_streaming(self.hand);
+        let coming = self.dispatcher.is_body_streaming(self.handle);
         self.controls.iter().for_each(|controls| if coming { controls.cancel() } else { controls.detach() });
-        if self.dispatcher.record_client_done(self.hand) {
+        if self.dispatcher.record_client_done(self.handle) {
             note!("command: the client disconnected before its answer");
         }
         // Results that were not received yet are still reported to the balancer. Launches that end later
         // report their own.
         self.results.close();
         while let Ok(result) = self.results.try_recv() {
-            self.dispatcher.record_launch_result(self.hand, &result, false);
+            self.dispatcher.record_launch_result(self.handle, &result, false);
         }
     }
 }
@@ -77,19 +77,19 @@
     command: Command,
     client_id: HeaderValue,
     outbound: Rc<OutboundRequest>,
-    (guard, ticket): (CommandGuard, Option<Ticket>),
+    (guard, ticket): (CommandGuard, Option<AdmissionTicket>),
 ) -> Reply {
     let dispatcher = &node.dispatcher;
-    let deadline = command.ends;
-    let Some((hand, placement_due)) = dispatcher.register(command, client_id) else {
+    let deadline = command.deadline;
+    let Some((handle, placement_due)) = dispatcher.register(command, client_id) else {
         return plain(StatusCode::CONFLICT, "a command with this id is in flight");
     };
     let (end, results) = mpsc::unbounded_channel();
-    let recorder = dispatcher.start_recorder(hand);
+    let recorder = dispatcher.start_recorder(handle);
     let controls = Vec::new();
     let mut active = ActiveCommand {
         dispatcher: dispatcher.clone(),
-        hand,
+        handle,
         results,
         controls,
         recorder,
@@ -98,17 +98,17 @@
     };
     let (body_complete, mut body_completed) = watch::channel(false);
     let body_complete = Rc::new(body_complete);
-    let mut decision = dispatcher.place(hand);
+    let mut decision = dispatcher.place(handle);
     loop {
         match decision {
-            Say::Launch(backend) => {
-                let (number, address) = (dispatcher.last_launch_number(hand), dispatcher.address(backend));
+            Decision::Launch(backend) => {
+                let (number, address) = (dispatcher.last_launch_number(handle), dispatcher.address(backend));
                 let (outbound, body_complete) = (outbound.clone(), body_complete.clone());
                 let control = Rc::<LaunchControl>::default();
                 active.controls.push(control.clone());
                 let launch = Launch {
                     outbound,
-                    hand,
+                    handle,
                     number,
                     backend,
                     address,
@@ -131,36 +131,36 @@
                         // run it.
                         () = control.wait_cancelled() => LaunchResult::without_answer(number, backend, match control.may_be_written() {
                             true => Outcome::Cancelled,
-                            false => Outcome::Unsent,
+                            false => Outcome::NotSent,
                         }),
                     };
                     if let Err(unreceived) = end.send(result) {
-                        dispatcher.record_launch_result(hand, &unreceived.0, false);
+                        dispatcher.record_launch_result(handle, &unreceived.0, false);
                     }
                 });
             }
-            Say::NotYet => {}
-            Say::TurnBack(span) => {
+            Decision::Wait => {}
+            Decision::Reject(span) => {
                 active.record_end(CommandEnd::Rejected);
                 return turn_back(span);
             }
-            Say::Errored => {
+            Decision::Fail => {
                 active.record_end(CommandEnd::Failed);
                 return plain(StatusCode::BAD_GATEWAY, "errored");
             }
-            Say::CallOff(launch) => {
+            Decision::CancelLaunch(launch) => {
                 // If a result is queued already, it is handled before the cancellation's.
                 active.controls[usize::from(launch)].cancel();
             }
         }
-        let check_delay = dispatcher.time_until_check(hand);
+        let check_delay = dispatcher.time_until_check(handle);
         // No deadline applies while the request body is streaming: the command's time counts from the last
         // byte.
-        let body_is_streaming = dispatcher.is_body_streaming(hand);
+        let body_is_streaming = dispatcher.is_body_streaming(handle);
         decision = tokio::select! {
             biased;
             Some(mut result) = active.results.recv() => {
-                let decision = dispatcher.record_launch_result(hand, &result, outbound.is_body_consumed());
+                let decision = dispatcher.record_launch_result(handle, &result, outbound.is_body_consumed());
                 let proves_not_run = result.outcome.proves_not_run(dispatcher.full_may_have_run());
                 active.recorder.iter_mut().for_each(|recorder| recorder.record_outcome(proves_not_run));
                 if let Some(answer) = result.answer.take() {
@@ -170,20 +170,20 @@
                 decision
             }
             Ok(()) = body_completed.changed(), if body_is_streaming => {
-                dispatcher.record_body_complete(hand);
-                Say::NotYet
+                dispatcher.record_body_complete(handle);
+                Decision::Wait
             }
             // During a stop the last byte would arrive too late for an answer. Without it the command cannot
             // have run.
             () = node.stop.past(node.limits.idle_on), if body_is_streaming => {
                 active.record_end(CommandEnd::Rejected);
-                return turn_back(Span(0));
+                return turn_back(Micros(0));
             }
             // Even an answer that a backend sends now would not reach the client before the process is
             // killed.
-            () = node.stop.past(node.limits.answer_by.get()), if !body_is_streaming => dispatcher.give_up(hand),
-            () = placement_due.notified(), if !body_is_streaming => dispatcher.place(hand),
-            () = sleep(check_delay.unwrap_or_default()), if check_delay.is_some() && !body_is_streaming => dispatcher.place(hand),
+            () = node.stop.past(node.limits.answer_by.get()), if !body_is_streaming => dispatcher.give_up(handle),
+            () = placement_due.notified(), if !body_is_streaming => dispatcher.place(handle),
+            () = sleep(check_delay.unwrap_or_default()), if check_delay.is_some() && !body_is_streaming => dispatcher.place(handle),
         };
     }
 }
--- a/crates/node/src/site_evidence.rs
+++ b/crates/node/src/site_evidence.rs
@@ -47,8 +47,8 @@
         self.count(backend, |counts| match outcome {
             Outcome::Finished | Outcome::Errored => counts.answered += 1,
             Outcome::Full => (counts.answered, counts.full) = (counts.answered + 1, counts.full + 1),
-            Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken => counts.unanswered += 1,
-            Outcome::Cancelled | Outcome::Unsent => {}
+            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::ConnectionLost => counts.unanswered += 1,
+            Outcome::Cancelled | Outcome::NotSent => {}
         });
     }
 
