--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -61,24 +61,24 @@
 pub async fn accept_connections(listener: Rc<TcpListener>, node: Rc<Node>) {
     let clients = Rc::new(ClientConnections::default());
     tokio::task::spawn_local(close_idle_while_draining(clients.clone(), node.clone()));
-    let mut stop_accepting = pin!(node.stop.past(node.limits.accept_on));
+    let mut stop_accepting = pin!(node.lifecycle.stopped_for(node.limits.accept_after_stop));
     let mut failures = AcceptFailures::default();
     loop {
         let open_count = clients.open.borrow().len();
-        let max_open = node.limits.client_sockets() + node.limits.surplus_sockets;
-        let succeeded = node.stop.succeeded();
+        let max_open = node.limits.client_sockets() + node.limits.surplus_client_sockets;
+        let succeeded = node.lifecycle.has_successor();
         if open_count >= max_open {
-            close_idle(&clients.open.borrow(), node.limits.settle);
+            close_idle(&clients.open.borrow(), node.limits.idle_after);
         }
         let accepted = tokio::select! {
             // The new process accepts from now on. It has the same listening socket, so it also takes what
             // is in the kernel's queue.
-            () = node.stop.succession(!succeeded) => continue,
+            () = node.lifecycle.wait_for_successor(!succeeded) => continue,
             accepted = listener.accept(), if open_count < max_open && !succeeded => accepted,
             // At the limit, further connections wait in the kernel's queue until one closes. The sleep lets
             // the loop close idle ones, as silent connections must not block accepting for ever.
             () = clients.connection_closed.notified(), if open_count >= max_open => continue,
-            () = sleep(node.limits.settle), if open_count >= max_open => continue,
+            () = sleep(node.limits.idle_after), if open_count >= max_open => continue,
             () = &mut stop_accepting => break,
         };
         match accepted {
@@ -88,17 +88,17 @@
             }
             Err(error) => {
                 note!("accept: {error}");
-                failures.record(node.limits.accept_pause).await;
+                failures.record(node.limits.accept_retry_pause).await;
             }
         }
     }
     // For their clients, connections in the kernel's queue are established already, so they are served too.
-    let mut stop_serving_idle = pin!(node.stop.past(node.limits.idle_on));
+    let mut stop_serving_idle = pin!(node.lifecycle.stopped_for(node.limits.keep_idle_after_stop));
     loop {
         let accepted = tokio::select! {
-            accepted = timeout(node.limits.last_look, listener.accept()) => accepted,
+            accepted = timeout(node.limits.queue_drain_timeout, listener.accept()) => accepted,
             () = &mut stop_serving_idle => break,
-            () = node.stop.succession(true) => break,
+            () = node.lifecycle.wait_for_successor(true) => break,
         };
         match accepted {
             Ok(Ok((stream, _))) => {
@@ -107,12 +107,12 @@
             }
             // File descriptors may run out for a moment. That is no reason to abandon the queued
             // connections.
-            Ok(Err(_)) => failures.record(node.limits.accept_pause).await,
+            Ok(Err(_)) => failures.record(node.limits.accept_retry_pause).await,
             Err(_) => break,
         }
     }
     drop(listener);
-    node.stop.past(node.limits.idle_on).await;
+    node.lifecycle.stopped_for(node.limits.keep_idle_after_stop).await;
     for (_, client) in clients.open.borrow().iter() {
         client.request_close();
     }
@@ -124,10 +124,10 @@
     // The node waits only for commands in flight. Answers that are still streaming continue until the
     // process is killed.
     let no_answer_owed = async {
-        node.stop.past(node.limits.end_by.get()).await;
-        // A stalled client is waited for no longer than `body_silent`.
+        node.lifecycle.stopped_for(node.limits.exit_deadline.get()).await;
+        // A stalled client is waited for no longer than `client_silence`.
         while clients.owes_answer(node.limits.client_silence) {
-            sleep(node.limits.settle).await;
+            sleep(node.limits.idle_after).await;
         }
     };
     tokio::select! {
@@ -138,18 +138,18 @@
 
 /// While operators have clients drained, closes each connection as soon as nothing is in progress on it.
 async fn close_idle_while_draining(clients: Rc<ClientConnections>, node: Rc<Node>) {
-    let settle = node.limits.settle;
+    let idle_after = node.limits.idle_after;
     loop {
-        node.stop.away_for(node.limits.idle_on).await;
+        node.lifecycle.draining_for(node.limits.keep_idle_after_stop).await;
         for (_, client) in clients
             .open
             .borrow()
             .iter()
-            .filter(|(_, client)| !client.is_evicted.get() && client.is_idle(settle))
+            .filter(|(_, client)| !client.is_evicted.get() && client.is_idle(idle_after))
         {
             client.evict();
         }
-        sleep(settle).await;
+        sleep(idle_after).await;
     }
 }
 
@@ -158,11 +158,11 @@
     let limits = &node.limits;
     if clients.open.borrow().len() >= limits.client_sockets() {
         // Closing an idle connection makes room. The surplus sockets cover the time until it is closed.
-        close_idle(&clients.open.borrow(), limits.settle);
-    } else if clients.connections_with_command.get() > limits.kept_sockets() {
+        close_idle(&clients.open.borrow(), limits.idle_after);
+    } else if clients.connections_with_command.get() > limits.kept_client_sockets() {
         // Too many clients keep an idle connection: for each new connection, one that has been idle for a
         // while is closed.
-        close_idle(&clients.open.borrow(), limits.first_wait);
+        close_idle(&clients.open.borrow(), limits.first_head_timeout);
     }
     if let Some(counts) = node.dispatcher.counts() {
         counts.count_connection(node.dispatcher.clock.now());
@@ -174,14 +174,14 @@
     tokio::task::spawn_local(async move {
         let mut builder = http1::Builder::new();
         let limits = node.limits.clone();
-        builder.max_buf_size(limits.head_bytes);
-        let request_observer = RequestObserver::new(client.clone(), limits.head_bytes);
+        builder.max_buf_size(limits.max_head_bytes);
+        let request_observer = RequestObserver::new(client.clone(), limits.max_head_bytes);
         let watched = ObservedStream { stream, observer: request_observer };
         let service = TowerToHyperService::new(ClientService { node: node.clone(), client: client.clone() });
         let mut connection = builder.serve_connection(TokioIo::new(watched), service);
         let mut closing = false;
         let is_graceful = loop {
-            let idle_deadline = client.idle_deadline(&limits).max(Instant::now() + limits.settle);
+            let idle_deadline = client.idle_deadline(&limits).max(Instant::now() + limits.idle_after);
             tokio::select! {
                 // Input comes first: a command that was already read is answered before the connection
                 // closes.
@@ -206,8 +206,8 @@
                     }
                 }
                 // The loop then checks for the client's close on each turn.
-                () = sleep(limits.settle), if client.cannot_detect_close() => {}
-                () = sleep(limits.settle), if client.is_evicted.get() => {
+                () = sleep(limits.idle_after), if client.cannot_detect_close() => {}
+                () = sleep(limits.idle_after), if client.is_evicted.get() => {
                     if !client.owes_answer(limits.client_silence) {
                         break false;
                     }
@@ -220,7 +220,7 @@
             }
         };
         if is_graceful {
-            close_gracefully(connection.into_parts().io.into_inner().stream, limits.linger).await;
+            close_gracefully(connection.into_parts().io.into_inner().stream, limits.close_timeout).await;
         }
         clients.open.borrow_mut().remove(connection_key);
         node.limits.sockets.clients.set(clients.open.borrow().len());
--- a/crates/node/src/client_connections.rs
+++ b/crates/node/src/client_connections.rs
@@ -113,8 +113,8 @@
     /// When the connection will have been idle, or stuck in the middle of a head, for too long.
     pub fn idle_deadline(&self, limits: &Limits) -> Instant {
         match self.had_command.get() {
-            true => self.idle_since.get() + limits.client_idle,
-            false => self.idle_since.get() + limits.first_wait,
+            true => self.idle_since.get() + limits.client_idle_timeout,
+            false => self.idle_since.get() + limits.first_head_timeout,
         }
     }
 
@@ -200,7 +200,7 @@
 
     /// Whether there are more connections than may be kept open between commands.
     pub fn exceeds_kept_connections(&self, limits: &Limits) -> bool {
-        self.clients.connections_with_command.get() > limits.kept_sockets()
+        self.clients.connections_with_command.get() > limits.kept_client_sockets()
             || self.clients.open.borrow().len() > limits.client_sockets()
     }
 
--- a/crates/node/src/client_service.rs
+++ b/crates/node/src/client_service.rs
@@ -6,7 +6,7 @@
 use crate::launch_types::{OutboundRequest, RequestBody, TIME_LEFT_HEADER};
 use crate::list::stable_hash;
 use crate::node::Node;
-use crate::reply::{onward, plain, turn_back, Reply};
+use crate::reply::{forwarded_headers, rejection, text_reply, Reply};
 use crate::serve::serve;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap, HeaderValue};
@@ -55,11 +55,14 @@
         Box::pin(async move {
             let mut reply = match is_unambiguous {
                 true => node.answer(&client, request).await,
-                false => plain(StatusCode::BAD_REQUEST, "ambiguous body length"),
+                false => text_reply(StatusCode::BAD_REQUEST, "ambiguous body length"),
             };
             // After a client error the boundaries of what follows on the connection cannot be trusted.
             let is_client_error = reply.status().is_client_error();
-            if is_client_error || client.exceeds_kept_connections(&node.limits) || node.stop.leaving() {
+            if is_client_error
+                || client.exceeds_kept_connections(&node.limits)
+                || node.lifecycle.is_closing_connections()
+            {
                 reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
             drop(request_guard);
@@ -72,36 +75,36 @@
     async fn answer(&self, client: &Rc<ClientConnection>, request: Request<Incoming>) -> Reply {
         match request.uri().path() {
             "/up" if request.method() == Method::GET => {
-                return match self.stop.leaving() || !self.dispatcher.has_list() {
-                    true => plain(StatusCode::SERVICE_UNAVAILABLE, "not accepting commands"),
-                    false => plain(StatusCode::OK, "up"),
+                return match self.lifecycle.is_closing_connections() || !self.dispatcher.has_list() {
+                    true => text_reply(StatusCode::SERVICE_UNAVAILABLE, "not accepting commands"),
+                    false => text_reply(StatusCode::OK, "up"),
                 };
             }
             "/api" => {}
             path if path.starts_with("/api/") => {}
-            _ => return plain(StatusCode::NOT_FOUND, "no such path"),
+            _ => return text_reply(StatusCode::NOT_FOUND, "no such path"),
         }
         let mut command = match self.command(request.method(), request.headers()) {
             Ok(command) => command,
-            Err(why) => return plain(StatusCode::BAD_REQUEST, &why),
+            Err(why) => return text_reply(StatusCode::BAD_REQUEST, &why),
         };
         let time_left = command.deadline.since(command.arrived_at);
         let (head, body) = request.into_parts();
         // During a stop the rest of the body would arrive too late for an answer.
-        let stopped = self.stop.past(self.limits.idle_on);
-        let body = match self.room.read(body, self.limits.request_bodies, stopped).await {
+        let stopped = self.lifecycle.stopped_for(self.limits.keep_idle_after_stop);
+        let body = match self.body_memory.read(body, self.limits.request_bodies, stopped).await {
             Ok(body) => body,
-            Err(ReadError::TooLarge) => return plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large"),
+            Err(ReadError::TooLarge) => return text_reply(StatusCode::PAYLOAD_TOO_LARGE, "body too large"),
             Err(ReadError::Broken) => {
-                return plain(StatusCode::BAD_REQUEST, "body was not received completely")
+                return text_reply(StatusCode::BAD_REQUEST, "body was not received completely")
             }
             // No launch was made, so the command certainly has not run.
             Err(ReadError::BudgetExhausted) => {
-                return plain(StatusCode::SERVICE_UNAVAILABLE, "body memory exhausted")
+                return text_reply(StatusCode::SERVICE_UNAVAILABLE, "body memory exhausted")
             }
-            Err(ReadError::Abandoned) => return plain(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
+            Err(ReadError::Abandoned) => return text_reply(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
             Err(ReadError::TooSlow) => {
-                return plain(StatusCode::REQUEST_TIMEOUT, "body was not received in time")
+                return text_reply(StatusCode::REQUEST_TIMEOUT, "body was not received in time")
             }
         };
         // From here on the command is accepted, and its connection is not closed before the answer is
@@ -109,7 +112,7 @@
         let command_guard = client.begin_command();
         if client.exceeds_command_limit(&self.limits) {
             // No launch was made, so the command certainly has not run.
-            return plain(StatusCode::SERVICE_UNAVAILABLE, "too many commands");
+            return text_reply(StatusCode::SERVICE_UNAVAILABLE, "too many commands");
         }
         let ticket = match &self.sites {
             None => None,
@@ -120,7 +123,7 @@
                 match known.map_or(Ok(None), |(name, goal)| sites.admit(name, goal, client.accepted_at)) {
                     Ok(ticket) => ticket,
                     // No launch was made, so the command certainly has not run.
-                    Err(span) => return turn_back(span),
+                    Err(span) => return rejection(span),
                 }
             }
         };
@@ -130,7 +133,7 @@
         command.deadline = command.arrived_at + time_left;
         let path = head.uri.path_and_query().cloned().unwrap_or_else(|| PathAndQuery::from_static("/api"));
         let id = head.headers[CORRELATION_ID_HEADER].clone();
-        let (method, headers) = (head.method, onward(head.headers));
+        let (method, headers) = (head.method, forwarded_headers(head.headers));
         let mut _cut_guard = None;
         let body = match body {
             ReadBody::Buffered(body) => RequestBody::Buffered(body),
@@ -173,7 +176,7 @@
         let time_left: u64 = time_left
             .parse()
             .map_err(|_| format!("{TIME_LEFT_HEADER} is not a whole number of milliseconds"))?;
-        let time_left = Duration::from_millis(time_left).min(self.limits.longest_command);
+        let time_left = Duration::from_millis(time_left).min(self.limits.max_command_time);
         let now = self.dispatcher.clock.now();
         let mut command = Command::new(CommandId(0), profile, now, Micros(time_left.as_micros() as u64));
         // A hint that cannot be parsed is ignored.
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::limits::Limits;
 use crate::names::Names;
-use crate::trial::TrialTerms;
+use crate::trial::TrialConfig;
 use serde_json::Value;
 use sites::plan::Plan;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 use yarrowfront::times::Micros;
 use yarrowfront_view::terms::ViewTerms;
 
-pub struct Start {
+pub struct Config {
     /// The complete configuration of a process.
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     /// A directory that the node's processes share, if there is one.
-    pub folder: Option<String>,
+    pub shared_dir: Option<String>,
     /// The address for operators' requests.
     pub admin: Option<SocketAddr>,
     pub seed: u64,
@@ -25,12 +25,12 @@
     pub names: Names,
     pub limits: Limits,
     /// The list as this node last had it, as a cache for the start.
-    pub known: Option<Value>,
+    pub cached_list: Option<Value>,
     /// The operators' file for the fleet view, if one is named; without it the node keeps no view.
     pub view: Option<ViewTerms>,
     /// The operators' file for rollouts, if one is named; without it the node keeps no statistics and
     /// accepts no trial settings.
-    pub trial: Option<TrialTerms>,
+    pub trial: Option<TrialConfig>,
     /// The operators' site failover plan, if one is named; without it the node admits every command.
     pub sites: Option<Plan>,
     /// The whole file, to determine later what a new one changes.
@@ -48,13 +48,13 @@
 }
 
 /// Looks up a value by a dotted path; the error names the path.
-pub fn at<'a>(value: &'a Value, path: &str) -> Result<&'a Value, String> {
+pub fn lookup<'a>(value: &'a Value, path: &str) -> Result<&'a Value, String> {
     let found = path.split('.').try_fold(value, |v, key| v.get(key));
     found.filter(|v| !v.is_null()).ok_or_else(|| format!("{path} is missing"))
 }
 
-fn text(value: &Value, path: &str) -> Result<String, String> {
-    at(value, path)?.as_str().map(str::to_owned).ok_or_else(|| format!("{path} is not a string"))
+fn string(value: &Value, path: &str) -> Result<String, String> {
+    lookup(value, path)?.as_str().map(str::to_owned).ok_or_else(|| format!("{path} is not a string"))
 }
 
 fn address(text: &str, path: &str) -> Result<SocketAddr, String> {
@@ -62,17 +62,17 @@
 }
 
 fn number(value: &Value, path: &str) -> Result<f64, String> {
-    let n = at(value, path)?.as_f64().filter(|n| (1.0..1e15).contains(n));
+    let n = lookup(value, path)?.as_f64().filter(|n| (1.0..1e15).contains(n));
     n.ok_or_else(|| format!("{path} is not a number of at least 1"))
 }
 
-fn nanos(value: &Value, path: &str) -> Result<Duration, String> {
+fn duration_from_ns(value: &Value, path: &str) -> Result<Duration, String> {
     number(value, path).map(|n| Duration::from_nanos(n as u64))
 }
 
 /// The strings in an array, or under one key of its objects. An absent array counts as empty.
-fn texts(value: &Value, path: &str, key: Option<&str>) -> Result<Vec<String>, String> {
-    let Ok(list) = at(value, path) else { return Ok(Vec::new()) };
+fn strings(value: &Value, path: &str, key: Option<&str>) -> Result<Vec<String>, String> {
+    let Ok(list) = lookup(value, path) else { return Ok(Vec::new()) };
     let list = list.as_array().ok_or_else(|| format!("{path} is not an array"))?;
     let item = |(i, v): (usize, &Value)| {
         let v = key.map_or(Some(v), |k| v.get(k));
@@ -83,65 +83,65 @@
     };
     let found: Vec<String> = list.iter().enumerate().map(item).collect::<Result<_, String>>()?;
     match found.iter().enumerate().find(|(i, text)| found[..*i].contains(text)) {
-        Some((_, twice)) => Err(format!("{path} names {twice:?} twice")),
+        Some((_, duplicate)) => Err(format!("{path} names {duplicate:?} twice")),
         None => Ok(found),
     }
 }
 
 /// The operators' file for the fleet view, with the seeds from their separate file, if it names one.
-fn view(path: &str) -> Result<ViewTerms, String> {
+fn read_view(path: &str) -> Result<ViewTerms, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("fleet: {path}: {e}"))?;
     let mut view = ViewTerms::from_toml(&text).map_err(|why| format!("fleet: {path}: {why}"))?;
     if let Some(file) = &view.seeds_file {
-        view.seeds.extend(seeds(file)?);
+        view.seeds.extend(read_seeds(file)?);
     }
     Ok(view)
 }
 
 /// The operators' file for rollouts.
-fn trial(path: &str) -> Result<TrialTerms, String> {
+fn read_trial(path: &str) -> Result<TrialConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("rollout: {path}: {e}"))?;
-    TrialTerms::from_toml(&text).map_err(|why| format!("rollout: {path}: {why}"))
+    TrialConfig::from_toml(&text).map_err(|why| format!("rollout: {path}: {why}"))
 }
 
 /// The operators' site failover plan.
-fn plan(path: &str) -> Result<Plan, String> {
+fn read_plan(path: &str) -> Result<Plan, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("sites: {path}: {e}"))?;
     Plan::from_toml(&text).map_err(|why| format!("sites: {path}: {why}"))
 }
 
 /// One address per line; empty lines and lines that begin with `#` are ignored.
-pub fn seeds(path: &str) -> Result<Vec<SocketAddr>, String> {
+pub fn read_seeds(path: &str) -> Result<Vec<SocketAddr>, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("seeds_file: {path}: {e}"))?;
     let lines = text.lines().map(str::trim).enumerate();
-    let said = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
-    let read =
+    let entries = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
+    let parse_line =
         |(i, line): (usize, &str)| line.parse().map_err(|_| format!("seeds_file: {path}: line {}", i + 1));
-    said.map(read).collect()
+    entries.map(parse_line).collect()
 }
 
-impl Start {
-    pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Start, String> {
+impl Config {
+    pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let path = variable("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
         let bytes = std::fs::read(&path).map_err(|e| format!("ROUTER_CONFIG: {path}: {e}"))?;
         let file: Value = serde_json::from_slice(&bytes).map_err(|e| format!("{path}: not JSON: {e}"))?;
-        Start::of(file, variable)
+        Config::from_file(file, variable)
     }
 
     /// The same for a file that has been parsed already.
-    pub fn of(file: Value, variable: impl Fn(&str) -> Option<String>) -> Result<Start, String> {
+    pub fn from_file(file: Value, variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         // An environment variable takes precedence over the file: they differ only if somebody intends it.
-        let told = |name: &str, key: &str| match variable(name) {
+        let setting = |name: &str, key: &str| match variable(name) {
             Some(text) => Ok((text, name.to_owned())),
-            None => text(&file, key).map(|text| (text, key.to_owned())),
+            None => string(&file, key).map(|text| (text, key.to_owned())),
         };
-        let (name, _) = told("ROUTER_NAME", "name")?;
-        let (listen, key) = told("ROUTER_LISTEN", "listen")?;
+        let (name, _) = setting("ROUTER_NAME", "name")?;
+        let (listen, key) = setting("ROUTER_LISTEN", "listen")?;
         let listen = address(&listen, &key)?;
-        let (discovery, key) = told("ROUTER_DISCOVERY", "discovery")?;
+        let (discovery, key) = setting("ROUTER_DISCOVERY", "discovery")?;
         let discovery = address(&discovery, &key)?;
-        let admin = match variable("ROUTER_ADMIN").is_some() || at(&file, "admin").is_ok() {
-            true => Some(told("ROUTER_ADMIN", "admin")?),
+        let admin = match variable("ROUTER_ADMIN").is_some() || lookup(&file, "admin").is_ok() {
+            true => Some(setting("ROUTER_ADMIN", "admin")?),
             false => None,
         };
         let admin = admin.map(|(text, key)| address(&text, &key).map(|at| (at, key))).transpose()?;
@@ -149,60 +149,60 @@
             return Err(format!("{key} must differ from the listening address for clients: {listen}"));
         }
         let admin = admin.map(|(at, _)| at);
-        let seed = text(&file, "seed")?;
+        let seed = string(&file, "seed")?;
         let seed = u64::from_str_radix(&seed, 16).map_err(|_| format!("seed is not hexadecimal: {seed}"))?;
-        let settings_json = at(&file, "settings")?;
+        let settings_json = lookup(&file, "settings")?;
         let mut settings = Settings::from_json(settings_json.to_string().as_bytes())?;
-        let zones = texts(&file, "settings.zones", None)?;
+        let zones = strings(&file, "settings.zones", None)?;
         if !zones.is_empty() && usize::from(settings.zone) >= zones.len() {
             return Err(format!("settings.zone: there is no zone {} in settings.zones", settings.zone));
         }
         let names = Names::new(
             zones,
-            texts(&file, "settings.flavors", None)?,
-            texts(&file, "settings.profiles", Some("name"))?,
-            texts(&file, "settings.report.names", None)?,
+            strings(&file, "settings.flavors", None)?,
+            strings(&file, "settings.profiles", Some("name"))?,
+            strings(&file, "settings.report.names", None)?,
             &settings,
         );
-        let longest = settings.profiles.iter().map(|p| p.time_limit).max().unwrap_or_default();
-        let limits = Limits::fill(
+        let longest_time_limit = settings.profiles.iter().map(|p| p.time_limit).max().unwrap_or_default();
+        let limits = Limits::compute(
             number(&file, "limits.sockets")? as usize,
             number(&file, "limits.memory_mb")? as usize,
-            nanos(&file, "settings.limits.dialTimeout")?,
-            nanos(&file, "settings.limits.connIdle")?,
-            Duration::from_micros(longest.0),
+            duration_from_ns(&file, "settings.limits.dialTimeout")?,
+            duration_from_ns(&file, "settings.limits.connIdle")?,
+            Duration::from_micros(longest_time_limit.0),
         )?;
         // The pool closes idle connections before their backend does, so its idle timeout is the one that
         // counts.
-        settings.connection_idle_timeout = Micros(limits.backend_idle.get().as_micros() as u64);
-        let known = file.get("known").filter(|k| !k.is_null()).cloned();
-        let folder = variable("TMPDIR");
-        let view = match variable("ROUTER_FLEET").is_some() || at(&file, "fleet").is_ok() {
-            true => Some(view(&told("ROUTER_FLEET", "fleet")?.0)?),
+        settings.connection_idle_timeout = Micros(limits.backend_idle_timeout.get().as_micros() as u64);
+        let cached_list = file.get("known").filter(|k| !k.is_null()).cloned();
+        let shared_dir = variable("TMPDIR");
+        let view = match variable("ROUTER_FLEET").is_some() || lookup(&file, "fleet").is_ok() {
+            true => Some(read_view(&setting("ROUTER_FLEET", "fleet")?.0)?),
             false => None,
         };
-        let trial = match variable("ROUTER_ROLLOUT").is_some() || at(&file, "rollout").is_ok() {
-            true => Some(trial(&told("ROUTER_ROLLOUT", "rollout")?.0)?),
+        let trial = match variable("ROUTER_ROLLOUT").is_some() || lookup(&file, "rollout").is_ok() {
+            true => Some(read_trial(&setting("ROUTER_ROLLOUT", "rollout")?.0)?),
             false => None,
         };
-        let sites = match variable("ROUTER_SITES").is_some() || at(&file, "sites").is_ok() {
-            true => Some(plan(&told("ROUTER_SITES", "sites")?.0)?),
+        let sites = match variable("ROUTER_SITES").is_some() || lookup(&file, "sites").is_ok() {
+            true => Some(read_plan(&setting("ROUTER_SITES", "sites")?.0)?),
             false => None,
         };
         if trial.is_some() && admin.is_none() {
             return Err("rollout: an admin address is required".to_owned());
         }
-        Ok(Start {
+        Ok(Config {
             name,
             listen,
             discovery,
-            folder,
+            shared_dir,
             admin,
             seed,
             settings,
             names,
             limits,
-            known,
+            cached_list,
             view,
             trial,
             sites,
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -98,7 +98,7 @@
 /// The owner of the balancer and of all state that changes together with it.
 pub struct Dispatcher {
     pub clock: Clock,
-    tick: Duration,
+    timer_resolution: Duration,
     inner: RefCell<Inner>,
     errands: mpsc::UnboundedSender<Action>,
     /// Notified when the time of the balancer's next timer has changed.
@@ -121,7 +121,7 @@
         balancer: Balancer,
         names: Names,
         clock: Clock,
-        tick: Duration,
+        timer_resolution: Duration,
         errands: mpsc::UnboundedSender<Action>,
         (counts, site_evidence): (Option<Rc<Counts>>, Option<Rc<SiteEvidence>>),
         (full_may_have_run, max_retry_after): (bool, Micros),
@@ -148,7 +148,7 @@
             (Notify::new(), Cell::new(false), Cell::new(None));
         Dispatcher {
             clock,
-            tick,
+            timer_resolution,
             inner,
             errands,
             timer_changed,
@@ -420,7 +420,7 @@
     /// runtime's timer resolution.
     fn timer_delay(&self, inner: &Inner, command: Option<&Command>) -> Option<Duration> {
         let span = inner.balancer.wakeup_delay(self.clock.now(), command)?;
-        Some(Duration::from_micros(span.0).max(self.tick))
+        Some(Duration::from_micros(span.0).max(self.timer_resolution))
     }
 
     /// The number of the command's newest launch.
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,10 +1,10 @@
 //! The fleet view on a UDP socket: exchanges datagrams, publishes this node's own state, and provides the
 //! state of the others to operators and to the balancer. Runs only if a fleet file is configured.
 
-use crate::config::{at, build, seeds};
+use crate::config::{build, lookup, read_seeds};
 use crate::dispatcher::{Dispatcher, NodeShare};
 use crate::handover::Peer;
-use crate::lifecycle::Stop;
+use crate::lifecycle::Lifecycle;
 use crate::list::stable_hash;
 use crate::log::note;
 use serde_json::{json, Value};
@@ -27,54 +27,54 @@
 
 /// The number of datagrams that are read at once: a flood of them must not delay commands for longer than
 /// the processing of one command takes.
-const AT_ONCE: usize = 32;
+const DATAGRAMS_PER_READ: usize = 32;
 /// The pause between two such reads while more datagrams are waiting. The two constants limit the rate to
 /// 16,000 datagrams per second; the kernel drops the rest.
-const BREATH: Duration = Duration::from_millis(2);
+const READ_PAUSE: Duration = Duration::from_millis(2);
 /// The interval at which this node's own state is published and its position in the fleet is updated.
-const LOOK: Micros = Micros::from_millis(200);
+const UPDATE_INTERVAL: Micros = Micros::from_millis(200);
 /// The interval between two attempts to bind the address while a previous process still has it.
-const BIND: Duration = Duration::from_millis(50);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// The interval between two reads of the seeds file.
-const SEEDS: Duration = Duration::from_secs(5);
+const SEEDS_INTERVAL: Duration = Duration::from_secs(5);
 /// The number of changes of the view that are kept for operators.
-const KEPT: usize = 64;
+const MAX_RECENT_CHANGES: usize = 64;
 
 /// The members of the fleet by site.
-pub struct BySite {
+pub struct SiteMembers {
     /// For each site, the number of members that are alive and of all that are known.
     pub of: BTreeMap<String, (u32, u32)>,
     /// This node sees no other member, or no majority.
     pub isolated: bool,
-    /// The earliest incarnation of a live member in another site.
+    /// The earliest generation of a live member in another site.
     pub oldest_elsewhere: Option<u64>,
 }
 
 /// What the configuration says about this node.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Own {
+pub struct NodeIdentity {
     pub site: String,
     pub digest: u64,
     pub place: u32,
     pub places: u32,
 }
 
-impl Own {
-    pub fn of(file: &Value, dispatcher: &Dispatcher) -> Own {
-        let whole = |path| at(file, path).ok().and_then(Value::as_f64).unwrap_or(0.0) as u32;
+impl NodeIdentity {
+    pub fn of(file: &Value, dispatcher: &Dispatcher) -> NodeIdentity {
+        let number = |path| lookup(file, path).ok().and_then(Value::as_f64).unwrap_or(0.0) as u32;
         let zones = &dispatcher.names().zones;
-        let site = at(file, "settings.zones").ok().and_then(|z| z.get(whole("settings.zone") as usize));
+        let site = lookup(file, "settings.zones").ok().and_then(|z| z.get(number("settings.zone") as usize));
         let site = site.and_then(Value::as_str).or(zones.first().map(String::as_str)).unwrap_or_default();
         // The digest compares nodes, so it leaves out the settings that differ between them by design.
         let mut settings = file.get("settings").cloned().unwrap_or_default();
         if let Some(settings) = settings.as_object_mut() {
             settings.retain(|key, _| key != "me" && key != "zone");
         }
-        Own {
+        NodeIdentity {
             site: site.chars().take(16).collect(),
             digest: stable_hash(&settings.to_string()),
-            place: whole("settings.me"),
-            places: whole("settings.balancers").max(1),
+            place: number("settings.me"),
+            places: number("settings.balancers").max(1),
         }
     }
 }
@@ -83,36 +83,36 @@
     view: RefCell<View>,
     sharer: RefCell<Sharer>,
     share: Cell<Option<Share>>,
-    own: RefCell<Own>,
+    identity: RefCell<NodeIdentity>,
     address: SocketAddr,
     dispatcher: Rc<Dispatcher>,
-    stop: Rc<Stop>,
+    lifecycle: Rc<Lifecycle>,
     peer: Rc<Peer>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    looked: Cell<Timestamp>,
-    seeds_read: Cell<Instant>,
+    updated_at: Cell<Timestamp>,
+    seeds_read_at: Cell<Instant>,
     /// Recent changes of the view, the newest last.
-    lately: RefCell<Vec<(Timestamp, String)>>,
+    recent_changes: RefCell<Vec<(Timestamp, String)>>,
     /// Notified when the loop has to act on something other than a datagram or the view's own timer.
-    moved: Notify,
+    wake: Notify,
 }
 
-type Parts = (Rc<Dispatcher>, Rc<Stop>, Rc<Peer>);
+type Parts = (Rc<Dispatcher>, Rc<Lifecycle>, Rc<Peer>);
 
 impl Fleet {
-    /// Creates the view with an incarnation that is later than `before`.
+    /// Creates the view with a generation that is later than the given one.
     pub fn new(
         terms: ViewTerms,
         name: &str,
-        own: Own,
-        (before, seed): (u64, u64),
-        (dispatcher, stop, peer): Parts,
+        identity: NodeIdentity,
+        (predecessor_generation, seed): (u64, u64),
+        (dispatcher, lifecycle, peer): Parts,
     ) -> Rc<Fleet> {
         let now = dispatcher.clock.now();
         let address = terms.address.unwrap_or(terms.listen);
-        let life = Life(now.0.max(before + 1));
-        peer.life.set(life.0);
-        let card = card(address, &own, Phase::JOINING);
+        let life = Life(now.0.max(predecessor_generation + 1));
+        peer.generation.set(life.0);
+        let card = card(address, &identity, Phase::JOINING);
         let sharer = Sharer::new(now, terms.times);
         // The seed differs between the two processes of a node.
         let view = View::new(now, terms, name, life, card, seed ^ life.0);
@@ -120,21 +120,21 @@
             view: RefCell::new(view),
             sharer: RefCell::new(sharer),
             share: Cell::new(None),
-            own: RefCell::new(own),
+            identity: RefCell::new(identity),
             address,
             dispatcher,
-            stop,
+            lifecycle,
             peer,
             socket: RefCell::new(None),
-            looked: Cell::new(Timestamp(0)),
-            seeds_read: Cell::new(Instant::now()),
-            lately: RefCell::new(Vec::new()),
-            moved: Notify::new(),
+            updated_at: Cell::new(Timestamp(0)),
+            seeds_read_at: Cell::new(Instant::now()),
+            recent_changes: RefCell::new(Vec::new()),
+            wake: Notify::new(),
         })
     }
 
     /// Whether this configuration can be adopted without a restart.
-    pub fn may_follow(&self, terms: &ViewTerms) -> Result<(), String> {
+    pub fn check_reload(&self, terms: &ViewTerms) -> Result<(), String> {
         let view = self.view.borrow();
         match (terms.listen, terms.address, &terms.fleet)
             == (view.terms.listen, view.terms.address, &view.terms.fleet)
@@ -145,57 +145,57 @@
     }
 
     /// Adopts a reloaded fleet file and this node's reloaded configuration.
-    pub fn follow(&self, terms: ViewTerms, own: Own) {
+    pub fn adopt(&self, terms: ViewTerms, identity: NodeIdentity) {
         *self.sharer.borrow_mut() = Sharer::new(self.dispatcher.clock.now(), terms.times);
         self.view.borrow_mut().follow(self.dispatcher.clock.now(), terms);
-        *self.own.borrow_mut() = own;
-        self.looked.set(Timestamp(0));
-        self.moved.notify_one();
+        *self.identity.borrow_mut() = identity;
+        self.updated_at.set(Timestamp(0));
+        self.wake.notify_one();
     }
 
     /// Keeps the view for as long as the process lives. While a new process of this node accepts the
     /// connections, that process also keeps the view.
     pub async fn run(self: Rc<Fleet>) {
-        let mut before = false;
+        let mut has_listened_before = false;
         loop {
             let Some(socket) = self.listen().await else { continue };
-            if std::mem::replace(&mut before, true) {
-                // The other process has ended, and its incarnation was later than this one's.
+            if std::mem::replace(&mut has_listened_before, true) {
+                // The other process has ended, and its generation was later than this one's.
                 self.view.borrow_mut().raise_life(self.dispatcher.clock.now(), Life(0));
             }
             note!("fleet: listening on {}", self.address);
             tokio::select! {
-                () = self.keep(&socket) => {}
-                () = self.stop.succession(true) => {}
+                () = self.run_view(&socket) => {}
+                () = self.lifecycle.wait_for_successor(true) => {}
             }
             self.socket.replace(None);
             drop(socket);
-            self.stop.succession(false).await;
+            self.lifecycle.wait_for_successor(false).await;
         }
     }
 
     async fn listen(&self) -> Option<Rc<UdpSocket>> {
-        let at = self.view.borrow().terms.listen;
-        match UdpSocket::bind(at).await {
+        let address = self.view.borrow().terms.listen;
+        match UdpSocket::bind(address).await {
             Ok(socket) => {
                 let socket = Rc::new(socket);
                 self.socket.replace(Some(socket.clone()));
                 Some(socket)
             }
             Err(error) => {
-                note!("fleet: {at}: {error}");
-                sleep(BIND).await;
+                note!("fleet: {address}: {error}");
+                sleep(BIND_RETRY_INTERVAL).await;
                 None
             }
         }
     }
 
-    async fn keep(&self, socket: &UdpSocket) {
+    async fn run_view(&self, socket: &UdpSocket) {
         let mut bytes = [0; LARGEST + 1];
         loop {
-            self.look();
-            self.send(socket);
-            let next = self.view.borrow().next().min(self.looked.get() + LOOK);
+            self.update();
+            self.send_pending(socket);
+            let next = self.view.borrow().next().min(self.updated_at.get() + UPDATE_INTERVAL);
             tokio::select! {
                 biased;
                 () = sleep_until(self.dispatcher.clock.instant(next)) => {
@@ -204,18 +204,18 @@
                         self.view.borrow_mut().due(now);
                     }
                 }
-                () = self.moved.notified() => {}
+                () = self.wake.notified() => {}
                 ready = socket.readable() => {
-                    if ready.is_ok() && self.read(socket, &mut bytes) == AT_ONCE {
-                        sleep(BREATH).await;
+                    if ready.is_ok() && self.receive(socket, &mut bytes) == DATAGRAMS_PER_READ {
+                        sleep(READ_PAUSE).await;
                     }
                 }
             }
         }
     }
 
-    fn read(&self, socket: &UdpSocket, bytes: &mut [u8]) -> usize {
-        for count in 0..AT_ONCE {
+    fn receive(&self, socket: &UdpSocket, bytes: &mut [u8]) -> usize {
+        for count in 0..DATAGRAMS_PER_READ {
             match socket.try_recv_from(bytes) {
                 Ok((size, from)) => {
                     self.view.borrow_mut().heard(self.dispatcher.clock.now(), from, &bytes[..size]);
@@ -225,10 +225,10 @@
                 Err(_) => {}
             }
         }
-        AT_ONCE
+        DATAGRAMS_PER_READ
     }
 
-    fn send(&self, socket: &UdpSocket) {
+    fn send_pending(&self, socket: &UdpSocket) {
         loop {
             let Some((to, bytes)) = self.view.borrow_mut().outgoing() else { break };
             // A datagram that the kernel does not accept is lost, like any other datagram may be.
@@ -249,31 +249,31 @@
                 What::Suspected | What::Refuted | What::Raised => note!("fleet: {text}"),
                 _ => note!("fleet: {text}"),
             }
-            let mut lately = self.lately.borrow_mut();
-            if lately.len() == KEPT {
-                lately.remove(0);
+            let mut recent_changes = self.recent_changes.borrow_mut();
+            if recent_changes.len() == MAX_RECENT_CHANGES {
+                recent_changes.remove(0);
             }
-            lately.push((change.at, text));
+            recent_changes.push((change.at, text));
         }
-        self.peer.life.set(self.view.borrow().life().0);
+        self.peer.generation.set(self.view.borrow().life().0);
     }
 
     /// Publishes this node's present state, and passes on to the balancer what it uses of the view.
-    fn look(&self) {
+    fn update(&self) {
         let now = self.dispatcher.clock.now();
-        if now < self.looked.get() + LOOK {
+        if now < self.updated_at.get() + UPDATE_INTERVAL {
             return;
         }
-        self.looked.set(now);
+        self.updated_at.set(now);
         self.read_seeds();
         let phase = match () {
-            () if self.stop.stopping() => Phase::STOPPING,
-            () if !self.dispatcher.has_list() || !self.peer.ready() => Phase::JOINING,
-            () if self.stop.drained() => Phase::SENT_AWAY,
-            () if self.peer.beside() => Phase::UPGRADING,
+            () if self.lifecycle.is_stopping() => Phase::STOPPING,
+            () if !self.dispatcher.has_list() || !self.peer.is_ready() => Phase::JOINING,
+            () if self.lifecycle.is_draining() => Phase::SENT_AWAY,
+            () if self.peer.has_peer() => Phase::UPGRADING,
             () => Phase::SERVING,
         };
-        let own = self.own.borrow();
+        let identity = self.identity.borrow();
         let (in_hand, taken, backends, list, age) = self.dispatcher.load();
         let load = Load {
             in_hand: in_hand as u32,
@@ -283,11 +283,11 @@
             list_age_ms: age.map_or(u64::MAX, |age| age.as_millis() as u64),
         };
         let mut view = self.view.borrow_mut();
-        view.told(&card(self.address, &own, phase), load);
-        let share = self.sharer.borrow_mut().look(now, &view, own.places, own.place);
+        view.told(&card(self.address, &identity, phase), load);
+        let share = self.sharer.borrow_mut().look(now, &view, identity.places, identity.place);
         self.share.set(Some(share));
         if view.terms.portions {
-            let without = Sharer::without(own.places, own.place, now);
+            let without = Sharer::without(identity.places, identity.place, now);
             let (nodes, me) = (share.nodes, share.me);
             let without = (without.nodes, without.me);
             self.dispatcher.set_node_share(NodeShare { nodes, me, until: share.until, without });
@@ -296,50 +296,50 @@
 
     /// Reads the seeds file again, which may have changed.
     fn read_seeds(&self) {
-        if self.seeds_read.get().elapsed() < SEEDS {
+        if self.seeds_read_at.get().elapsed() < SEEDS_INTERVAL {
             return;
         }
-        self.seeds_read.set(Instant::now());
+        self.seeds_read_at.set(Instant::now());
         let mut view = self.view.borrow_mut();
         let Some(file) = view.terms.seeds_file.clone() else { return };
-        match seeds(&file) {
+        match read_seeds(&file) {
             Ok(seeds) => view.terms.seeds = seeds,
             Err(why) => note!("fleet: keeping the previous seeds: {why}"),
         }
     }
 
     /// The live and the known members of each site, including this node.
-    pub fn sites(&self) -> BySite {
+    pub fn members_by_site(&self) -> SiteMembers {
         let (view, share) = (self.view.borrow(), self.share.get());
         let mut of: BTreeMap<String, (u32, u32)> = BTreeMap::new();
-        let (mut oldest_elsewhere, own) = (None, view.card().site.clone());
-        of.insert(own.clone(), (1, 1));
+        let (mut oldest_elsewhere, identity) = (None, view.card().site.clone());
+        of.insert(identity.clone(), (1, 1));
         for (_, member) in view.members() {
             let here = member.standing.here();
             let site = of.entry(member.card.site.clone()).or_default();
             *site = (site.0 + u32::from(here), site.1 + 1);
-            if here && member.card.site != own {
+            if here && member.card.site != identity {
                 let life = oldest_elsewhere.get_or_insert(member.life.0);
                 *life = member.life.0.min(*life);
             }
         }
         let isolated = view.alone() || share.is_some_and(|share| share.why == Why::Unsure);
-        BySite { of, isolated, oldest_elsewhere }
+        SiteMembers { of, isolated, oldest_elsewhere }
     }
 
     /// Announces at the end of a planned stop that this node is leaving.
     pub fn leave(&self) {
         let socket = self.socket.borrow().clone();
-        if let Some(socket) = socket.filter(|_| !self.stop.succeeded()) {
+        if let Some(socket) = socket.filter(|_| !self.lifecycle.has_successor()) {
             self.view.borrow_mut().leave(self.dispatcher.clock.now());
-            self.send(&socket);
+            self.send_pending(&socket);
         }
     }
 
     /// The view as JSON. Times are ages in milliseconds; byte counts and other counts are totals since the
     /// start.
-    pub fn told(&self) -> Value {
-        let (view, own, now) = (self.view.borrow(), self.own.borrow(), self.dispatcher.clock.now());
+    pub fn to_json(&self) -> Value {
+        let (view, identity, now) = (self.view.borrow(), self.identity.borrow(), self.dispatcher.clock.now());
         let age = |at: Timestamp| now.since(at).0 / 1000;
         let card = |card: &Card| {
             json!({"address": card.address, "site": card.site, "build": card.build,
@@ -357,25 +357,29 @@
                 "lost": m.lost})
         };
         let (counts, portion) = (view.counts(), self.share.get());
-        let lately: Vec<Value> =
-            self.lately.borrow().iter().map(|(at, text)| json!({"ago_ms": age(*at), "what": text})).collect();
+        let recent_changes: Vec<Value> = self
+            .recent_changes
+            .borrow()
+            .iter()
+            .map(|(at, text)| json!({"ago_ms": age(*at), "what": text}))
+            .collect();
         json!({
             "fleet": view.terms.fleet, "name": view.name(), "life": view.life().0, "edition": view.edition().0,
             "card": card(view.card()), "load": load(&view.load()), "here": view.here(), "alone": view.alone(),
             "displaced": view.displaced(), "digest": format!("{:016x}", view.digest()), "trouble": view.trouble(),
             "portion": portion.map(|p| json!({"nodes": p.nodes, "me": p.me, "why": p.why.word(),
-                "used": view.terms.portions, "stated": own.places})),
+                "used": view.terms.portions, "stated": identity.places})),
             "counts": {"heard": counts.heard, "sent": counts.sent, "bytes_sent": counts.bytes_sent,
                 "strangers": counts.strangers, "other_fleet": counts.other_fleet,
                 "other_version": counts.other_version, "malformed": counts.malformed,
                 "old_life": counts.old_life, "no_room": counts.no_room, "changes": counts.changes,
                 "stalls": counts.stalls},
-            "members": view.members().map(member).collect::<Vec<_>>(), "lately": lately,
+            "members": view.members().map(member).collect::<Vec<_>>(), "lately": recent_changes,
         })
     }
 
     /// The view as plain text.
-    pub fn page(&self) -> String {
+    pub fn to_text(&self) -> String {
         let (view, now) = (self.view.borrow(), self.dispatcher.clock.now());
         let seconds = |at: Timestamp| format!("{:.1} s", now.since(at).as_f64() / 1e6);
         let mut page = String::new();
@@ -420,14 +424,14 @@
     }
 }
 
-fn card(address: SocketAddr, own: &Own, phase: Phase) -> Card {
+fn card(address: SocketAddr, identity: &NodeIdentity, phase: Phase) -> Card {
     Card {
         address,
-        site: own.site.clone(),
+        site: identity.site.clone(),
         build: build(),
-        digest: own.digest,
+        digest: identity.digest,
         phase,
-        place: own.place,
-        places: own.places,
+        place: identity.place,
+        places: identity.places,
     }
 }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -3,10 +3,10 @@
 //! connection waits in a queue that nobody accepts from, and all state that must survive. Until one of them
 //! ends, each then tells the other what operators request and how much of the shared budgets it uses.
 
-use crate::admin_request::Call;
+use crate::admin_request::AdminRequest;
 use crate::bodies::BodyMemory;
 use crate::dispatcher::Dispatcher;
-use crate::lifecycle::Stop;
+use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
 use crate::log::note;
 use rustix::net::{
@@ -38,25 +38,30 @@
 /// A message between the two processes: one JSON object per line.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Word {
+enum Message {
     Hello {
         version: u32,
     },
     /// There are two processes already, or the node is stopping.
-    No {
+    #[serde(rename = "no")]
+    Refused {
         why: String,
     },
     State(State),
     /// From the new process: it can accept connections, and the old one must stop accepting.
     Ready,
     /// From the old process: it has stopped accepting.
-    Left,
+    #[serde(rename = "left")]
+    StoppedAccepting,
     /// A request of an operator that the other process carries out too.
-    Call(Call),
+    #[serde(rename = "call")]
+    OperatorRequest(AdminRequest),
     /// The request was carried out.
-    Done,
+    #[serde(rename = "done")]
+    Confirmed,
     /// What the sender uses of the shared budgets.
-    Held {
+    #[serde(rename = "held")]
+    Usage {
         clients: usize,
         backends: usize,
         bytes: usize,
@@ -69,17 +74,19 @@
 /// The state that must survive a process.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct State {
-    pub left_out: Vec<String>,
-    pub drained: bool,
+    #[serde(rename = "left_out")]
+    pub in_maintenance: Vec<String>,
+    #[serde(rename = "drained")]
+    pub is_draining: bool,
     /// In discovery's format.
     pub list: Value,
-    /// The incarnation in the fleet view, if there is one: the new process takes a later one.
-    #[serde(default)]
-    pub life: u64,
+    /// The generation in the fleet view, if there is one: the new process takes a later one.
+    #[serde(default, rename = "life")]
+    pub generation: u64,
 }
 
 /// What the old process has passed to this one.
-pub struct Heritage {
+pub struct Handover {
     pub state: State,
     pub listener: std::net::TcpListener,
     pub stream: StdUnixStream,
@@ -87,16 +94,18 @@
 
 /// The path of the socket at which the processes of the node with this listening address meet; `None`
 /// without a shared directory.
-pub fn meeting(folder: Option<String>, listen: SocketAddr) -> Option<PathBuf> {
-    folder.filter(|folder| !folder.is_empty()).map(|folder| Path::new(&folder).join(format!("{listen}.sock")))
+pub fn socket_path(shared_dir: Option<String>, listen: SocketAddr) -> Option<PathBuf> {
+    shared_dir
+        .filter(|shared_dir| !shared_dir.is_empty())
+        .map(|shared_dir| Path::new(&shared_dir).join(format!("{listen}.sock")))
 }
 
 /// Asks a running process of this node to hand over. `None` if there is none or it does not answer
 /// correctly; an error if it refuses.
-pub fn inherit(path: &Path, limits: &Limits) -> Result<Option<Heritage>, String> {
+pub fn request_handover(path: &Path, limits: &Limits) -> Result<Option<Handover>, String> {
     let Ok(stream) = StdUnixStream::connect(path) else { return Ok(None) };
-    match talk(&stream, limits) {
-        Ok(Ok((state, listener))) => Ok(Some(Heritage { state, listener, stream })),
+    match receive_state(&stream, limits) {
+        Ok(Ok((state, listener))) => Ok(Some(Handover { state, listener, stream })),
         Ok(Err(why)) => Err(why),
         Err(error) => {
             note!(
@@ -108,35 +117,35 @@
     }
 }
 
-type Given = Result<(State, std::net::TcpListener), String>;
+type HandoverReply = Result<(State, std::net::TcpListener), String>;
 
-fn talk(stream: &StdUnixStream, limits: &Limits) -> io::Result<Given> {
-    stream.set_read_timeout(Some(limits.peer_wait))?;
-    stream.set_write_timeout(Some(limits.peer_wait))?;
-    (&*stream).write_all(&line(&Word::Hello { version: VERSION })?)?;
+fn receive_state(stream: &StdUnixStream, limits: &Limits) -> io::Result<HandoverReply> {
+    stream.set_read_timeout(Some(limits.peer_timeout))?;
+    stream.set_write_timeout(Some(limits.peer_timeout))?;
+    (&*stream).write_all(&encode_line(&Message::Hello { version: VERSION })?)?;
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut beside = RecvAncillaryBuffer::new(&mut space);
+    let mut ancillary = RecvAncillaryBuffer::new(&mut space);
     let mut first = [0];
-    recvmsg(stream, &mut [IoSliceMut::new(&mut first)], &mut beside, RecvFlags::CMSG_CLOEXEC)?;
-    let mut given: Option<OwnedFd> = None;
-    for message in beside.drain() {
+    recvmsg(stream, &mut [IoSliceMut::new(&mut first)], &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
+    let mut socket: Option<OwnedFd> = None;
+    for message in ancillary.drain() {
         if let RecvAncillaryMessage::ScmRights(sockets) = message {
-            given = sockets.last();
+            socket = sockets.last();
         }
     }
     // Read byte by byte: what follows this line belongs to the later reader.
-    let mut text = Vec::new();
-    let mut reader = BufReader::with_capacity(1, stream.take(limits.line_bytes as u64));
-    reader.read_until(b'\n', &mut text)?;
-    match (serde_json::from_slice(&text)?, given) {
-        (Word::State(state), Some(socket)) => Ok(Ok((state, std::net::TcpListener::from(socket)))),
-        (Word::No { why }, _) => Ok(Err(why)),
+    let mut bytes_read = Vec::new();
+    let mut reader = BufReader::with_capacity(1, stream.take(limits.max_message_bytes as u64));
+    reader.read_until(b'\n', &mut bytes_read)?;
+    match (serde_json::from_slice(&bytes_read)?, socket) {
+        (Message::State(state), Some(socket)) => Ok(Ok((state, std::net::TcpListener::from(socket)))),
+        (Message::Refused { why }, _) => Ok(Err(why)),
         _ => Err(io::Error::other("it has sent no socket")),
     }
 }
 
-fn line(word: &Word) -> io::Result<Vec<u8>> {
-    let mut line = serde_json::to_vec(word)?;
+fn encode_line(message: &Message) -> io::Result<Vec<u8>> {
+    let mut line = serde_json::to_vec(message)?;
     line.push(b'\n');
     Ok(line)
 }
@@ -146,21 +155,21 @@
 
 /// The connection to the other process.
 struct Link {
-    out: mpsc::UnboundedSender<Word>,
+    outgoing: mpsc::UnboundedSender<Message>,
     /// The requests that wait for the other process's confirmation, oldest first.
-    waiting: RefCell<VecDeque<oneshot::Sender<()>>>,
+    unconfirmed: RefCell<VecDeque<oneshot::Sender<()>>>,
 }
 
 impl Link {
     /// Sends a message that the other process confirms, and waits for the confirmation.
-    async fn ask(&self, word: Word, wait: Duration) -> bool {
+    async fn send_and_wait(&self, message: Message, wait: Duration) -> bool {
         let (done, answer) = oneshot::channel();
-        self.waiting.borrow_mut().push_back(done);
-        self.out.send(word).is_ok() && matches!(timeout(wait, answer).await, Ok(Ok(())))
+        self.unconfirmed.borrow_mut().push_back(done);
+        self.outgoing.send(message).is_ok() && matches!(timeout(wait, answer).await, Ok(Ok(())))
     }
 
-    fn answered(&self) {
-        if let Some(done) = self.waiting.borrow_mut().pop_front() {
+    fn confirm_oldest(&self) {
+        if let Some(done) = self.unconfirmed.borrow_mut().pop_front() {
             let _ = done.send(());
         }
     }
@@ -168,49 +177,61 @@
 
 /// Whether this is the older or the newer of the two processes.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Side {
+enum Role {
     Old,
     New,
 }
 
 pub struct Peer {
     dispatcher: Rc<Dispatcher>,
-    stop: Rc<Stop>,
+    lifecycle: Rc<Lifecycle>,
     limits: Rc<Limits>,
-    room: BodyMemory,
+    body_memory: BodyMemory,
     path: Option<PathBuf>,
     /// Weak, because the kernel's queue must close when the accept loop, which reads it, ends.
     listener: Weak<TcpListener>,
     link: RefCell<Option<Rc<Link>>>,
     /// State is being passed to a new process. Until that has succeeded or failed, another one is refused.
-    telling: Cell<bool>,
+    is_sending_state: Cell<bool>,
     /// The task that accepts new processes; a new listener replaces it.
-    door: Cell<Option<AbortHandle>>,
+    listener_task: Cell<Option<AbortHandle>>,
     /// Connections are being accepted, or are about to be.
-    ready: Cell<bool>,
-    /// This process's incarnation in the fleet view, if there is one.
-    pub life: Cell<u64>,
+    is_ready: Cell<bool>,
+    /// This process's generation in the fleet view, if there is one.
+    pub generation: Cell<u64>,
 }
 
 impl Peer {
     pub fn new(
-        (dispatcher, stop, limits, room): (Rc<Dispatcher>, Rc<Stop>, Rc<Limits>, BodyMemory),
+        (dispatcher, lifecycle, limits, body_memory): (Rc<Dispatcher>, Rc<Lifecycle>, Rc<Limits>, BodyMemory),
         path: Option<PathBuf>,
         listener: &Rc<TcpListener>,
     ) -> Rc<Peer> {
-        let (link, door, ready) = (RefCell::default(), Cell::default(), Cell::new(false));
+        let (link, listener_task, is_ready) = (RefCell::default(), Cell::default(), Cell::new(false));
         let listener = Rc::downgrade(listener);
-        let life = Cell::new(0);
-        let telling = Cell::new(false);
-        Rc::new(Peer { dispatcher, stop, limits, room, path, listener, link, telling, door, ready, life })
+        let generation = Cell::new(0);
+        let is_sending_state = Cell::new(false);
+        Rc::new(Peer {
+            dispatcher,
+            lifecycle,
+            limits,
+            body_memory,
+            path,
+            listener,
+            link,
+            is_sending_state,
+            listener_task,
+            is_ready,
+            generation,
+        })
     }
 
-    pub fn ready(&self) -> bool {
-        self.ready.get()
+    pub fn is_ready(&self) -> bool {
+        self.is_ready.get()
     }
 
     /// Whether the other process of this node is running.
-    pub fn beside(&self) -> bool {
+    pub fn has_peer(&self) -> bool {
         self.link.borrow().is_some()
     }
 
@@ -222,25 +243,32 @@
             match stream {
                 Ok(stream) => {
                     let (read, write) = stream.into_split();
-                    let link = self.join(write);
+                    let link = self.open_link(write);
                     self.dispatcher.set_predecessor_running(true);
-                    tokio::task::spawn_local(self.clone().follow(Reader::new(read), link.clone(), Side::New));
-                    if !link.ask(Word::Ready, self.limits.peer_wait).await {
+                    tokio::task::spawn_local(self.clone().run_link(
+                        Reader::new(read),
+                        link.clone(),
+                        Role::New,
+                    ));
+                    if !link.send_and_wait(Message::Ready, self.limits.peer_timeout).await {
                         note!("handover: the old process has not confirmed that it stopped accepting");
                     }
                 }
                 Err(error) => note!("handover: {error}"),
             }
         }
-        self.ready.set(true);
-        self.open_door();
+        self.is_ready.set(true);
+        self.listen_for_successor();
     }
 
     /// Has the other process, if there is one, carry out an operator's request as well.
-    pub async fn tell(&self, call: &Call) {
+    pub async fn forward_request(&self, request: &AdminRequest) {
         let link = self.link.borrow().clone();
         if let Some(link) = link {
-            if !link.ask(Word::Call(call.clone()), self.limits.peer_wait / 2).await {
+            if !link
+                .send_and_wait(Message::OperatorRequest(request.clone()), self.limits.peer_timeout / 2)
+                .await
+            {
                 note!("handover: the other process has not confirmed an operator's request");
             }
         }
@@ -248,84 +276,90 @@
 
     /// Listens for a successor. The socket file is replaced atomically, since a process that has ended may
     /// have left one.
-    fn open_door(self: &Rc<Peer>) {
+    fn listen_for_successor(self: &Rc<Peer>) {
         let Some(path) = &self.path else { return };
         let new = path.with_extension("new");
         let _ = std::fs::remove_file(&new);
-        let bound = UnixListener::bind(&new).and_then(|door| std::fs::rename(&new, path).map(|()| door));
+        let bound =
+            UnixListener::bind(&new).and_then(|listener| std::fs::rename(&new, path).map(|()| listener));
         match bound {
-            Ok(door) => {
-                let task = tokio::task::spawn_local(self.clone().welcome(door));
-                if let Some(before) = self.door.replace(Some(task.abort_handle())) {
-                    before.abort();
+            Ok(listener) => {
+                let task = tokio::task::spawn_local(self.clone().accept_successors(listener));
+                if let Some(previous) = self.listener_task.replace(Some(task.abort_handle())) {
+                    previous.abort();
                 }
             }
             Err(error) => note!("handover: {}: {error}; no handover is possible", path.display()),
         }
     }
 
-    async fn welcome(self: Rc<Peer>, door: UnixListener) {
+    async fn accept_successors(self: Rc<Peer>, listener: UnixListener) {
         loop {
-            match door.accept().await {
-                Ok((stream, _)) => drop(tokio::task::spawn_local(self.clone().greet(stream))),
+            match listener.accept().await {
+                Ok((stream, _)) => drop(tokio::task::spawn_local(self.clone().handle_successor(stream))),
                 Err(error) => {
                     note!("handover: {error}");
-                    sleep(self.limits.accept_pause).await;
+                    sleep(self.limits.accept_retry_pause).await;
                 }
             }
         }
     }
 
     /// Handles a connection from a new process, which must identify itself in time.
-    async fn greet(self: Rc<Peer>, stream: UnixStream) {
+    async fn handle_successor(self: Rc<Peer>, stream: UnixStream) {
         let (read, mut write) = stream.into_split();
         let mut read = Reader::new(read);
-        let hello = timeout(self.limits.peer_wait, self.next(&mut read)).await;
-        let Ok(Some(Word::Hello { version: VERSION })) = hello else {
+        let hello = timeout(self.limits.peer_timeout, self.read_message(&mut read)).await;
+        let Ok(Some(Message::Hello { version: VERSION })) = hello else {
             note!("handover: a connection was not from a new process of this version");
             return;
         };
-        let listener = self.listener.upgrade().filter(|_| !self.stop.stopping());
-        let free = self.link.borrow().is_none() && !self.telling.get();
-        let Some(listener) = listener.filter(|_| free) else {
-            let why = if free { "this node is stopping" } else { "two processes of this node run already" };
-            let no = line(&Word::No { why: why.to_owned() }).unwrap_or_default();
-            let _ = write.write_all(&[b"\n", &no[..]].concat()).await;
+        let listener = self.listener.upgrade().filter(|_| !self.lifecycle.is_stopping());
+        let is_free = self.link.borrow().is_none() && !self.is_sending_state.get();
+        let Some(listener) = listener.filter(|_| is_free) else {
+            let why =
+                if is_free { "this node is stopping" } else { "two processes of this node run already" };
+            let refusal = encode_line(&Message::Refused { why: why.to_owned() }).unwrap_or_default();
+            let _ = write.write_all(&[b"\n", &refusal[..]].concat()).await;
             return;
         };
-        self.telling.set(true);
-        let told = self.join_after(&mut write, &listener).await;
-        self.telling.set(false);
-        match told {
+        self.is_sending_state.set(true);
+        let sent = self.send_state(&mut write, &listener).await;
+        self.is_sending_state.set(false);
+        match sent {
             Ok(()) => {
                 note!("handover: a new process has received this one's state");
-                let link = self.join(write);
-                self.follow(read, link, Side::Old).await;
+                let link = self.open_link(write);
+                self.run_link(read, link, Role::Old).await;
             }
             Err(error) => note!("handover: {error}"),
         }
     }
 
-    async fn join_after(&self, write: &mut OwnedWriteHalf, listener: &TcpListener) -> io::Result<()> {
+    async fn send_state(&self, write: &mut OwnedWriteHalf, listener: &TcpListener) -> io::Result<()> {
         let stream: &UnixStream = write.as_ref();
         stream.writable().await?;
-        stream.try_io(Interest::WRITABLE, || pass(stream, listener.as_fd()))?;
-        let left_out = self.dispatcher.backends_in_maintenance();
-        let life = self.life.get();
-        let state =
-            State { left_out, drained: self.stop.drained(), list: self.dispatcher.list_snapshot(), life };
-        let text = line(&Word::State(state))?;
-        timeout(self.limits.peer_wait, write.write_all(&text)).await?
+        stream.try_io(Interest::WRITABLE, || send_socket(stream, listener.as_fd()))?;
+        let in_maintenance = self.dispatcher.backends_in_maintenance();
+        let generation = self.generation.get();
+        let state = State {
+            in_maintenance,
+            is_draining: self.lifecycle.is_draining(),
+            list: self.dispatcher.list_snapshot(),
+            generation,
+        };
+        let line = encode_line(&Message::State(state))?;
+        timeout(self.limits.peer_timeout, write.write_all(&line)).await?
     }
 
-    fn join(self: &Rc<Peer>, mut write: OwnedWriteHalf) -> Rc<Link> {
-        let (out, mut words) = mpsc::unbounded_channel();
-        let link = Rc::new(Link { out, waiting: RefCell::default() });
+    fn open_link(self: &Rc<Peer>, mut write: OwnedWriteHalf) -> Rc<Link> {
+        let (outgoing, mut messages) = mpsc::unbounded_channel();
+        let link = Rc::new(Link { outgoing, unconfirmed: RefCell::default() });
         *self.link.borrow_mut() = Some(link.clone());
         tokio::task::spawn_local(async move {
-            while let Some(word) = words.recv().await {
-                let Ok(text) = line(&word) else { break };
-                if write.write_all(&text).await.is_err() {
+            while let Some(message) = messages.recv().await {
+                let Ok(line) = encode_line(&message) else { break };
+                if write.write_all(&line).await.is_err() {
                     break;
                 }
             }
@@ -333,55 +367,55 @@
         link
     }
 
-    async fn next(&self, read: &mut Reader) -> Option<Word> {
-        let mut text = Vec::new();
-        read.take(self.limits.line_bytes as u64).read_until(b'\n', &mut text).await.ok()?;
-        serde_json::from_slice(&text).ok()
+    async fn read_message(&self, read: &mut Reader) -> Option<Message> {
+        let mut bytes_read = Vec::new();
+        read.take(self.limits.max_message_bytes as u64).read_until(b'\n', &mut bytes_read).await.ok()?;
+        serde_json::from_slice(&bytes_read).ok()
     }
 
-    fn held(&self) -> Word {
+    fn usage_message(&self) -> Message {
         let (sockets, bytes, ids) =
-            (&self.limits.sockets, self.room.held_bytes(), self.dispatcher.client_ids_in_flight());
-        Word::Held { clients: sockets.clients.get(), backends: sockets.backends.get(), bytes, ids }
+            (&self.limits.sockets, self.body_memory.held_bytes(), self.dispatcher.client_ids_in_flight());
+        Message::Usage { clients: sockets.clients.get(), backends: sockets.backends.get(), bytes, ids }
     }
 
     /// Exchanges messages with the other process until one of the two ends.
-    async fn follow(self: Rc<Peer>, mut read: Reader, link: Rc<Link>, side: Side) {
-        let (heard, mut words) = mpsc::unbounded_channel();
+    async fn run_link(self: Rc<Peer>, mut read: Reader, link: Rc<Link>, role: Role) {
+        let (incoming, mut messages) = mpsc::unbounded_channel();
         let reader = self.clone();
         let reading = tokio::task::spawn_local(async move {
-            while let Some(word) = reader.next(&mut read).await {
-                if heard.send(word).is_err() {
+            while let Some(message) = reader.read_message(&mut read).await {
+                if incoming.send(message).is_err() {
                     break;
                 }
             }
         });
-        let mut beat = interval(self.limits.peer_beat);
+        let mut report_interval = interval(self.limits.peer_report_interval);
         loop {
-            let word = tokio::select! {
-                word = words.recv() => word,
-                _ = beat.tick() => {
-                    let _ = link.out.send(self.held());
+            let message = tokio::select! {
+                message = messages.recv() => message,
+                _ = report_interval.tick() => {
+                    let _ = link.outgoing.send(self.usage_message());
                     continue;
                 }
             };
-            match word {
+            match message {
                 None => break,
-                Some(Word::Ready) if side == Side::Old => {
+                Some(Message::Ready) if role == Role::Old => {
                     note!("handover: the new process accepts connections from here on");
-                    self.stop.succeeded_by(true);
-                    let _ = link.out.send(self.held());
-                    let _ = link.out.send(Word::Left);
+                    self.lifecycle.set_has_successor(true);
+                    let _ = link.outgoing.send(self.usage_message());
+                    let _ = link.outgoing.send(Message::StoppedAccepting);
                 }
-                Some(Word::Call(call)) => {
-                    call.carry_out(&self.dispatcher, &self.stop);
-                    let _ = link.out.send(Word::Done);
+                Some(Message::OperatorRequest(request)) => {
+                    request.execute(&self.dispatcher, &self.lifecycle);
+                    let _ = link.outgoing.send(Message::Confirmed);
                 }
-                Some(Word::Left | Word::Done) => link.answered(),
-                Some(Word::Held { clients, backends, bytes, ids }) => {
+                Some(Message::StoppedAccepting | Message::Confirmed) => link.confirm_oldest(),
+                Some(Message::Usage { clients, backends, bytes, ids }) => {
                     self.limits.sockets.other_clients.set(clients);
                     self.limits.sockets.other_backends.set(backends);
-                    self.room.set_peer_bytes(bytes);
+                    self.body_memory.set_peer_bytes(bytes);
                     self.dispatcher.set_peer_command_ids(ids);
                 }
                 Some(other) => note!("handover: ignored an unexpected message: {other:?}"),
@@ -391,25 +425,25 @@
         *self.link.borrow_mut() = None;
         self.limits.sockets.other_clients.set(0);
         self.limits.sockets.other_backends.set(0);
-        self.room.set_peer_bytes(0);
+        self.body_memory.set_peer_bytes(0);
         self.dispatcher.set_peer_command_ids(Vec::new());
-        if side == Side::New {
+        if role == Role::New {
             self.dispatcher.set_predecessor_running(false);
         }
-        if side == Side::Old && !self.stop.stopping() {
+        if role == Role::Old && !self.lifecycle.is_stopping() {
             note!("handover: the new process is gone; this one continues");
-            self.stop.succeeded_by(false);
-            self.open_door();
+            self.lifecycle.set_has_successor(false);
+            self.listen_for_successor();
         }
     }
 }
 
 /// Sends a file descriptor along with one byte.
-fn pass(stream: &UnixStream, socket: BorrowedFd<'_>) -> io::Result<()> {
+fn send_socket(stream: &UnixStream, socket: BorrowedFd<'_>) -> io::Result<()> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut beside = SendAncillaryBuffer::new(&mut space);
+    let mut ancillary = SendAncillaryBuffer::new(&mut space);
     let sockets = [socket];
-    beside.push(SendAncillaryMessage::ScmRights(&sockets));
-    sendmsg(stream, &[IoSlice::new(b"\n")], &mut beside, SendFlags::NOSIGNAL)?;
+    ancillary.push(SendAncillaryMessage::ScmRights(&sockets));
+    sendmsg(stream, &[IoSlice::new(b"\n")], &mut ancillary, SendFlags::NOSIGNAL)?;
     Ok(())
 }
--- a/crates/node/src/launch.rs
+++ b/crates/node/src/launch.rs
@@ -8,7 +8,7 @@
 use crate::log::note;
 use crate::pool::{Exchange, LeaseError, Pool};
 use crate::probe;
-use crate::reply::onward;
+use crate::reply::forwarded_headers;
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use hyper::{Request, Response, StatusCode};
@@ -207,7 +207,7 @@
             _ => Outcome::Errored,
         };
         if result.outcome == Outcome::Finished {
-            let mut headers = onward(head.headers);
+            let mut headers = forwarded_headers(head.headers);
             headers.remove(BACKEND_LOAD_HEADER);
             result.answer = Some(BackendAnswer { headers, body });
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -54,14 +54,14 @@
 /// processes: two builds that print the same can run side by side.
 pub fn main() -> ExitCode {
     if std::env::args().nth(1).as_deref() == Some("words") {
-        println!("{}", words());
+        println!("{}", protocol_versions());
         return ExitCode::SUCCESS;
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let ended = runtime.map_err(|e| format!("runtime: {e}")).and_then(|runtime| {
         LocalSet::new().block_on(&runtime, async {
             let signals = signals::Signals::listen().map_err(|e| format!("signals: {e}"))?;
-            run(config::Start::read(|name| std::env::var(name).ok())?, signals).await
+            run(config::Config::read(|name| std::env::var(name).ok())?, signals).await
         })
     });
     match ended {
@@ -74,7 +74,7 @@
 }
 
 /// The protocols spoken between processes, each with its version.
-fn words() -> String {
+fn protocol_versions() -> String {
     format!(
         "handover {} view {} counts {}",
         handover::VERSION,
@@ -83,67 +83,67 @@
     )
 }
 
-async fn run(start: config::Start, signals: signals::Signals) -> Result<(), String> {
-    let limits = Rc::new(start.limits);
-    log::allow(limits.notes_per_s);
+async fn run(config: config::Config, signals: signals::Signals) -> Result<(), String> {
+    let limits = Rc::new(config.limits);
+    log::allow(limits.log_lines_per_s);
     let clock = Clock::start();
-    let (list_is_requested, warm_up_time) = (start.settings.list_is_requested, start.settings.warm_up_time);
-    let list_request_interval = Duration::from_micros(start.settings.list_request_interval.0);
-    let said = (start.settings.full_may_have_run, start.settings.max_retry_after);
+    let (list_is_requested, warm_up_time) = (config.settings.list_is_requested, config.settings.warm_up_time);
+    let list_request_interval = Duration::from_micros(config.settings.list_request_interval.0);
+    let said = (config.settings.full_may_have_run, config.settings.max_retry_after);
     let (errand, mut errands) = mpsc::unbounded_channel();
-    let module = Balancer::new(start.settings, start.seed, clock.now());
-    let site_evidence = start.sites.as_ref().map(|_| Rc::new(site_evidence::SiteEvidence::default()));
-    let counts = start.trial.as_ref().map(|terms| Rc::new(counts::Counts::new(terms.seconds)));
+    let module = Balancer::new(config.settings, config.seed, clock.now());
+    let site_evidence = config.sites.as_ref().map(|_| Rc::new(site_evidence::SiteEvidence::default()));
+    let counts = config.trial.as_ref().map(|terms| Rc::new(counts::Counts::new(terms.seconds)));
     let dispatcher = Rc::new(Dispatcher::new(
         module,
-        start.names,
+        config.names,
         clock,
-        limits.tick,
+        limits.timer_resolution,
         errand,
         (counts, site_evidence.clone()),
         said,
     ));
-    let room = bodies::BodyMemory::new(limits.held_bytes);
-    let pool = Rc::new(pool::Pool::new(limits.clone(), room.clone()));
+    let body_memory = bodies::BodyMemory::new(limits.body_memory_bytes);
+    let pool = Rc::new(pool::Pool::new(limits.clone(), body_memory.clone()));
 
     let list_updater = list::ListUpdater::new(dispatcher.clone());
-    if let Some(Err(why)) = start.known.map(|known| list_updater.apply_message(&known, true)) {
+    if let Some(Err(why)) = config.cached_list.map(|list| list_updater.apply_message(&list, true)) {
         return Err(format!("known: {why}"));
     }
-    let stop = Rc::new(lifecycle::Stop::new());
-    let path = handover::meeting(start.folder, start.listen);
-    let heritage = match &path {
-        Some(path) => handover::inherit(path, &limits)?,
+    let lifecycle = Rc::new(lifecycle::Lifecycle::new());
+    let path = handover::socket_path(config.shared_dir, config.listen);
+    let handover = match &path {
+        Some(path) => handover::request_handover(path, &limits)?,
         None => None,
     };
-    let (mut old, mut life) = (None, 0);
-    let listener = match heritage {
-        Some(handover::Heritage { state, listener, stream }) => {
+    let (mut old, mut generation) = (None, 0);
+    let listener = match handover {
+        Some(handover::Handover { state, listener, stream }) => {
             // Operators' settings come first, so that they apply to the list.
-            for name in &state.left_out {
+            for name in &state.in_maintenance {
                 dispatcher.set_maintenance(dispatcher.backend_id(name), true);
             }
-            stop.drain(state.drained);
-            life = state.life;
+            lifecycle.set_draining(state.is_draining);
+            generation = state.generation;
             if let Err(why) = list_updater.apply_message(&state.list, true) {
                 note!("handover: the list could not be used: {why}");
             }
             old = Some(stream);
             listener.set_nonblocking(true).and_then(|()| tokio::net::TcpListener::from_std(listener))
         }
-        None => accept::bind(start.listen, limits.backlog, path.is_some()),
+        None => accept::bind(config.listen, limits.backlog, path.is_some()),
     };
     let listener = Rc::new(listener.map_err(|e| format!("listen: {e}"))?);
-    let shared = (dispatcher.clone(), stop.clone(), limits.clone(), room.clone());
+    let shared = (dispatcher.clone(), lifecycle.clone(), limits.clone(), body_memory.clone());
     let peer = handover::Peer::new(shared, path, &listener);
-    let fleet = start.view.map(|view| {
-        let own = fleet::Own::of(&start.file, &dispatcher);
-        let parts = (dispatcher.clone(), stop.clone(), peer.clone());
-        fleet::Fleet::new(view, &start.name, own, (life, start.seed), parts)
+    let fleet = config.view.map(|view| {
+        let own = fleet::NodeIdentity::of(&config.file, &dispatcher);
+        let parts = (dispatcher.clone(), lifecycle.clone(), peer.clone());
+        fleet::Fleet::new(view, &config.name, own, (generation, config.seed), parts)
     });
-    let sites = match (start.sites, site_evidence) {
+    let sites = match (config.sites, site_evidence) {
         (Some(plan), Some(site_evidence)) => {
-            let own = fleet::Own::of(&start.file, &dispatcher).site;
+            let own = fleet::NodeIdentity::of(&config.file, &dispatcher).site;
             Some(sites::Sites::new(
                 plan,
                 &own,
@@ -153,28 +153,28 @@
         }
         _ => None,
     };
-    let (trial, asked) = start.trial.map(trial::Trial::new).transpose()?.unzip();
+    let (trial, asked) = config.trial.map(trial::Trial::new).transpose()?.unzip();
     let trial = trial.map(Rc::new);
-    let (moved, discovery) = watch::channel(start.discovery);
-    let parts = (dispatcher.clone(), limits.clone(), stop.clone());
+    let (moved, discovery) = watch::channel(config.discovery);
+    let parts = (dispatcher.clone(), limits.clone(), lifecycle.clone());
     let beside = (fleet.clone(), trial.clone(), sites.clone());
-    let reload = reload::Reload::new(signals.hangup, moved, start.file, parts, beside);
-    if let Some(at) = start.admin {
+    let reload = reload::Reload::new(signals.hangup, moved, config.file, parts, beside);
+    if let Some(at) = config.admin {
         let listener = accept::bind(at, limits.backlog, false).map_err(|e| format!("admin: {at}: {e}"))?;
-        let (dispatcher, stop, limits, peer) =
-            (dispatcher.clone(), stop.clone(), limits.clone(), peer.clone());
-        let (fleet, sites, digest) = (fleet.clone(), sites.clone(), reload.digest());
+        let (dispatcher, lifecycle, limits, peer) =
+            (dispatcher.clone(), lifecycle.clone(), limits.clone(), peer.clone());
+        let (fleet, sites, settings_digest) = (fleet.clone(), sites.clone(), reload.digest());
         let admin = admin::Admin {
             dispatcher,
-            stop,
+            lifecycle,
             limits,
             peer,
             fleet,
             sites,
             trial,
-            digest,
-            name: start.name.clone(),
-            words: words(),
+            settings_digest,
+            name: config.name.clone(),
+            protocol_versions: protocol_versions(),
         };
         spawn_local(Rc::new(admin).run(listener));
     }
@@ -185,7 +185,7 @@
         let _ = follow.send(());
     }
     let watches =
-        list_watches::Watches::new(list_updater, dispatcher.clone(), limits.clone(), start.discovery);
+        list_watches::Watches::new(list_updater, dispatcher.clone(), limits.clone(), config.discovery);
     spawn_local(watches.run(followed, discovery));
 
     let prober = probe::Prober { dispatcher: dispatcher.clone(), pool: pool.clone(), limits: limits.clone() };
@@ -202,15 +202,15 @@
         }
     });
     spawn_local(async move { kept.run_timers().await });
-    let (swept, addresses, pause) = (pool.clone(), dispatcher.clone(), limits.sweep);
+    let (swept, addresses, pause) = (pool.clone(), dispatcher.clone(), limits.sweep_interval);
     spawn_local(async move {
         loop {
             tokio::time::sleep(pause).await;
             swept.sweep(|backend| addresses.address(backend));
         }
     });
-    let stopped = stop.clone();
-    spawn_local(async move { stopped.listen(signals.stop).await });
+    let stopped = lifecycle.clone();
+    spawn_local(async move { stopped.wait_for_stop_signal(signals.stop).await });
 
     let launcher = launch::Launcher { pool, dispatcher: dispatcher.clone() };
     peer.take_over(old).await;
@@ -220,7 +220,7 @@
     if let Some(sites) = &sites {
         spawn_local(sites.clone().run());
     }
-    note!("{}: listening on {}", start.name, start.listen);
+    note!("{}: listening on {}", config.name, config.listen);
     if list_is_requested {
         note!(
             "list: discovery is queried; its changes bind this node after {} ms",
@@ -229,7 +229,7 @@
     }
     accept::accept_connections(
         listener,
-        Rc::new(node::Node { dispatcher, launcher, limits, room, stop, sites }),
+        Rc::new(node::Node { dispatcher, launcher, limits, body_memory, lifecycle, sites }),
     )
     .await;
     if let Some(fleet) = fleet {
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -6,86 +6,86 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, Instant};
 
-pub struct Stop {
+pub struct Lifecycle {
     /// When the stop signal came.
-    since: watch::Sender<Option<Instant>>,
+    stopped_at: watch::Sender<Option<Instant>>,
     /// Since when clients are drained.
-    away: watch::Sender<Option<Instant>>,
+    draining_since: watch::Sender<Option<Instant>>,
     /// Whether a new process has taken over the connections.
-    successor: watch::Sender<bool>,
+    has_successor: watch::Sender<bool>,
 }
 
-impl Stop {
-    pub fn new() -> Stop {
-        let (since, away) = (watch::Sender::new(None), watch::Sender::new(None));
-        Stop { since, away, successor: watch::Sender::new(false) }
+impl Lifecycle {
+    pub fn new() -> Lifecycle {
+        let (stopped_at, draining_since) = (watch::Sender::new(None), watch::Sender::new(None));
+        Lifecycle { stopped_at, draining_since, has_successor: watch::Sender::new(false) }
     }
 
     /// Waits for the signal to stop.
-    pub async fn listen(&self, mut signal: mpsc::UnboundedReceiver<()>) {
+    pub async fn wait_for_stop_signal(&self, mut signal: mpsc::UnboundedReceiver<()>) {
         if signal.recv().await.is_none() {
             return;
         }
         note!("stop: finishing the commands in flight");
-        self.since.send_replace(Some(Instant::now()));
+        self.stopped_at.send_replace(Some(Instant::now()));
     }
 
-    pub fn stopping(&self) -> bool {
-        self.since.borrow().is_some()
+    pub fn is_stopping(&self) -> bool {
+        self.stopped_at.borrow().is_some()
     }
 
     /// Starts or ends the draining of clients. Repeating a request does not change its start time.
-    pub fn drain(&self, away: bool) {
-        self.away.send_if_modified(|since| {
-            let changed = since.is_some() != away;
-            *since = away.then(|| since.unwrap_or_else(Instant::now));
+    pub fn set_draining(&self, drain: bool) {
+        self.draining_since.send_if_modified(|since| {
+            let changed = since.is_some() != drain;
+            *since = drain.then(|| since.unwrap_or_else(Instant::now));
             changed
         });
     }
 
-    pub fn drained(&self) -> bool {
-        self.away.borrow().is_some()
+    pub fn is_draining(&self) -> bool {
+        self.draining_since.borrow().is_some()
     }
 
     /// Whether connections are to be closed after their answers, for any of the reasons.
-    pub fn leaving(&self) -> bool {
-        self.stopping() || self.drained() || self.succeeded()
+    pub fn is_closing_connections(&self) -> bool {
+        self.is_stopping() || self.is_draining() || self.has_successor()
     }
 
     /// Sets whether a new process accepts the connections from now on.
-    pub fn succeeded_by(&self, there: bool) {
-        self.successor.send_replace(there);
+    pub fn set_has_successor(&self, has_successor: bool) {
+        self.has_successor.send_replace(has_successor);
     }
 
-    pub fn succeeded(&self) -> bool {
-        *self.successor.borrow()
+    pub fn has_successor(&self) -> bool {
+        *self.has_successor.borrow()
     }
 
-    /// Completes when a new process accepts the connections, or when none does any more.
-    pub async fn succession(&self, there: bool) {
-        let mut successor = self.successor.subscribe();
-        if successor.wait_for(|is| *is == there).await.is_err() {
+    /// Completes when a new process accepts the connections, or with `false` when none does any more.
+    pub async fn wait_for_successor(&self, expected: bool) {
+        let mut has_successor = self.has_successor.subscribe();
+        if has_successor.wait_for(|present| *present == expected).await.is_err() {
             std::future::pending().await
         }
     }
 
     /// Completes this long after the request to drain clients, if it still holds then.
-    pub async fn away_for(&self, span: Duration) {
-        let mut away = self.away.subscribe();
+    pub async fn draining_for(&self, span: Duration) {
+        let mut draining_since = self.draining_since.subscribe();
         loop {
-            let since = *away.borrow_and_update();
+            let since = *draining_since.borrow_and_update();
             tokio::select! {
                 () = sleep_until(since.unwrap_or_else(Instant::now) + span), if since.is_some() => return,
-                changed = away.changed() => if changed.is_err() { std::future::pending().await },
+                changed = draining_since.changed() => if changed.is_err() { std::future::pending().await },
             }
         }
     }
 
     /// Completes this long after the stop signal.
-    pub async fn past(&self, span: Duration) {
-        let mut since = self.since.subscribe();
-        let asked = since.wait_for(Option::is_some).await.ok().and_then(|at| *at);
-        match asked {
+    pub async fn stopped_for(&self, span: Duration) {
+        let mut stopped_at = self.stopped_at.subscribe();
+        let signal_time = stopped_at.wait_for(Option::is_some).await.ok().and_then(|at| *at);
+        match signal_time {
             Some(at) => sleep_until(at + span).await,
             None => std::future::pending().await,
         }
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -18,7 +18,7 @@
 
 pub struct Limits {
     /// The maximum size of a request's or an answer's head.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// How the bodies of requests and of answers are read.
     pub request_bodies: ReadLimits,
     pub answer_bodies: ReadLimits,
@@ -27,134 +27,134 @@
     pub client_silence: Duration,
     pub backend_silence: Duration,
     /// The memory budget of all bodies, of requests and of answers, in bytes.
-    pub held_bytes: usize,
-    /// The maximum size of one message of the list.
-    pub line_bytes: usize,
+    pub body_memory_bytes: usize,
+    /// The maximum size of one message of the list or of the handover, in bytes.
+    pub max_message_bytes: usize,
     /// The maximum number of connections from clients (and of commands in flight), the maximum number of
     /// connections to backends (for launches and probes), and how many client connections may exceed the
     /// first number until idle ones have closed.
     client_sockets: usize,
     backend_sockets: usize,
-    pub surplus_sockets: usize,
+    pub surplus_client_sockets: usize,
     pub sockets: Sockets,
     /// The maximum number of client connections that stay open between commands; beyond it, each answer
     /// closes its connection.
-    kept_sockets: usize,
+    kept_client_sockets: usize,
     /// The maximum number of connections from operators, and of bytes of a body that their request should
     /// not have.
-    pub admin_sockets: usize,
-    pub admin_body_bytes: usize,
+    pub max_admin_connections: usize,
+    pub max_admin_body_bytes: usize,
     /// How long the other process of this node may take to answer, and the interval between two reports of
     /// its usage.
-    pub peer_wait: Duration,
-    pub peer_beat: Duration,
+    pub peer_timeout: Duration,
+    pub peer_report_interval: Duration,
     /// How long a connection from an operator may last.
-    pub admin_wait: Duration,
+    pub admin_timeout: Duration,
     /// The length of the kernel's queue of connections that wait to be accepted.
     pub backlog: u32,
     /// The timeout for connecting to a backend or to discovery.
-    pub dial: Cell<Duration>,
+    pub connect_timeout: Cell<Duration>,
     /// How long a pooled connection may take to become ready: it only has to notice that its last answer is
     /// over.
-    pub ready_wait: Duration,
+    pub ready_timeout: Duration,
     /// How long a connection rests after an answer before the next launch uses it, and how long this holds
     /// after a backend was seen to answer twice. A second answer comes some milliseconds after the first.
     /// Resting at all times, and not only then, cost a tenth of the result in short test runs.
     pub rest_after_answer: Duration,
     pub rest_for: Duration,
     /// How long an idle connection to a backend is kept.
-    pub backend_idle: Cell<Duration>,
+    pub backend_idle_timeout: Cell<Duration>,
     /// The timeout of a probe. A backend answers it without queueing, in about a round trip.
-    pub probe_wait: Duration,
+    pub probe_timeout: Duration,
     /// The timeout for discovery's answer to a call and for the first line. Discovery works through calls in
     /// turn. A list change binds the node six seconds after discovery had it, and within that time a call
     /// that timed out must be followed by one that is answered.
-    pub call_wait: Duration,
+    pub discovery_timeout: Duration,
     /// The timeout for the next message or heartbeat on a watch: the heartbeat interval of two seconds, and
     /// half of that for delays. A change that a watch misses binds the node six seconds after the watch has
     /// fallen silent; the rest of that time is for the new watch.
-    pub beat_wait: Duration,
+    pub heartbeat_timeout: Duration,
     /// How long after the stop signal connections are still accepted, and how long idle ones stay open.
-    pub accept_on: Duration,
-    pub idle_on: Duration,
+    pub accept_after_stop: Duration,
+    pub keep_idle_after_stop: Duration,
     /// When the commands in flight are answered after the stop signal, and when the node exits even if a
     /// client still owes the rest of a command.
-    pub answer_by: Cell<Duration>,
-    pub end_by: Cell<Duration>,
+    pub answer_deadline: Cell<Duration>,
+    pub exit_deadline: Cell<Duration>,
     /// How long the node waits for the last connections in the kernel's queue.
-    pub last_look: Duration,
+    pub queue_drain_timeout: Duration,
     /// A connection without a command for this long is idle. Before that, its first command may be on its
     /// way.
-    pub settle: Duration,
+    pub idle_after: Duration,
     /// How long a closing connection is still read, so that the client receives its last answer.
-    pub linger: Duration,
+    pub close_timeout: Duration,
     /// How long a connection may take to its first complete head, and how long one that had a command may be
     /// idle.
-    pub first_wait: Duration,
-    pub client_idle: Duration,
+    pub first_head_timeout: Duration,
+    pub client_idle_timeout: Duration,
     /// The maximum time that a command may be in flight, whatever its client asks for.
-    pub longest_command: Duration,
+    pub max_command_time: Duration,
     /// The interval between two sweeps of idle connections to backends.
-    pub sweep: Duration,
+    pub sweep_interval: Duration,
     /// The pause after a failed accept. A resource that was lacking becomes free, if ever, without the
     /// node's doing.
-    pub accept_pause: Duration,
+    pub accept_retry_pause: Duration,
     /// The resolution of the runtime's timers.
-    pub tick: Duration,
+    pub timer_resolution: Duration,
     /// The maximum number of log lines per second from each place in the code.
-    pub notes_per_s: u32,
+    pub log_lines_per_s: u32,
 }
 
 /// File descriptors reserved for the standard streams, the runtime, the listeners, discovery, operators and
 /// connections that are just closing.
-const KEPT_BACK: usize = 64;
+const RESERVED_DESCRIPTORS: usize = 64;
 /// Of these: first the streams, the runtime, the listeners, discovery, the other process and the socket for
 /// a successor; then operators.
-const OWN: usize = 20;
-const OPERATORS: usize = 24;
-const _: () = assert!(OWN + OPERATORS <= KEPT_BACK);
+const OWN_DESCRIPTORS: usize = 20;
+const OPERATOR_DESCRIPTORS: usize = 24;
+const _: () = assert!(OWN_DESCRIPTORS + OPERATOR_DESCRIPTORS <= RESERVED_DESCRIPTORS);
 
 /// The process is killed 700 ms after the longest time limit at the earliest, or 700 ms after this time if
 /// the limit is longer.
-const KILL_WAITS_FOR: Duration = Duration::from_secs(3);
+const KILL_GRACE: Duration = Duration::from_secs(3);
 
 /// The minimum resources: sockets for eight commands at a time, and memory for their windows.
-const LEAST_SOCKETS: usize = KEPT_BACK + 16;
-const LEAST_MEMORY_MB: usize = 8;
+const MIN_SOCKETS: usize = RESERVED_DESCRIPTORS + 16;
+const MIN_MEMORY_MB: usize = 8;
 
 /// The size up to which a body is buffered, which the protocol defines, and the largest body that is
 /// streamed, in bytes.
-const WINDOW: usize = 64 << 10;
-const LARGEST: usize = 32 << 20;
+const BODY_WINDOW_BYTES: usize = 64 << 10;
+const MAX_BODY_BYTES: usize = 32 << 20;
 
 impl Limits {
-    pub fn fill(
+    pub fn compute(
         sockets: usize,
         memory_mb: usize,
-        dial: Duration,
-        idle: Duration,
-        limit: Duration,
+        connect_timeout: Duration,
+        idle_timeout: Duration,
+        longest_time_limit: Duration,
     ) -> Result<Limits, String> {
-        for (key, is, least) in
-            [("sockets", sockets, LEAST_SOCKETS), ("memory_mb", memory_mb, LEAST_MEMORY_MB)]
+        for (key, value, minimum) in
+            [("sockets", sockets, MIN_SOCKETS), ("memory_mb", memory_mb, MIN_MEMORY_MB)]
         {
-            if is < least {
-                return Err(format!("limits.{key} is {is}; it must be at least {least}"));
+            if value < minimum {
+                return Err(format!("limits.{key} is {value}; it must be at least {minimum}"));
             }
         }
-        let memory = memory_mb << 20;
-        let surplus_sockets = sockets / 16;
-        let room = sockets.saturating_sub(KEPT_BACK + surplus_sockets).max(8);
+        let memory_bytes = memory_mb << 20;
+        let surplus_client_sockets = sockets / 16;
+        let usable_sockets = sockets.saturating_sub(RESERVED_DESCRIPTORS + surplus_client_sockets).max(8);
         // A command needs one connection on either side, but clients keep more idle connections than the
         // pool does.
-        let client_sockets = (room * 3 / 5).max(4);
+        let client_sockets = (usable_sockets * 3 / 5).max(4);
         Ok(Limits {
-            head_bytes: 16 << 10,
+            max_head_bytes: 16 << 10,
             // A body has no time limit of its own until its last byte. A well-behaved client sends 64 kB per
             // second in pieces: half of that rate is required, after two seconds to begin with.
             request_bodies: ReadLimits {
-                window_bytes: WINDOW,
-                max_bytes: LARGEST,
+                window_bytes: BODY_WINDOW_BYTES,
+                max_bytes: MAX_BODY_BYTES,
                 max_silence: Duration::from_millis(2000),
                 min_bytes_per_s: 32 << 10,
                 stream_after: None,
@@ -162,90 +162,90 @@
             // The launch has a time limit already. An answer of unknown length is buffered only for the
             // early time.
             answer_bodies: ReadLimits {
-                window_bytes: WINDOW,
-                max_bytes: LARGEST,
+                window_bytes: BODY_WINDOW_BYTES,
+                max_bytes: MAX_BODY_BYTES,
                 max_silence: Duration::from_secs(600),
                 min_bytes_per_s: 32 << 10,
                 stream_after: Some(Duration::from_millis(100)),
             },
             // A few round trips, and the time until the client stops writing because it has read its answer.
-            linger: Duration::from_millis(500),
+            close_timeout: Duration::from_millis(500),
             client_silence: Duration::from_millis(2500),
             // The kernel buffers some megabytes for a slow reader, so it can take long before it reads on.
             backend_silence: Duration::from_secs(60),
             // The other half is for the buffers of connections, the list and the program itself.
-            held_bytes: memory / 2,
-            line_bytes: 4 << 20,
+            body_memory_bytes: memory_bytes / 2,
+            max_message_bytes: 4 << 20,
             client_sockets,
-            backend_sockets: (room * 2 / 5).max(4),
-            surplus_sockets,
+            backend_sockets: (usable_sockets * 2 / 5).max(4),
+            surplus_client_sockets,
             sockets: Sockets::default(),
             // Clients need a third of the descriptors for commands; half as many may be idle.
-            kept_sockets: sockets / 6,
+            kept_client_sockets: sockets / 6,
             // Part of the reserved descriptors. A request is answered within a millisecond; the rest of its
             // time a connection is only open.
-            admin_sockets: OPERATORS,
-            admin_body_bytes: 64 << 10,
+            max_admin_connections: OPERATOR_DESCRIPTORS,
+            max_admin_body_bytes: 64 << 10,
             // An operator must have an answer within a second; half of that is for the other process.
-            peer_wait: Duration::from_millis(600),
-            peer_beat: Duration::from_millis(50),
-            admin_wait: Duration::from_millis(4000),
+            peer_timeout: Duration::from_millis(600),
+            peer_report_interval: Duration::from_millis(50),
+            admin_timeout: Duration::from_millis(4000),
             backlog: 1024,
-            dial: Cell::new(dial),
-            ready_wait: Duration::from_millis(20),
+            connect_timeout: Cell::new(connect_timeout),
+            ready_timeout: Duration::from_millis(20),
             rest_after_answer: Duration::from_millis(10),
             rest_for: Duration::from_secs(60),
             // Half of the backend's own idle timeout is early enough, whatever the network delay and however
             // late the node.
-            backend_idle: Cell::new(idle / 2),
-            probe_wait: Duration::from_millis(50),
-            call_wait: Duration::from_millis(3300),
-            beat_wait: Duration::from_millis(3000),
-            accept_on: Duration::from_millis(500),
-            idle_on: Duration::from_millis(600),
-            answer_by: Cell::new(KILL_WAITS_FOR.min(limit) + Duration::from_millis(550)),
-            end_by: Cell::new(KILL_WAITS_FOR.min(limit) + Duration::from_millis(650)),
-            last_look: Duration::from_millis(20),
-            settle: Duration::from_millis(100),
+            backend_idle_timeout: Cell::new(idle_timeout / 2),
+            probe_timeout: Duration::from_millis(50),
+            discovery_timeout: Duration::from_millis(3300),
+            heartbeat_timeout: Duration::from_millis(3000),
+            accept_after_stop: Duration::from_millis(500),
+            keep_idle_after_stop: Duration::from_millis(600),
+            answer_deadline: Cell::new(KILL_GRACE.min(longest_time_limit) + Duration::from_millis(550)),
+            exit_deadline: Cell::new(KILL_GRACE.min(longest_time_limit) + Duration::from_millis(650)),
+            queue_drain_timeout: Duration::from_millis(20),
+            idle_after: Duration::from_millis(100),
             // A client that sends nothing usable gets an error or is disconnected within three seconds of
             // connecting.
             // A well-behaved client may take two of them for its head.
-            first_wait: Duration::from_millis(2600),
+            first_head_timeout: Duration::from_millis(2600),
             // Clients come back within a few seconds or not at all; each connection costs a descriptor and a
             // buffer.
-            client_idle: Duration::from_secs(20),
-            longest_command: Duration::from_secs(600),
-            sweep: Duration::from_secs(1),
-            accept_pause: Duration::from_millis(5),
-            tick: Duration::from_millis(1),
-            notes_per_s: 5,
+            client_idle_timeout: Duration::from_secs(20),
+            max_command_time: Duration::from_secs(600),
+            sweep_interval: Duration::from_secs(1),
+            accept_retry_pause: Duration::from_millis(5),
+            timer_resolution: Duration::from_millis(1),
+            log_lines_per_s: 5,
         })
     }
 
     /// The part of a budget that is left for this process, given what the other one uses: at least a
     /// quarter, since the other process takes nothing more and releases what it has.
-    fn left(budget: usize, other: &Cell<usize>) -> usize {
+    fn remaining(budget: usize, other: &Cell<usize>) -> usize {
         budget.saturating_sub(other.get()).max(budget / 4)
     }
 
     pub fn client_sockets(&self) -> usize {
-        Limits::left(self.client_sockets, &self.sockets.other_clients)
+        Limits::remaining(self.client_sockets, &self.sockets.other_clients)
     }
 
     pub fn backend_sockets(&self) -> usize {
-        Limits::left(self.backend_sockets, &self.sockets.other_backends)
+        Limits::remaining(self.backend_sockets, &self.sockets.other_backends)
     }
 
-    pub fn kept_sockets(&self) -> usize {
-        Limits::left(self.kept_sockets, &self.sockets.other_clients)
+    pub fn kept_client_sockets(&self) -> usize {
+        Limits::remaining(self.kept_client_sockets, &self.sockets.other_clients)
     }
 
     /// Adopts the limits of a reloaded configuration.
-    pub fn follow(&self, other: &Limits) {
-        self.dial.set(other.dial.get());
-        self.backend_idle.set(other.backend_idle.get());
+    pub fn adopt(&self, other: &Limits) {
+        self.connect_timeout.set(other.connect_timeout.get());
+        self.backend_idle_timeout.set(other.backend_idle_timeout.get());
         // A command in flight may still have the longer time limit.
-        self.answer_by.set(self.answer_by.get().max(other.answer_by.get()));
-        self.end_by.set(self.end_by.get().max(other.end_by.get()));
+        self.answer_deadline.set(self.answer_deadline.get().max(other.answer_deadline.get()));
+        self.exit_deadline.set(self.exit_deadline.get().max(other.exit_deadline.get()));
     }
 }
--- a/crates/node/src/list_age.rs
+++ b/crates/node/src/list_age.rs
@@ -8,42 +8,42 @@
 use yarrowfront::times::{Micros, Timestamp};
 
 /// A change that the end of a watch hides binds the node after this time.
-const KNOWN_AFTER_END: Micros = Micros::from_millis(2000);
+const BINDS_AFTER_WATCH_END: Micros = Micros::from_millis(2000);
 /// A change that a silent watch misses binds the node this long after the last message, as it may have come
 /// right behind it.
-const KNOWN_AFTER_SILENCE: Micros = Micros::from_millis(6000);
+const BINDS_AFTER_SILENCE: Micros = Micros::from_millis(6000);
 /// Every change binds the node this long after a new configuration gave another address of discovery.
-const KNOWN_AFTER_MOVE: Micros = Micros::from_millis(4000);
+const BINDS_AFTER_MOVE: Micros = Micros::from_millis(4000);
 
 /// The times from which changes bind that may have been missed since discovery's last answer.
 #[derive(Debug, Default)]
 pub struct ListAge {
-    after_move: Option<Timestamp>,
-    after_loss: Option<Timestamp>,
+    binds_after_move: Option<Timestamp>,
+    binds_after_loss: Option<Timestamp>,
 }
 
 impl ListAge {
     pub fn discovery_moved(&mut self, now: Timestamp) {
-        self.after_move.get_or_insert(now + KNOWN_AFTER_MOVE);
+        self.binds_after_move.get_or_insert(now + BINDS_AFTER_MOVE);
     }
 
     pub fn watch_ended(&mut self, now: Timestamp) {
-        self.lost(now + KNOWN_AFTER_END);
+        self.record_loss(now + BINDS_AFTER_WATCH_END);
     }
 
     pub fn watch_silent(&mut self, last_message: Timestamp) {
-        self.lost(last_message + KNOWN_AFTER_SILENCE);
+        self.record_loss(last_message + BINDS_AFTER_SILENCE);
     }
 
-    fn lost(&mut self, known: Timestamp) {
-        self.after_loss = Some(self.after_loss.map_or(known, |earlier| earlier.min(known)));
+    fn record_loss(&mut self, binds_at: Timestamp) {
+        self.binds_after_loss = Some(self.binds_after_loss.map_or(binds_at, |earlier| earlier.min(binds_at)));
     }
 
     /// Discovery has answered, at its present address or still at a former one.
     pub fn answered(&mut self, at_present_address: bool) {
-        self.after_loss = None;
+        self.binds_after_loss = None;
         if at_present_address {
-            self.after_move = None;
+            self.binds_after_move = None;
         }
     }
 
@@ -55,7 +55,7 @@
     /// The time from which changes that were not received bind this node; `None` if none can have been
     /// missed.
     pub fn binds_from(&self) -> Option<Timestamp> {
-        self.after_move.into_iter().chain(self.after_loss).min()
+        self.binds_after_move.into_iter().chain(self.binds_after_loss).min()
     }
 }
 
@@ -72,7 +72,7 @@
     }
 
     #[test]
-    fn the_earliest_binds_until_it_is_answered() {
+    fn the_earliest_time_binds_until_discovery_answers() {
         type Events = fn(&mut ListAge);
         let cases: [(Events, Option<u64>); 8] = [
             (|_| {}, None),
--- a/crates/node/src/list_watches.rs
+++ b/crates/node/src/list_watches.rs
@@ -32,30 +32,30 @@
 
 /// The interval from a failed call at the present address to the next one, while a watch at a former address
 /// is still open.
-const RETRY_BESIDE_FORMER: Duration = Duration::from_millis(1000);
+const RETRY_INTERVAL_BESIDE_FORMER: Duration = Duration::from_millis(1000);
 /// The timeout of a call at a former address: the protocol has that address serve for this long after a
 /// move.
-const FORMER_SERVES_FOR: Duration = Duration::from_millis(1500);
+const FORMER_ADDRESS_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// The number of a call, in the order in which they are made.
 type CallNumber = u64;
 
 /// How a call or its watch ended.
-enum End {
+enum WatchEnd {
     /// No message has come within the heartbeat timeout after this time.
     Silent(Timestamp),
     Failed(String),
 }
 
-impl From<String> for End {
-    fn from(why: String) -> End {
-        End::Failed(why)
+impl From<String> for WatchEnd {
+    fn from(why: String) -> WatchEnd {
+        WatchEnd::Failed(why)
     }
 }
 
-impl From<&str> for End {
-    fn from(why: &str) -> End {
-        End::Failed(why.to_owned())
+impl From<&str> for WatchEnd {
+    fn from(why: &str) -> WatchEnd {
+        WatchEnd::Failed(why.to_owned())
     }
 }
 
@@ -64,20 +64,20 @@
     list_updater: ListUpdater,
     dispatcher: Rc<Dispatcher>,
     limits: Rc<Limits>,
-    age: RefCell<ListAge>,
+    list_age: RefCell<ListAge>,
     /// Discovery's configured address, and the address of the newest call.
-    present: Cell<SocketAddr>,
-    called: Cell<Option<SocketAddr>>,
-    newest: Cell<CallNumber>,
+    configured_address: Cell<SocketAddr>,
+    newest_call_address: Cell<Option<SocketAddr>>,
+    newest_call: Cell<CallNumber>,
     /// The highest number of a call that has been answered.
-    answered: Cell<CallNumber>,
-    answer: Notify,
+    newest_answered: Cell<CallNumber>,
+    answer_received: Notify,
 }
 
 /// The open calls and watches, owned by the loop in `run`.
 #[derive(Default)]
 struct OpenCalls {
-    tasks: JoinSet<(CallNumber, End)>,
+    tasks: JoinSet<(CallNumber, WatchEnd)>,
     handles: BTreeMap<CallNumber, AbortHandle>,
     /// When to make another call beside those that are open.
     call_at: Option<Instant>,
@@ -90,42 +90,53 @@
         limits: Rc<Limits>,
         discovery: SocketAddr,
     ) -> Rc<Watches> {
-        let present = Cell::new(discovery);
-        let (age, called, newest, answered, answer) = Default::default();
-        Rc::new(Watches { list_updater, dispatcher, limits, age, present, called, newest, answered, answer })
+        let configured_address = Cell::new(discovery);
+        let (list_age, newest_call_address, newest_call, newest_answered, answer_received) =
+            Default::default();
+        Rc::new(Watches {
+            list_updater,
+            dispatcher,
+            limits,
+            list_age,
+            configured_address,
+            newest_call_address,
+            newest_call,
+            newest_answered,
+            answer_received,
+        })
     }
 
     /// Calls discovery whenever the balancer requests the list or discovery has moved, and reports the
     /// outcome to the balancer.
     pub async fn run(
         self: Rc<Self>,
-        mut wanted: mpsc::UnboundedReceiver<()>,
+        mut requests: mpsc::UnboundedReceiver<()>,
         mut discovery: watch::Receiver<SocketAddr>,
     ) {
         let mut open = OpenCalls::default();
         loop {
             let call_at = open.call_at;
             tokio::select! {
-                wanted = wanted.recv() => match wanted {
+                request = requests.recv() => match request {
                     None => return,
-                    Some(()) if open.handles.contains_key(&self.newest.get()) => {}
-                    Some(()) => self.call(&mut open),
+                    Some(()) if open.handles.contains_key(&self.newest_call.get()) => {}
+                    Some(()) => self.start_call(&mut open),
                 },
                 Ok(()) = discovery.changed() => {
-                    self.present.set(*discovery.borrow_and_update());
-                    self.moved(&mut open);
+                    self.configured_address.set(*discovery.borrow_and_update());
+                    self.handle_move(&mut open);
                 }
-                () = sleep_until(call_at.unwrap_or_else(Instant::now)), if call_at.is_some() => self.call(&mut open),
-                () = self.answer.notified() => {
-                    open.close_before(self.answered.get());
-                    if self.call_is_due_elsewhere() {
-                        self.call(&mut open);
+                () = sleep_until(call_at.unwrap_or_else(Instant::now)), if call_at.is_some() => self.start_call(&mut open),
+                () = self.answer_received.notified() => {
+                    open.close_before(self.newest_answered.get());
+                    if self.newest_call_is_at_former_address() {
+                        self.start_call(&mut open);
                     }
                 }
                 Some(task) = open.tasks.join_next(), if !open.tasks.is_empty() => {
                     // A call that was aborted because a later one was answered has nothing to report.
                     if let Ok((call, end)) = task {
-                        self.ended(&mut open, call, end);
+                        self.handle_end(&mut open, call, end);
                     }
                 }
             }
@@ -134,84 +145,87 @@
 
     /// Handles a move of discovery: calls the new address, at once unless a call is still waiting for its
     /// answer.
-    fn moved(self: &Rc<Self>, open: &mut OpenCalls) {
-        self.change_age(|age, now| age.discovery_moved(now));
-        let waits = open.handles.contains_key(&self.newest.get()) && self.newest.get() > self.answered.get();
-        if !waits {
-            self.call(open);
-        } else if self.call_is_due_elsewhere() {
-            open.call_at.get_or_insert(Instant::now() + FORMER_SERVES_FOR);
+    fn handle_move(self: &Rc<Self>, open: &mut OpenCalls) {
+        self.update_list_age(|list_age, now| list_age.discovery_moved(now));
+        let is_waiting = open.handles.contains_key(&self.newest_call.get())
+            && self.newest_call.get() > self.newest_answered.get();
+        if !is_waiting {
+            self.start_call(open);
+        } else if self.newest_call_is_at_former_address() {
+            open.call_at.get_or_insert(Instant::now() + FORMER_ADDRESS_TIMEOUT);
         }
     }
 
     /// Whether the newest call was made at an address that discovery has left.
-    fn call_is_due_elsewhere(&self) -> bool {
-        self.called.get() != Some(self.present.get())
+    fn newest_call_is_at_former_address(&self) -> bool {
+        self.newest_call_address.get() != Some(self.configured_address.get())
     }
 
     /// Calls discovery at its present address.
-    fn call(self: &Rc<Self>, open: &mut OpenCalls) {
-        let (address, watches, call) = (self.present.get(), self.clone(), self.newest.get() + 1);
-        self.newest.set(call);
-        self.called.set(Some(address));
+    fn start_call(self: &Rc<Self>, open: &mut OpenCalls) {
+        let (address, watches, call) =
+            (self.configured_address.get(), self.clone(), self.newest_call.get() + 1);
+        self.newest_call.set(call);
+        self.newest_call_address.set(Some(address));
         open.call_at = None;
-        let task = async move { (call, watches.watch(call, address).await) };
+        let task = async move { (call, watches.run_call(call, address).await) };
         open.handles.insert(call, open.tasks.spawn_local(task));
     }
 
-    fn ended(self: &Rc<Self>, open: &mut OpenCalls, call: CallNumber, end: End) {
-        open.close_before(self.answered.get());
+    fn handle_end(self: &Rc<Self>, open: &mut OpenCalls, call: CallNumber, end: WatchEnd) {
+        open.close_before(self.newest_answered.get());
         if open.handles.remove(&call).is_none() {
             return;
         }
-        let (newest, elsewhere) = (call == self.newest.get(), self.call_is_due_elsewhere());
-        let was_answered = call == self.answered.get();
+        let (is_newest, newest_is_at_former_address) =
+            (call == self.newest_call.get(), self.newest_call_is_at_former_address());
+        let was_answered = call == self.newest_answered.get();
         let kind = match &end {
-            End::Silent(_) => ListUpdateKind::Silent,
-            End::Failed(_) => ListUpdateKind::Failed,
+            WatchEnd::Silent(_) => ListUpdateKind::Silent,
+            WatchEnd::Failed(_) => ListUpdateKind::Failed,
         };
         match end {
-            End::Silent(since) => {
+            WatchEnd::Silent(since) => {
                 note!("list: the watch has ended: no message within the heartbeat timeout");
-                self.change_age(|age, _| age.watch_silent(since));
+                self.update_list_age(|list_age, _| list_age.watch_silent(since));
             }
-            End::Failed(why) => {
+            WatchEnd::Failed(why) => {
                 note!("list: the watch has ended: {why}");
                 if was_answered {
-                    self.change_age(|age, now| age.watch_ended(now));
-                } else if newest && !elsewhere {
-                    self.change_age(|age, _| age.call_failed());
+                    self.update_list_age(|list_age, now| list_age.watch_ended(now));
+                } else if is_newest && !newest_is_at_former_address {
+                    self.update_list_age(|list_age, _| list_age.call_failed());
                 }
             }
         }
-        if newest && elsewhere {
-            self.call(open);
+        if is_newest && newest_is_at_former_address {
+            self.start_call(open);
         } else if open.handles.is_empty() {
             open.call_at = None;
             self.dispatcher.apply_list(kind, &[]);
-        } else if newest {
-            open.call_at = Some(Instant::now() + RETRY_BESIDE_FORMER);
+        } else if is_newest {
+            open.call_at = Some(Instant::now() + RETRY_INTERVAL_BESIDE_FORMER);
         }
     }
 
-    fn change_age(&self, change: impl FnOnce(&mut ListAge, Timestamp)) {
+    fn update_list_age(&self, change: impl FnOnce(&mut ListAge, Timestamp)) {
         let binds = {
-            let mut age = self.age.borrow_mut();
-            change(&mut age, self.dispatcher.clock.now());
-            age.binds_from()
+            let mut list_age = self.list_age.borrow_mut();
+            change(&mut list_age, self.dispatcher.clock.now());
+            list_age.binds_from()
         };
         self.dispatcher.list_binds_from(binds);
     }
 
-    async fn watch(&self, call: CallNumber, discovery: SocketAddr) -> End {
+    async fn run_call(&self, call: CallNumber, discovery: SocketAddr) -> WatchEnd {
         match self.connect_and_read(call, discovery).await {
             Ok(()) => "closed by discovery".into(),
             Err(end) => end,
         }
     }
 
-    async fn connect_and_read(&self, call: CallNumber, discovery: SocketAddr) -> Result<(), End> {
-        let stream = timeout(self.limits.dial.get(), Transport::connect(discovery)).await;
+    async fn connect_and_read(&self, call: CallNumber, discovery: SocketAddr) -> Result<(), WatchEnd> {
+        let stream = timeout(self.limits.connect_timeout.get(), Transport::connect(discovery)).await;
         let stream = stream.map_err(|_| "connect timed out")?.map_err(|e| e.to_string())?;
         let (mut sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
@@ -231,43 +245,45 @@
         call: CallNumber,
         discovery: SocketAddr,
         sender: &mut SendRequest<Empty<Bytes>>,
-    ) -> Result<(), End> {
+    ) -> Result<(), WatchEnd> {
         let request = self.request(discovery)?;
-        let asked = Instant::now();
+        let called_at = Instant::now();
         note!("list: requesting from {discovery} the changes since version {}", self.list_updater.version());
-        let mut beat = asked + self.limits.call_wait;
-        let response = timeout_at(beat, sender.send_request(request)).await;
+        let mut deadline = called_at + self.limits.discovery_timeout;
+        let response = timeout_at(deadline, sender.send_request(request)).await;
         let response = response.map_err(|_| "timed out waiting for an answer")?.map_err(|e| e.to_string())?;
         if response.status() != StatusCode::OK {
             return Err(format!("answered {}", response.status()).into());
         }
-        note!("list: {discovery} accepted the watch after {} ms", asked.elapsed().as_millis());
-        let (mut body, mut reader, mut heard) = (response.into_body(), MessageReader::default(), None);
+        note!("list: {discovery} accepted the watch after {} ms", called_at.elapsed().as_millis());
+        let (mut body, mut reader, mut last_message_at) =
+            (response.into_body(), MessageReader::default(), None);
         loop {
             // A network that is cut reports nothing, so silence is the only sign.
-            let frame = timeout_at(beat, body.frame()).await;
-            let frame = frame.map_err(|_| heard.map_or_else(|| "no message in time".into(), End::Silent))?;
+            let frame = timeout_at(deadline, body.frame()).await;
+            let frame = frame
+                .map_err(|_| last_message_at.map_or_else(|| "no message in time".into(), WatchEnd::Silent))?;
             let frame = frame.ok_or("closed by discovery")?.map_err(|e| e.to_string())?;
             reader.push(frame.data_ref().map_or(&[][..], |d| d));
             // Part of a message does not prove that the watch lives: it may have been cut off there.
             while let Some(message) = reader.next() {
-                beat = Instant::now() + self.limits.beat_wait;
-                self.take(message.trim_ascii(), heard.is_none());
-                if heard.is_none() {
-                    self.first_message(call, discovery, asked);
+                deadline = Instant::now() + self.limits.heartbeat_timeout;
+                self.handle_message(message.trim_ascii(), last_message_at.is_none());
+                if last_message_at.is_none() {
+                    self.record_answer(call, discovery, called_at);
                 }
-                heard = Some(self.dispatcher.clock.now());
+                last_message_at = Some(self.dispatcher.clock.now());
             }
             if reader.unfinished() > 0 {
                 note!("list: {} bytes of an incomplete message received", reader.unfinished());
             }
-            if reader.unfinished() > self.limits.line_bytes {
+            if reader.unfinished() > self.limits.max_message_bytes {
                 return Err("a message is too long".into());
             }
         }
     }
 
-    fn request(&self, discovery: SocketAddr) -> Result<Request<Empty<Bytes>>, End> {
+    fn request(&self, discovery: SocketAddr) -> Result<Request<Empty<Bytes>>, WatchEnd> {
         let mut request = Request::new(Empty::new());
         let path = format!("/discovery/hosts?stream=1&index={}", self.list_updater.version());
         *request.uri_mut() = path.parse().map_err(|e| format!("{e}"))?;
@@ -277,15 +293,15 @@
     }
 
     /// The call has been answered, so all earlier calls are closed.
-    fn first_message(&self, call: CallNumber, discovery: SocketAddr, asked: Instant) {
-        let waited = asked.elapsed().as_millis();
+    fn record_answer(&self, call: CallNumber, discovery: SocketAddr, called_at: Instant) {
+        let waited = called_at.elapsed().as_millis();
         note!("list: version {} received {waited} ms after the call", self.list_updater.version());
-        self.answered.set(self.answered.get().max(call));
-        self.answer.notify_one();
-        self.change_age(|age, _| age.answered(self.present.get() == discovery));
+        self.newest_answered.set(self.newest_answered.get().max(call));
+        self.answer_received.notify_one();
+        self.update_list_age(|list_age, _| list_age.answered(self.configured_address.get() == discovery));
     }
 
-    fn take(&self, line: &[u8], first: bool) {
+    fn handle_message(&self, line: &[u8], first: bool) {
         self.dispatcher.record_discovery_contact();
         if line.is_empty() {
             if first {
@@ -294,8 +310,8 @@
             }
             return;
         }
-        let told = serde_json::from_slice::<Value>(line).map_err(|e| e.to_string());
-        if let Err(why) = told.and_then(|message| self.list_updater.apply_message(&message, false)) {
+        let message = serde_json::from_slice::<Value>(line).map_err(|e| e.to_string());
+        if let Err(why) = message.and_then(|message| self.list_updater.apply_message(&message, false)) {
             note!("list: skipped an invalid message: {why}");
         }
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -3,7 +3,7 @@
 use crate::bodies::BodyMemory;
 use crate::dispatcher::Dispatcher;
 use crate::launch::Launcher;
-use crate::lifecycle::Stop;
+use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
 use crate::sites::Sites;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
     pub dispatcher: Rc<Dispatcher>,
     pub launcher: Launcher,
     pub limits: Rc<Limits>,
-    pub room: BodyMemory,
-    pub stop: Rc<Stop>,
+    pub body_memory: BodyMemory,
+    pub lifecycle: Rc<Lifecycle>,
     pub sites: Option<Rc<Sites>>,
 }
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -125,7 +125,7 @@
         while let Some(mut lease) = self.take_newest_idle(backend, address) {
             // This is ready at once unless the backend has closed the connection or has not read all of
             // the previous command yet.
-            if let Ok(Ok(())) = timeout(self.limits.ready_wait, lease.sender.ready()).await {
+            if let Ok(Ok(())) = timeout(self.limits.ready_timeout, lease.sender.ready()).await {
                 return Ok(lease);
             }
         }
@@ -154,7 +154,7 @@
 
     /// Whether an idle connection may be reused, given the present address of its backend.
     fn is_usable(&self, idle: &IdleConnection, address: Option<SocketAddr>) -> bool {
-        idle.idle_since.elapsed() < self.limits.backend_idle.get()
+        idle.idle_since.elapsed() < self.limits.backend_idle_timeout.get()
             && address == Some(idle.lease.address)
             && !idle.lease.sender.is_closed()
     }
@@ -167,7 +167,7 @@
         let (socket_guard, idle) = (SocketGuard::new(open_sockets), Rc::<Cell<bool>>::default());
         let stream = self.connect(address).await?;
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(self.limits.head_bytes);
+        builder.max_buf_size(self.limits.max_head_bytes);
         let observer =
             UnsolicitedDataObserver { idle: idle.clone(), unsolicited_at: self.unsolicited_at.clone() };
         let handshake =
@@ -192,7 +192,7 @@
                     Err(error) if is_local(&error) => {
                         note!("pool: no local socket available to connect: {error}");
                         is_waiting_for_socket.set(true);
-                        sleep(self.limits.accept_pause).await;
+                        sleep(self.limits.accept_retry_pause).await;
                         is_waiting_for_socket.set(false);
                     }
                     Err(_) => return Err(LeaseError::Unreachable),
@@ -201,7 +201,7 @@
         };
         let timeout_error =
             |_| if is_waiting_for_socket.get() { LeaseError::NoSocket } else { LeaseError::Unreachable };
-        timeout(self.limits.dial.get(), open_connection).await.map_err(timeout_error)?
+        timeout(self.limits.connect_timeout.get(), open_connection).await.map_err(timeout_error)?
     }
 
     /// Sends a request and reads the answer. The connection returns to the pool once the answer is complete;
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -51,7 +51,9 @@
     pub async fn probe(self, backend: BackendId) {
         let sent = self.dispatcher.clock.now();
         let found = match self.dispatcher.address(backend) {
-            Some(address) => timeout(self.limits.probe_wait, self.ask(backend, address)).await.ok().flatten(),
+            Some(address) => {
+                timeout(self.limits.probe_timeout, self.ask(backend, address)).await.ok().flatten()
+            }
             None => None,
         };
         let trip = self.dispatcher.clock.now().since(sent);
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,14 +1,14 @@
 //! Configuration changes while the node serves: a reload of the file on SIGHUP, and trial settings, which an
 //! operator's request brings and which are rolled back unless they are confirmed.
 
-use crate::config::{at, Start};
+use crate::config::{lookup, Config};
 use crate::dispatcher::Dispatcher;
-use crate::fleet::{Fleet, Own};
-use crate::lifecycle::Stop;
+use crate::fleet::{Fleet, NodeIdentity};
+use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
 use crate::log::{line, note};
 use crate::sites::Sites;
-use crate::trial::{replace, Answer, Asked, On, Trial, Word};
+use crate::trial::{write_atomically, ActiveTrial, QueuedAction, Trial, TrialAction, TrialReply};
 use hyper::StatusCode;
 use serde_json::Value;
 use std::cell::Cell;
@@ -20,7 +20,7 @@
 use tokio::time::{sleep_until, Instant};
 
 /// The optional stages, each present if its file is configured.
-pub type Beside = (Option<Rc<Fleet>>, Option<Rc<Trial>>, Option<Rc<Sites>>);
+pub type OptionalStages = (Option<Rc<Fleet>>, Option<Rc<Trial>>, Option<Rc<Sites>>);
 
 pub struct Reload {
     hangup: mpsc::UnboundedReceiver<()>,
@@ -29,17 +29,17 @@
     file: Value,
     dispatcher: Rc<Dispatcher>,
     limits: Rc<Limits>,
-    stop: Rc<Stop>,
+    lifecycle: Rc<Lifecycle>,
     fleet: Option<Rc<Fleet>>,
     trial: Option<Rc<Trial>>,
     sites: Option<Rc<Sites>>,
     /// The file before the trial, and the digest of the settings in force.
-    former: Option<Value>,
+    file_before_trial: Option<Value>,
     digest: Rc<Cell<u64>>,
 }
 
 /// Keys that only a restart can change: the node's identity and the resources of the process.
-const FIXED: [&str; 10] = [
+const RESTART_ONLY_KEYS: [&str; 10] = [
     "name",
     "listen",
     "admin",
@@ -53,10 +53,10 @@
 ];
 
 /// Collects the paths of all values that differ, descending into objects.
-fn changes(old: Option<&Value>, new: Option<&Value>, path: &str, found: &mut Vec<String>) {
+fn collect_changes(old: Option<&Value>, new: Option<&Value>, path: &str, found: &mut Vec<String>) {
     if let (Some(Value::Object(a)), Some(Value::Object(b))) = (old, new) {
         for key in a.keys().chain(b.keys()).collect::<BTreeSet<_>>() {
-            changes(a.get(key), b.get(key), &format!("{path}.{key}"), found);
+            collect_changes(a.get(key), b.get(key), &format!("{path}.{key}"), found);
         }
     } else if old != new {
         found.push(path.to_owned());
@@ -68,21 +68,21 @@
         hangup: mpsc::UnboundedReceiver<()>,
         discovery: watch::Sender<SocketAddr>,
         file: Value,
-        (dispatcher, limits, stop): (Rc<Dispatcher>, Rc<Limits>, Rc<Stop>),
-        (fleet, trial, sites): Beside,
+        (dispatcher, limits, lifecycle): (Rc<Dispatcher>, Rc<Limits>, Rc<Lifecycle>),
+        (fleet, trial, sites): OptionalStages,
     ) -> Reload {
-        let digest = Rc::new(Cell::new(Own::of(&file, &dispatcher).digest));
+        let digest = Rc::new(Cell::new(NodeIdentity::of(&file, &dispatcher).digest));
         Reload {
             hangup,
             discovery,
             file,
             dispatcher,
             limits,
-            stop,
+            lifecycle,
             fleet,
             trial,
             sites,
-            former: None,
+            file_before_trial: None,
             digest,
         }
     }
@@ -93,18 +93,18 @@
     }
 
     /// Reloads the file on each signal and handles trial requests. A file with any error changes nothing.
-    pub async fn run(mut self, asked: Option<mpsc::UnboundedReceiver<Asked>>) {
-        let mut asked = asked;
+    pub async fn run(mut self, actions: Option<mpsc::UnboundedReceiver<QueuedAction>>) {
+        let mut actions = actions;
         loop {
-            let due = self.trial.as_ref().and_then(|trial| trial.due());
+            let expiry = self.trial.as_ref().and_then(|trial| trial.expiry());
             tokio::select! {
-                came = self.hangup.recv() => {
-                    if came.is_none() {
+                signal = self.hangup.recv() => {
+                    if signal.is_none() {
                         return;
                     }
                     // Each signal gets its own line, not subject to the rate limit, as its sender waits for
                     // it.
-                    match self.take() {
+                    match self.reload_file() {
                         Ok(changed) => {
                             let discovery = *self.discovery.borrow();
                             line(format_args!("reload: discovery is at {discovery}; {changed}"));
@@ -112,21 +112,21 @@
                         Err(why) => line(format_args!("reload: the old configuration stays: {why}")),
                     }
                 }
-                Some((word, reply)) = next(&mut asked) => {
-                    let asked = matches!(word, Word::Tell | Word::Weigh { .. });
-                    let answer = self.led(word);
-                    if !asked {
-                        let now = answer.as_ref().unwrap_or_else(|(_, why)| why);
-                        note!("rollout: {now}");
+                Some((action, reply)) = next_action(&mut actions) => {
+                    let is_query = matches!(action, TrialAction::GetSettings | TrialAction::Check { .. });
+                    let answer = self.execute(action);
+                    if !is_query {
+                        let new_state = answer.as_ref().unwrap_or_else(|(_, why)| why);
+                        note!("rollout: {new_state}");
                     }
                     let _ = reply.send(answer);
                 }
-                () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
+                () = sleep_until(expiry.unwrap_or_else(Instant::now)), if expiry.is_some() => {
                     if let Some(trial) = &self.trial {
-                        trial.lapsed.set(trial.lapsed.get() + 1);
+                        trial.expired.set(trial.expired.get() + 1);
                     }
-                    match self.back() {
-                        Ok(now) => note!("rollout: the trial has expired without a request from its leader: {now}"),
+                    match self.roll_back() {
+                        Ok(new_state) => note!("rollout: the trial has expired without a request from its leader: {new_state}"),
                         Err((_, why)) => note!("rollout: the trial has expired without a request from its leader: {why}"),
                     }
                 }
@@ -140,40 +140,43 @@
         (name != "ROUTER_DISCOVERY").then(|| std::env::var(name).ok())?
     }
 
-    fn take(&mut self) -> Result<String, String> {
-        if self.former.is_some() {
+    fn reload_file(&mut self) -> Result<String, String> {
+        if self.file_before_trial.is_some() {
             return Err("settings are on trial in a rollout".to_owned());
         }
-        let new = Start::read(Self::variable)?;
-        if let Some(path) = FIXED.iter().find(|path| at(&self.file, path).ok() != at(&new.file, path).ok()) {
+        let new = Config::read(Self::variable)?;
+        if let Some(path) = RESTART_ONLY_KEYS
+            .iter()
+            .find(|path| lookup(&self.file, path).ok() != lookup(&new.file, path).ok())
+        {
             return Err(format!("{path} can be changed only by a restart"));
         }
-        let moved = new.discovery;
+        let new_discovery = new.discovery;
         let changed = self.adopt(new)?;
-        self.discovery.send_if_modified(|at| std::mem::replace(at, moved) != moved);
+        self.discovery.send_if_modified(|address| std::mem::replace(address, new_discovery) != new_discovery);
         Ok(changed)
     }
 
     /// Adopts the settings and the fleet view's configuration from this file.
-    fn adopt(&mut self, new: Start) -> Result<String, String> {
+    fn adopt(&mut self, new: Config) -> Result<String, String> {
         if let (Some(fleet), Some(view)) = (&self.fleet, &new.view) {
-            fleet.may_follow(view)?;
+            fleet.check_reload(view)?;
         }
         if let (Some(sites), Some(plan)) = (&self.sites, &new.sites) {
             sites.replace_plan(plan.clone())?;
         }
         let mut changed = Vec::new();
-        changes(self.file.get("settings"), new.file.get("settings"), "settings", &mut changed);
+        collect_changes(self.file.get("settings"), new.file.get("settings"), "settings", &mut changed);
         // Unchanged settings are not applied again, which would reset what derives from them.
         if !changed.is_empty() {
             let (names, settings) = self.dispatcher.names().merged_with(&new.names, new.settings)?;
-            self.limits.follow(&new.limits);
+            self.limits.adopt(&new.limits);
             self.dispatcher.replace_settings(names, settings);
         }
-        let own = Own::of(&new.file, &self.dispatcher);
-        self.digest.set(own.digest);
+        let identity = NodeIdentity::of(&new.file, &self.dispatcher);
+        self.digest.set(identity.digest);
         if let (Some(fleet), Some(view)) = (&self.fleet, new.view) {
-            fleet.follow(view, own);
+            fleet.adopt(view, identity);
         }
         self.file = new.file;
         Ok(match changed.is_empty() {
@@ -183,82 +186,84 @@
     }
 
     /// Carries out a request of the rollout's leader.
-    fn led(&mut self, word: Word) -> Answer {
+    fn execute(&mut self, action: TrialAction) -> TrialReply {
         let Some(trial) = self.trial.clone() else { return Err(conflict("no rollout is configured here")) };
-        if self.stop.stopping() || self.stop.succeeded() {
+        if self.lifecycle.is_stopping() || self.lifecycle.has_successor() {
             return Err(conflict("this process is stopping or has been succeeded"));
         }
         let digest = |cell: &Cell<u64>| format!("{:016x}", cell.get());
-        match word {
-            Word::Lead => Ok("led".to_owned()),
-            Word::Tell => Ok(self.file["settings"].to_string()),
-            Word::Weigh { settings } => {
-                let bad = |why| (StatusCode::UNPROCESSABLE_ENTITY, why);
+        match action {
+            TrialAction::Lead => Ok("led".to_owned()),
+            TrialAction::GetSettings => Ok(self.file["settings"].to_string()),
+            TrialAction::Check { settings } => {
+                let unprocessable = |why| (StatusCode::UNPROCESSABLE_ENTITY, why);
                 let mut file = self.file.clone();
-                file["settings"] = kept(settings, &self.file["settings"]).map_err(bad)?;
-                let new = Start::of(file, Self::variable).map_err(bad)?;
+                file["settings"] =
+                    with_node_identity(settings, &self.file["settings"]).map_err(unprocessable)?;
+                let new = Config::from_file(file, Self::variable).map_err(unprocessable)?;
                 let names = self.dispatcher.names().merged_with(&new.names, new.settings);
-                names.map_err(bad)?;
-                Ok(format!("{:016x}", Own::of(&new.file, &self.dispatcher).digest))
+                names.map_err(unprocessable)?;
+                Ok(format!("{:016x}", NodeIdentity::of(&new.file, &self.dispatcher).digest))
             }
-            Word::Try { from, settings, for_ms } => {
-                let until = Instant::now() + trial.span(for_ms)?;
-                let former = trial.on.borrow().as_ref().map(|on| on.former.clone());
-                if former.as_ref().is_some_and(|former| *former != from) {
+            TrialAction::Try { from, settings, for_ms } => {
+                let expires_at = Instant::now() + trial.trial_duration(for_ms)?;
+                let former_digest = trial.active.borrow().as_ref().map(|active| active.former_digest.clone());
+                if former_digest.as_ref().is_some_and(|former| *former != from) {
                     return Err(conflict("other settings are on trial"));
                 }
-                let own = digest(&self.digest);
-                if former.is_none() && own != from {
-                    return Err(conflict(&format!("the settings in force here are {own}")));
+                let current_digest = digest(&self.digest);
+                if former_digest.is_none() && current_digest != from {
+                    return Err(conflict(&format!("the settings in force here are {current_digest}")));
                 }
                 let mut file = self.file.clone();
-                let bad = |why| (StatusCode::UNPROCESSABLE_ENTITY, why);
-                file["settings"] = kept(settings, &self.file["settings"]).map_err(bad)?;
-                let new = Start::of(file, Self::variable).map_err(bad)?;
-                let before = self.file.clone();
-                let changed = self.adopt(new).map_err(bad)?;
-                self.former.get_or_insert(before);
-                *trial.on.borrow_mut() = Some(On { former: from, until });
+                let unprocessable = |why| (StatusCode::UNPROCESSABLE_ENTITY, why);
+                file["settings"] =
+                    with_node_identity(settings, &self.file["settings"]).map_err(unprocessable)?;
+                let new = Config::from_file(file, Self::variable).map_err(unprocessable)?;
+                let previous_file = self.file.clone();
+                let changed = self.adopt(new).map_err(unprocessable)?;
+                self.file_before_trial.get_or_insert(previous_file);
+                *trial.active.borrow_mut() = Some(ActiveTrial { former_digest: from, expires_at });
                 Ok(format!("{} on trial; {changed}", digest(&self.digest)))
             }
-            Word::Keep { for_ms } => {
-                let until = Instant::now() + trial.span(for_ms)?;
-                match trial.on.borrow_mut().as_mut() {
-                    Some(on) => on.until = until,
+            TrialAction::Extend { for_ms } => {
+                let expires_at = Instant::now() + trial.trial_duration(for_ms)?;
+                match trial.active.borrow_mut().as_mut() {
+                    Some(active) => active.expires_at = expires_at,
                     None => return Err(conflict("nothing is on trial")),
                 }
                 Ok(format!("{} goes on", digest(&self.digest)))
             }
-            Word::Confirm => {
-                if self.former.is_some() {
-                    self.write().map_err(|why| (StatusCode::INTERNAL_SERVER_ERROR, why))?;
-                    self.former = None;
-                    *trial.on.borrow_mut() = None;
+            TrialAction::Confirm => {
+                if self.file_before_trial.is_some() {
+                    self.persist_settings().map_err(|why| (StatusCode::INTERNAL_SERVER_ERROR, why))?;
+                    self.file_before_trial = None;
+                    *trial.active.borrow_mut() = None;
                 }
                 Ok(format!("{} holds", digest(&self.digest)))
             }
-            Word::Back => self.back(),
+            TrialAction::RollBack => self.roll_back(),
         }
     }
 
     /// Returns to the former settings if others are on trial.
-    fn back(&mut self) -> Answer {
+    fn roll_back(&mut self) -> TrialReply {
         if let Some(trial) = &self.trial {
-            *trial.on.borrow_mut() = None;
+            *trial.active.borrow_mut() = None;
         }
-        let Some(former) = self.former.take() else { return Ok("nothing is on trial".to_owned()) };
-        let new = Start::of(former, Self::variable).and_then(|former| self.adopt(former));
+        let Some(former) = self.file_before_trial.take() else { return Ok("nothing is on trial".to_owned()) };
+        let new = Config::from_file(former, Self::variable).and_then(|former| self.adopt(former));
         let changed = new.map_err(|why| (StatusCode::INTERNAL_SERVER_ERROR, why))?;
         Ok(format!("{:016x} again; {changed}", self.digest.get()))
     }
 
     /// Writes the settings to the configuration file; the rest of the file stays as it is.
-    fn write(&self) -> Result<(), String> {
+    fn persist_settings(&self) -> Result<(), String> {
         let path = Self::variable("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
         let written = || -> io::Result<()> {
             let mut file: Value = serde_json::from_slice(&std::fs::read(&path)?)?;
             file["settings"] = self.file["settings"].clone();
-            replace(path.as_ref(), &serde_json::to_vec_pretty(&file)?)
+            write_atomically(path.as_ref(), &serde_json::to_vec_pretty(&file)?)
         };
         written().map_err(|e| format!("{path}: {e}"))
     }
@@ -266,10 +271,11 @@
 
 /// The leader's settings with this node's own values: its index, and its zone by name, which may have
 /// another index there.
-fn kept(mut settings: Value, own: &Value) -> Result<Value, String> {
-    let text = |settings: &Value, place: usize| settings["zones"][place].as_str().map(str::to_owned);
-    let zone = own["zone"].as_u64().unwrap_or(0) as usize;
-    let place = match text(own, zone) {
+fn with_node_identity(mut settings: Value, own_settings: &Value) -> Result<Value, String> {
+    let text =
+        |settings: &Value, zone_index: usize| settings["zones"][zone_index].as_str().map(str::to_owned);
+    let zone = own_settings["zone"].as_u64().unwrap_or(0) as usize;
+    let zone_index = match text(own_settings, zone) {
         Some(name) => {
             let zones = settings["zones"].as_array().map(Vec::as_slice).unwrap_or_default();
             let found = zones.iter().position(|z| z.as_str() == Some(&name));
@@ -278,8 +284,8 @@
         None => zone,
     };
     let Some(fields) = settings.as_object_mut() else { return Err("settings is not an object".to_owned()) };
-    fields.insert("zone".to_owned(), place.into());
-    match own.get("me") {
+    fields.insert("zone".to_owned(), zone_index.into());
+    match own_settings.get("me") {
         Some(me) => drop(fields.insert("me".to_owned(), me.clone())),
         None => drop(fields.remove("me")),
     }
@@ -290,29 +296,30 @@
     (StatusCode::CONFLICT, why.to_owned())
 }
 
-async fn next(asked: &mut Option<mpsc::UnboundedReceiver<Asked>>) -> Option<Asked> {
-    match asked {
-        Some(asked) => asked.recv().await,
+async fn next_action(actions: &mut Option<mpsc::UnboundedReceiver<QueuedAction>>) -> Option<QueuedAction> {
+    match actions {
+        Some(actions) => actions.recv().await,
         None => std::future::pending().await,
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::kept;
+    use super::with_node_identity;
     use serde_json::json;
 
     /// The same settings are sent to all nodes. If they replaced each node's own index and zone by the
     /// leader's, all nodes would count as one, and each would take another site's backends for its own.
     #[test]
     fn each_node_stays_itself() {
-        let own = json!({"me": 3, "zone": 1, "zones": ["a", "b"], "balancers": 4});
+        let own_settings = json!({"me": 3, "zone": 1, "zones": ["a", "b"], "balancers": 4});
         let new = json!({"me": 0, "zone": 0, "zones": ["b", "c", "a"], "balancers": 4});
-        let found = kept(new, &own).expect("settings");
+        let found = with_node_identity(new, &own_settings).expect("settings");
         assert_eq!((&found["me"], &found["zone"]), (&json!(3), &json!(0)));
-        assert!(kept(json!({"zones": ["a"]}), &own).is_err(), "its site is gone");
-        assert!(kept(json!(7), &own).is_err());
-        let nameless = kept(json!({"me": 9, "zone": 2}), &json!({"zone": 0})).expect("settings");
+        assert!(with_node_identity(json!({"zones": ["a"]}), &own_settings).is_err(), "its site is gone");
+        assert!(with_node_identity(json!(7), &own_settings).is_err());
+        let nameless =
+            with_node_identity(json!({"me": 9, "zone": 2}), &json!({"zone": 0})).expect("settings");
         assert_eq!((nameless.get("me"), &nameless["zone"]), (None, &json!(0)));
     }
 }
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -22,7 +22,7 @@
 ];
 
 /// A one-line text reply.
-pub fn plain(status: StatusCode, text: &str) -> Reply {
+pub fn text_reply(status: StatusCode, text: &str) -> Reply {
     let mut reply = Response::new(OutgoingBody::from(Bytes::from(format!("{text}\n"))));
     *reply.status_mut() = status;
     reply.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
@@ -30,8 +30,8 @@
 }
 
 /// The reply that rejects a command, with `Retry-After` unless the time is zero.
-pub fn turn_back(span: Micros) -> Reply {
-    let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "turned back");
+pub fn rejection(span: Micros) -> Reply {
+    let mut reply = text_reply(StatusCode::SERVICE_UNAVAILABLE, "turned back");
     if span > Micros(0) {
         let seconds = format!("{:.3}", span.as_f64() / 1e6);
         if let Ok(value) = HeaderValue::from_str(&seconds) {
@@ -42,7 +42,7 @@
 }
 
 /// Removes the headers that apply only to the connection on which they arrived.
-pub fn onward(mut headers: HeaderMap) -> HeaderMap {
+pub fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -8,7 +8,7 @@
 use crate::launch_types::{BackendAnswer, LaunchControl, LaunchResult, OutboundRequest};
 use crate::log::note;
 use crate::node::Node;
-use crate::reply::{plain, turn_back, Reply};
+use crate::reply::{rejection, text_reply, Reply};
 use crate::sites::AdmissionTicket;
 use hyper::header::HeaderValue;
 use hyper::{Response, StatusCode};
@@ -82,7 +82,7 @@
     let dispatcher = &node.dispatcher;
     let deadline = command.deadline;
     let Some((handle, placement_due)) = dispatcher.register(command, client_id) else {
-        return plain(StatusCode::CONFLICT, "a command with this id is in flight");
+        return text_reply(StatusCode::CONFLICT, "a command with this id is in flight");
     };
     let (end, results) = mpsc::unbounded_channel();
     let recorder = dispatcher.start_recorder(handle);
@@ -142,11 +142,11 @@
             Decision::Wait => {}
             Decision::Reject(span) => {
                 active.record_end(CommandEnd::Rejected);
-                return turn_back(span);
+                return rejection(span);
             }
             Decision::Fail => {
                 active.record_end(CommandEnd::Failed);
-                return plain(StatusCode::BAD_GATEWAY, "errored");
+                return text_reply(StatusCode::BAD_GATEWAY, "errored");
             }
             Decision::CancelLaunch(launch) => {
                 // If a result is queued already, it is handled before the cancellation's.
@@ -175,13 +175,13 @@
             }
             // During a stop the last byte would arrive too late for an answer. Without it the command cannot
             // have run.
-            () = node.stop.past(node.limits.idle_on), if body_is_streaming => {
+            () = node.lifecycle.stopped_for(node.limits.keep_idle_after_stop), if body_is_streaming => {
                 active.record_end(CommandEnd::Rejected);
-                return turn_back(Micros(0));
+                return rejection(Micros(0));
             }
             // Even an answer that a backend sends now would not reach the client before the process is
             // killed.
-            () = node.stop.past(node.limits.answer_by.get()), if !body_is_streaming => dispatcher.give_up(handle),
+            () = node.lifecycle.stopped_for(node.limits.answer_deadline.get()), if !body_is_streaming => dispatcher.give_up(handle),
             () = placement_due.notified(), if !body_is_streaming => dispatcher.place(handle),
             () = sleep(check_delay.unwrap_or_default()), if check_delay.is_some() && !body_is_streaming => dispatcher.place(handle),
         };
--- a/crates/node/src/sites.rs
+++ b/crates/node/src/sites.rs
@@ -149,7 +149,7 @@
         let list_is_empty = all == 0 && known.iter().any(|known| *known >= 1.0);
         let list_age =
             self.dispatcher.load().4.map_or(Micros(u64::MAX), |age| Micros(age.as_micros() as u64));
-        let view = self.fleet.as_ref().map(|fleet| fleet.sites());
+        let view = self.fleet.as_ref().map(|fleet| fleet.members_by_site());
         let node_is_isolated = view.as_ref().is_some_and(|view| view.isolated);
         let evidence = |index: usize| {
             let counts = sum(index);
