--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -85,14 +85,14 @@
     node_share: Option<NodeShare>,
 }
 
-/// This node's index among the nodes that share the common budgets, and how many they are. After `until` the
-/// pair `without` applies, which does not depend on the fleet view.
+/// This node's index among the nodes that share the common budgets, and how many they are. After
+/// `valid_until` the pair `fallback` applies, which does not depend on the fleet view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeShare {
-    pub nodes: u32,
-    pub me: u32,
-    pub until: Timestamp,
-    pub without: (u32, u32),
+    pub node_count: u32,
+    pub node_index: u32,
+    pub valid_until: Timestamp,
+    pub fallback: (u32, u32),
 }
 
 /// The owner of the balancer and of all state that changes together with it.
@@ -100,7 +100,7 @@
     pub clock: Clock,
     timer_resolution: Duration,
     inner: RefCell<Inner>,
-    errands: mpsc::UnboundedSender<Action>,
+    actions: mpsc::UnboundedSender<Action>,
     /// Notified when the time of the balancer's next timer has changed.
     timer_changed: Notify,
     /// Whether a list of backends has been received or read from the cache.
@@ -122,7 +122,7 @@
         names: Names,
         clock: Clock,
         timer_resolution: Duration,
-        errands: mpsc::UnboundedSender<Action>,
+        actions: mpsc::UnboundedSender<Action>,
         (counts, site_evidence): (Option<Rc<Counts>>, Option<Rc<SiteEvidence>>),
         (full_may_have_run, max_retry_after): (bool, Micros),
     ) -> Dispatcher {
@@ -150,7 +150,7 @@
             clock,
             timer_resolution,
             inner,
-            errands,
+            actions,
             timer_changed,
             has_list,
             discovery_heard_at,
@@ -166,24 +166,24 @@
         let now = self.clock.now();
         let inner = &mut *self.inner.borrow_mut();
         // A process that was suspended, or one whose fleet view has stalled, must not use an outdated
-        // position.
-        if let Some(old) = inner.node_share.take_if(|node_share| node_share.until < now) {
-            inner.balancer.set_membership(old.without.0, old.without.1);
+        // share.
+        if let Some(expired) = inner.node_share.take_if(|node_share| node_share.valid_until < now) {
+            inner.balancer.set_membership(expired.fallback.0, expired.fallback.1);
         }
-        let before = inner.balancer.wakeup_delay(now, None);
+        let delay_before = inner.balancer.wakeup_delay(now, None);
         let value = call(inner, now);
-        while let Some(errand) = inner.balancer.next_action(now) {
-            match errand {
+        while let Some(action) = inner.balancer.next_action(now) {
+            match action {
                 Action::Reevaluate(handle) => {
-                    if let Some(held) = inner.commands_in_flight.get(handle.0 as usize) {
-                        held.placement_due.notify_one();
+                    if let Some(entry) = inner.commands_in_flight.get(handle.0 as usize) {
+                        entry.placement_due.notify_one();
                     }
                 }
                 // The receiver is dropped only while the node shuts down.
-                other => drop(self.errands.send(other)),
+                other => drop(self.actions.send(other)),
             }
         }
-        if inner.balancer.wakeup_delay(now, None) != before {
+        if inner.balancer.wakeup_delay(now, None) != delay_before {
             self.timer_changed.notify_one();
         }
         value
@@ -192,10 +192,10 @@
     /// Calls the balancer whenever its next timer is due.
     pub async fn run_timers(&self) {
         loop {
-            let pause = self.timer_delay(&self.inner.borrow(), None);
-            match pause {
-                Some(pause) => tokio::select! {
-                    () = tokio::time::sleep(pause) => self.with_balancer(|_, _| ()),
+            let delay = self.timer_delay(&self.inner.borrow(), None);
+            match delay {
+                Some(delay) => tokio::select! {
+                    () = tokio::time::sleep(delay) => self.with_balancer(|_, _| ()),
                     () = self.timer_changed.notified() => {}
                 },
                 None => self.timer_changed.notified().await,
@@ -220,34 +220,34 @@
         inner.accepted_commands = inner.accepted_commands.wrapping_add(1);
         command.id = CommandId(inner.accepted_commands);
         let placement_due = Rc::new(Notify::new());
-        let key = inner.commands_in_flight.insert(CommandInFlight {
+        let index = inner.commands_in_flight.insert(CommandInFlight {
             command,
             client_id,
             placement_due: placement_due.clone(),
             client_done: false,
         });
-        Some((CommandHandle(key as u32), placement_due))
+        Some((CommandHandle(index as u32), placement_due))
     }
 
-    pub fn place(&self, handle: CommandHandle) -> Decision {
+    pub fn decide(&self, handle: CommandHandle) -> Decision {
         self.with_balancer(|inner, now| {
             inner.balancer.decide(now, handle, &mut inner.commands_in_flight[handle.0 as usize].command)
         })
     }
 
     /// Ends this command now. The answer depends on whether any launch of it may have run.
-    pub fn give_up(&self, handle: CommandHandle) -> Decision {
+    pub fn reject_or_fail(&self, handle: CommandHandle) -> Decision {
         self.with_balancer(|inner, _| {
             inner.balancer.reject_or_fail(&mut inner.commands_in_flight[handle.0 as usize].command)
         })
     }
 
-    /// Records that a launch of this command has ended; `spent` if the command cannot be sent again.
+    /// Records that a launch of this command has ended; `body_is_consumed` if the command cannot be sent again.
     pub fn record_launch_result(
         &self,
         handle: CommandHandle,
         result: &LaunchResult,
-        spent: bool,
+        body_is_consumed: bool,
     ) -> Decision {
         if let Some(counts) = &self.counts {
             counts.count_outcome(self.clock.now(), result.outcome);
@@ -256,11 +256,12 @@
             site_evidence.count_launch(result.backend, result.outcome);
         }
         self.with_balancer(|inner, now| {
-            let key = handle.0 as usize;
-            let command = &mut inner.commands_in_flight[key].command;
+            let index = handle.0 as usize;
+            let command = &mut inner.commands_in_flight[index].command;
             command.is_closed |= result.outcome == Outcome::Finished;
-            command.is_body_consumed = spent;
-            let say = inner.balancer.on_launch_outcome(now, handle, command, result.number, result.outcome);
+            command.is_body_consumed = body_is_consumed;
+            let decision =
+                inner.balancer.on_launch_outcome(now, handle, command, result.number, result.outcome);
             // A report is used only if it was parsed with the present order of its fields, which a reload
             // may have changed.
             let report = result.report.as_ref().filter(|(revision, _)| *revision == inner.names.revision);
@@ -271,13 +272,13 @@
                 None,
                 report.map_or(&[], |(_, values)| values),
             );
-            inner.remove_if_done(key);
-            say
+            inner.remove_if_done(index);
+            decision
         })
     }
 
-    /// Whether a launch is out that was started before the request body was complete, and the body still is
-    /// not.
+    /// Whether a launch is in flight that started before the request body was complete, and the body is
+    /// still incomplete.
     pub fn is_body_streaming(&self, handle: CommandHandle) -> bool {
         let command = &self.inner.borrow().commands_in_flight[handle.0 as usize].command;
         command.is_body_incomplete && command.in_flight_count() > 0
@@ -296,8 +297,8 @@
         self.counts.as_ref()
     }
 
-    /// The time from which the command's deadlines are counted.
-    pub fn arrived(&self, handle: CommandHandle) -> Timestamp {
+    /// The time from which the command's deadentries are counted.
+    pub fn arrived_at(&self, handle: CommandHandle) -> Timestamp {
         self.inner.borrow().commands_in_flight[handle.0 as usize].command.arrived_at
     }
 
@@ -323,10 +324,10 @@
             inner.max_retry_after = settings.max_retry_after;
             inner.balancer.replace_settings(settings);
             if let Some(node_share) = inner.node_share {
-                inner.balancer.set_membership(node_share.nodes, node_share.me);
+                inner.balancer.set_membership(node_share.node_count, node_share.node_index);
             }
-            for (_, held) in &inner.commands_in_flight {
-                held.placement_due.notify_one();
+            for (_, entry) in &inner.commands_in_flight {
+                entry.placement_due.notify_one();
             }
         });
     }
@@ -337,15 +338,20 @@
 
     /// For each of these sites: how many of its backends are listed as ready, and how many of those are
     /// still warming up.
-    pub fn listed_by_site(&self, names: &[String], now: Timestamp, warm: Micros) -> (Vec<u32>, Vec<u32>) {
+    pub fn listed_backends_by_site(
+        &self,
+        names: &[String],
+        now: Timestamp,
+        warm_up_time: Micros,
+    ) -> (Vec<u32>, Vec<u32>) {
         let (mut ready, mut cold) = (vec![0; names.len()], vec![0; names.len()]);
         for entry in self.list_entries.borrow().1.values() {
             let text = |key| entry.get(key).and_then(Value::as_str);
-            let place = text("zone").and_then(|zone| names.iter().position(|name| name == zone));
-            let Some(place) = place.filter(|_| text("status") == Some("ready")) else { continue };
-            ready[place] += 1;
+            let site_index = text("zone").and_then(|zone| names.iter().position(|name| name == zone));
+            let Some(site_index) = site_index.filter(|_| text("status") == Some("ready")) else { continue };
+            ready[site_index] += 1;
             let age = now.since(Timestamp(started_ms(entry) * 1000));
-            cold[place] += u32::from(age < warm);
+            cold[site_index] += u32::from(age < warm_up_time);
         }
         (ready, cold)
     }
@@ -354,19 +360,20 @@
         self.inner.borrow().full_may_have_run
     }
 
-    /// Takes over the position in the fleet that the fleet view has computed.
+    /// Takes over the share that the fleet view has computed for this node.
     pub fn set_node_share(&self, node_share: NodeShare) {
-        let (same, lapsed) = {
-            let before = self.inner.borrow().node_share;
-            let same = |p: NodeShare| (p.nodes, p.me) == (node_share.nodes, node_share.me);
-            (before.is_some_and(same), before.is_some_and(|p| p.until < self.clock.now()))
+        let (is_same, has_expired) = {
+            let previous = self.inner.borrow().node_share;
+            let is_same =
+                |p: NodeShare| (p.node_count, p.node_index) == (node_share.node_count, node_share.node_index);
+            (previous.is_some_and(is_same), previous.is_some_and(|p| p.valid_until < self.clock.now()))
         };
-        if same && !lapsed {
+        if is_same && !has_expired {
             self.inner.borrow_mut().node_share = Some(node_share);
             return;
         }
         self.with_balancer(|inner, _| {
-            inner.balancer.set_membership(node_share.nodes, node_share.me);
+            inner.balancer.set_membership(node_share.node_count, node_share.node_index);
             inner.node_share = Some(node_share);
         });
     }
@@ -393,12 +400,12 @@
     /// Records that the client has its answer or has disconnected; true if it had no answer.
     pub fn record_client_done(&self, handle: CommandHandle) -> bool {
         self.with_balancer(|inner, _| {
-            let held = &mut inner.commands_in_flight[handle.0 as usize];
-            let unanswered = !held.command.is_closed;
+            let entry = &mut inner.commands_in_flight[handle.0 as usize];
+            let unanswered = !entry.command.is_closed;
             if unanswered {
-                inner.balancer.on_client_gone(&mut held.command);
+                inner.balancer.on_client_gone(&mut entry.command);
             }
-            held.client_done = true;
+            entry.client_done = true;
             inner.remove_if_done(handle.0 as usize);
             unanswered
         })
@@ -429,7 +436,7 @@
     }
 
     /// Records the result of a probe.
-    pub fn record_probe(&self, backend: BackendId, found: bool, trip: Micros, values: &[f32]) {
+    pub fn record_probe(&self, backend: BackendId, found: bool, round_trip: Micros, values: &[f32]) {
         if let Some(counts) = &self.counts {
             counts.count_probe(self.clock.now());
         }
@@ -437,25 +444,25 @@
             site_evidence.count_probe(backend, found);
         }
         self.with_balancer(|inner, now| {
-            inner.balancer.on_load_report(now, backend, found, Some(trip), values)
+            inner.balancer.on_load_report(now, backend, found, Some(round_trip), values)
         });
     }
 
-    pub fn apply_list(&self, kind: ListUpdateKind, lines: &[AddressedEntry]) {
+    pub fn apply_list(&self, kind: ListUpdateKind, entries: &[AddressedEntry]) {
         if let Some(counts) = &self.counts {
             counts.count_list_update(self.clock.now());
         }
         if let Some(site_evidence) = &self.site_evidence {
-            lines.iter().for_each(|(listed, _)| site_evidence.set_site(listed.backend, listed.zone.0));
+            entries.iter().for_each(|(entry, _)| site_evidence.set_site(entry.backend, entry.zone.0));
         }
         self.with_balancer(|inner, now| {
             if kind == ListUpdateKind::Snapshot || kind == ListUpdateKind::Cached {
                 inner.addresses.fill(None);
             }
-            for (listed, address) in lines {
-                inner.addresses[listed.backend.0 as usize] = *address;
+            for (entry, address) in entries {
+                inner.addresses[entry.backend.0 as usize] = *address;
             }
-            inner.balancer.apply_list(now, kind, lines.iter().map(|(listed, _)| *listed));
+            inner.balancer.apply_list(now, kind, entries.iter().map(|(entry, _)| *entry));
         });
         if !kind.is_failure() {
             self.has_list.set(true);
@@ -464,8 +471,8 @@
 
     /// From this moment on the node is held to list changes that it may not have received; `None` while it
     /// may have missed none.
-    pub fn list_binds_from(&self, binds: Option<Timestamp>) {
-        self.with_balancer(|inner, _| inner.balancer.set_list_expiry(binds));
+    pub fn set_list_expiry(&self, expires_at: Option<Timestamp>) {
+        self.with_balancer(|inner, _| inner.balancer.set_list_expiry(expires_at));
     }
 
     /// Whether there is a list of backends to use, even an old one.
@@ -494,8 +501,8 @@
 
     /// Tells the balancer whether the previous process of this node still runs: until it ends, the spare
     /// part of the launch budget belongs to that process.
-    pub fn set_predecessor_running(&self, other: bool) {
-        self.with_balancer(|inner, now| inner.balancer.set_predecessor_running(now, other));
+    pub fn set_predecessor_running(&self, is_running: bool) {
+        self.with_balancer(|inner, now| inner.balancer.set_predecessor_running(now, is_running));
     }
 
     /// The id of a backend that has been listed at any time since the start.
@@ -504,11 +511,11 @@
     }
 
     /// Takes a backend out of service for maintenance, or puts it back, from this call on.
-    pub fn set_maintenance(&self, backend: BackendId, out: bool) {
-        self.with_balancer(|inner, now| inner.balancer.set_maintenance(now, backend, out));
+    pub fn set_maintenance(&self, backend: BackendId, in_maintenance: bool) {
+        self.with_balancer(|inner, now| inner.balancer.set_maintenance(now, backend, in_maintenance));
         // The process that takes over must also know that the backend has to warm up again.
         let name = self.backend_name(backend);
-        if let Some(entry) = self.list_entries.borrow_mut().1.get_mut(&name).filter(|_| !out) {
+        if let Some(entry) = self.list_entries.borrow_mut().1.get_mut(&name).filter(|_| !in_maintenance) {
             raise_started_ms(entry, self.clock.now().0 / 1000);
         }
     }
@@ -516,26 +523,26 @@
     /// The names of all backends that operators have taken out of service.
     pub fn backends_in_maintenance(&self) -> Vec<String> {
         let inner = self.inner.borrow();
-        let out = |(_, id): &(&String, &BackendId)| inner.balancer.is_in_maintenance(**id);
-        inner.backend_ids.iter().filter(out).map(|(name, _)| name.clone()).collect()
+        let in_maintenance = |(_, id): &(&String, &BackendId)| inner.balancer.is_in_maintenance(**id);
+        inner.backend_ids.iter().filter(in_maintenance).map(|(name, _)| name.clone()).collect()
     }
 
     /// Stores a message of discovery for the process that takes over from this one.
-    pub fn store_list_message(&self, index: u64, whole: bool, list_entries: &[Value]) {
-        let (at, kept) = &mut *self.list_entries.borrow_mut();
-        *at = index;
+    pub fn store_list_message(&self, version: u64, is_snapshot: bool, new_entries: &[Value]) {
+        let (stored_version, stored) = &mut *self.list_entries.borrow_mut();
+        *stored_version = version;
         // A snapshot replaces the stored list. Only the start times of the backends are kept.
-        let mut before = if whole { std::mem::take(kept) } else { BTreeMap::new() };
-        for entry in list_entries {
+        let mut replaced = if is_snapshot { std::mem::take(stored) } else { BTreeMap::new() };
+        for entry in new_entries {
             let text = |key| entry.get(key).and_then(Value::as_str);
             match (text("name"), text("status")) {
                 (Some(name), Some("ready" | "draining")) => {
                     let mut entry = entry.clone();
-                    let known = before.remove(name).or_else(|| kept.remove(name));
+                    let known = replaced.remove(name).or_else(|| stored.remove(name));
                     raise_started_ms(&mut entry, known.as_ref().map_or(0, started_ms));
-                    kept.insert(name.to_owned(), entry);
+                    stored.insert(name.to_owned(), entry);
                 }
-                (Some(name), _) => drop(kept.remove(name)),
+                (Some(name), _) => drop(stored.remove(name)),
                 _ => {}
             }
         }
@@ -543,8 +550,8 @@
 
     /// The present list in discovery's format.
     pub fn list_snapshot(&self) -> Value {
-        let (index, kept) = &*self.list_entries.borrow();
-        json!({"index": index, "snapshot": true, "endpoints": kept.values().collect::<Vec<_>>()})
+        let (version, stored) = &*self.list_entries.borrow();
+        json!({"index": version, "snapshot": true, "endpoints": stored.values().collect::<Vec<_>>()})
     }
 
     pub fn client_ids_in_flight(&self) -> Vec<String> {
@@ -576,11 +583,11 @@
 }
 
 impl Inner {
-    fn remove_if_done(&mut self, key: usize) {
-        let held = &self.commands_in_flight[key];
-        if held.client_done && held.command.in_flight_count() == 0 {
-            let held = self.commands_in_flight.remove(key);
-            self.command_ids.remove(&held.client_id);
+    fn remove_if_done(&mut self, index: usize) {
+        let entry = &self.commands_in_flight[index];
+        if entry.client_done && entry.command.in_flight_count() == 0 {
+            let entry = self.commands_in_flight.remove(index);
+            self.command_ids.remove(&entry.client_id);
         }
     }
 }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -31,7 +31,7 @@
 /// The pause between two such reads while more datagrams are waiting. The two constants limit the rate to
 /// 16,000 datagrams per second; the kernel drops the rest.
 const READ_PAUSE: Duration = Duration::from_millis(2);
-/// The interval at which this node's own state is published and its position in the fleet is updated.
+/// The interval at which this node's own state is published and its share of the fleet is updated.
 const UPDATE_INTERVAL: Micros = Micros::from_millis(200);
 /// The interval between two attempts to bind the address while a previous process still has it.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
@@ -287,10 +287,15 @@
         let share = self.sharer.borrow_mut().look(now, &view, identity.places, identity.place);
         self.share.set(Some(share));
         if view.terms.portions {
-            let without = Sharer::without(identity.places, identity.place, now);
-            let (nodes, me) = (share.nodes, share.me);
-            let without = (without.nodes, without.me);
-            self.dispatcher.set_node_share(NodeShare { nodes, me, until: share.until, without });
+            let fallback = Sharer::without(identity.places, identity.place, now);
+            let (node_count, node_index) = (share.nodes, share.me);
+            let fallback = (fallback.nodes, fallback.me);
+            self.dispatcher.set_node_share(NodeShare {
+                node_count,
+                node_index,
+                valid_until: share.until,
+                fallback,
+            });
         }
     }
 
--- a/crates/node/src/launch.rs
+++ b/crates/node/src/launch.rs
@@ -196,8 +196,8 @@
         let (head, body) = response.into_parts();
         if let Some(load) = head.headers.get(BACKEND_LOAD_HEADER) {
             let names = self.dispatcher.names();
-            result.report =
-                probe::report(&names.report_fields, load.as_bytes()).map(|values| (names.revision, values));
+            result.report = probe::parse_report(&names.report_fields, load.as_bytes())
+                .map(|values| (names.revision, values));
         }
         let unprocessed =
             head.headers.get(UNPROCESSED_HEADER).is_some_and(|v| v.as_bytes().trim_ascii() == b"1");
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -85,23 +85,23 @@
 
 async fn run(config: config::Config, signals: signals::Signals) -> Result<(), String> {
     let limits = Rc::new(config.limits);
-    log::allow(limits.log_lines_per_s);
+    log::set_lines_per_second(limits.log_lines_per_s);
     let clock = Clock::start();
     let (list_is_requested, warm_up_time) = (config.settings.list_is_requested, config.settings.warm_up_time);
     let list_request_interval = Duration::from_micros(config.settings.list_request_interval.0);
-    let said = (config.settings.full_may_have_run, config.settings.max_retry_after);
-    let (errand, mut errands) = mpsc::unbounded_channel();
-    let module = Balancer::new(config.settings, config.seed, clock.now());
+    let reply_settings = (config.settings.full_may_have_run, config.settings.max_retry_after);
+    let (action_sender, mut actions) = mpsc::unbounded_channel();
+    let balancer = Balancer::new(config.settings, config.seed, clock.now());
     let site_evidence = config.sites.as_ref().map(|_| Rc::new(site_evidence::SiteEvidence::default()));
-    let counts = config.trial.as_ref().map(|terms| Rc::new(counts::Counts::new(terms.seconds)));
+    let counts = config.trial.as_ref().map(|config| Rc::new(counts::Counts::new(config.seconds)));
     let dispatcher = Rc::new(Dispatcher::new(
-        module,
+        balancer,
         config.names,
         clock,
         limits.timer_resolution,
-        errand,
+        action_sender,
         (counts, site_evidence.clone()),
-        said,
+        reply_settings,
     ));
     let body_memory = bodies::BodyMemory::new(limits.body_memory_bytes);
     let pool = Rc::new(pool::Pool::new(limits.clone(), body_memory.clone()));
@@ -116,7 +116,7 @@
         Some(path) => handover::request_handover(path, &limits)?,
         None => None,
     };
-    let (mut old, mut generation) = (None, 0);
+    let (mut old_process, mut generation) = (None, 0);
     let listener = match handover {
         Some(handover::Handover { state, listener, stream }) => {
             // Operators' settings come first, so that they apply to the list.
@@ -128,7 +128,7 @@
             if let Err(why) = list_updater.apply_message(&state.list, true) {
                 note!("handover: the list could not be used: {why}");
             }
-            old = Some(stream);
+            old_process = Some(stream);
             listener.set_nonblocking(true).and_then(|()| tokio::net::TcpListener::from_std(listener))
         }
         None => accept::bind(config.listen, limits.backlog, path.is_some()),
@@ -137,28 +137,28 @@
     let shared = (dispatcher.clone(), lifecycle.clone(), limits.clone(), body_memory.clone());
     let peer = handover::Peer::new(shared, path, &listener);
     let fleet = config.view.map(|view| {
-        let own = fleet::NodeIdentity::of(&config.file, &dispatcher);
+        let identity = fleet::NodeIdentity::of(&config.file, &dispatcher);
         let parts = (dispatcher.clone(), lifecycle.clone(), peer.clone());
-        fleet::Fleet::new(view, &config.name, own, (generation, config.seed), parts)
+        fleet::Fleet::new(view, &config.name, identity, (generation, config.seed), parts)
     });
     let sites = match (config.sites, site_evidence) {
         (Some(plan), Some(site_evidence)) => {
-            let own = fleet::NodeIdentity::of(&config.file, &dispatcher).site;
+            let identity = fleet::NodeIdentity::of(&config.file, &dispatcher).site;
             Some(sites::Sites::new(
                 plan,
-                &own,
+                &identity,
                 (dispatcher.clone(), fleet.clone(), site_evidence),
                 warm_up_time,
             )?)
         }
         _ => None,
     };
-    let (trial, asked) = config.trial.map(trial::Trial::new).transpose()?.unzip();
+    let (trial, trial_actions) = config.trial.map(trial::Trial::new).transpose()?.unzip();
     let trial = trial.map(Rc::new);
-    let (moved, discovery) = watch::channel(config.discovery);
+    let (discovery_sender, discovery) = watch::channel(config.discovery);
     let parts = (dispatcher.clone(), limits.clone(), lifecycle.clone());
-    let beside = (fleet.clone(), trial.clone(), sites.clone());
-    let reload = reload::Reload::new(signals.hangup, moved, config.file, parts, beside);
+    let optional_stages = (fleet.clone(), trial.clone(), sites.clone());
+    let reload = reload::Reload::new(signals.hangup, discovery_sender, config.file, parts, optional_stages);
     if let Some(at) = config.admin {
         let listener = accept::bind(at, limits.backlog, false).map_err(|e| format!("admin: {at}: {e}"))?;
         let (dispatcher, lifecycle, limits, peer) =
@@ -178,42 +178,42 @@
         };
         spawn_local(Rc::new(admin).run(listener));
     }
-    spawn_local(reload.run(asked));
-    let (follow, followed) = mpsc::unbounded_channel();
+    spawn_local(reload.run(trial_actions));
+    let (list_requests, list_request_receiver) = mpsc::unbounded_channel();
     if !list_is_requested {
         // Where the list is pushed, the node still opens a watch, at once.
-        let _ = follow.send(());
+        let _ = list_requests.send(());
     }
     let watches =
         list_watches::Watches::new(list_updater, dispatcher.clone(), limits.clone(), config.discovery);
-    spawn_local(watches.run(followed, discovery));
+    spawn_local(watches.run(list_request_receiver, discovery));
 
     let prober = probe::Prober { dispatcher: dispatcher.clone(), pool: pool.clone(), limits: limits.clone() };
-    let (pool_of_errands, kept) = (pool.clone(), dispatcher.clone());
+    let (idle_connections, timers) = (pool.clone(), dispatcher.clone());
     spawn_local(async move {
-        while let Some(errand) = errands.recv().await {
-            match errand {
+        while let Some(action) = actions.recv().await {
+            match action {
                 Action::Probe(backend) => drop(spawn_local(prober.clone().probe(backend))),
-                Action::RequestList => drop(follow.send(())),
-                Action::CloseIdleConnections(backend) => pool_of_errands.close(backend),
+                Action::RequestList => drop(list_requests.send(())),
+                Action::CloseIdleConnections(backend) => idle_connections.close(backend),
                 // The dispatcher has already woken that command.
                 Action::Reevaluate(_) => {}
             }
         }
     });
-    spawn_local(async move { kept.run_timers().await });
-    let (swept, addresses, pause) = (pool.clone(), dispatcher.clone(), limits.sweep_interval);
+    spawn_local(async move { timers.run_timers().await });
+    let (swept_pool, addresses, interval) = (pool.clone(), dispatcher.clone(), limits.sweep_interval);
     spawn_local(async move {
         loop {
-            tokio::time::sleep(pause).await;
-            swept.sweep(|backend| addresses.address(backend));
+            tokio::time::sleep(interval).await;
+            swept_pool.sweep(|backend| addresses.address(backend));
         }
     });
-    let stopped = lifecycle.clone();
-    spawn_local(async move { stopped.wait_for_stop_signal(signals.stop).await });
+    let stop_waiter = lifecycle.clone();
+    spawn_local(async move { stop_waiter.wait_for_stop_signal(signals.stop).await });
 
     let launcher = launch::Launcher { pool, dispatcher: dispatcher.clone() };
-    peer.take_over(old).await;
+    peer.take_over(old_process).await;
     if let Some(fleet) = &fleet {
         spawn_local(fleet.clone().run());
     }
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -49,7 +49,7 @@
         let mut parsed_entries = Vec::with_capacity(entries.len());
         for entry in entries {
             match self.parse_entry(entry) {
-                Ok(line) => parsed_entries.push(line),
+                Ok(entry) => parsed_entries.push(entry),
                 Err(why) => note!("list: skipped an entry: {why}: {entry}"),
             }
         }
@@ -68,7 +68,7 @@
     }
 
     fn log_message(&self, is_snapshot: bool, parsed_entries: &[AddressedEntry]) {
-        let count = |state| parsed_entries.iter().filter(|(listed, _)| listed.state == state).count();
+        let count = |state| parsed_entries.iter().filter(|(entry, _)| entry.state == state).count();
         note!(
             "list: version {} ({}): {} ready, {} draining, {} gone",
             self.version.get(),
@@ -97,7 +97,7 @@
                 },
                 None,
             )),
-            line => line,
+            entry => entry,
         }
     }
 
@@ -110,7 +110,7 @@
         let address = entry.get("address").and_then(Value::as_str).and_then(|a| a.parse().ok());
         let address = address.ok_or("address is not an IP address with a port")?;
         let names = self.dispatcher.names();
-        let listed = ListEntry {
+        let entry = ListEntry {
             name_hash: stable_hash(name),
             weight: entry
                 .get("weight")
@@ -125,7 +125,7 @@
             // Last, so that an invalid entry does not use up an id.
             backend: self.dispatcher.backend_id(name),
         };
-        Ok((listed, Some(address)))
+        Ok((entry, Some(address)))
     }
 }
 
--- a/crates/node/src/list_watches.rs
+++ b/crates/node/src/list_watches.rs
@@ -214,7 +214,7 @@
             change(&mut list_age, self.dispatcher.clock.now());
             list_age.binds_from()
         };
-        self.dispatcher.list_binds_from(binds);
+        self.dispatcher.set_list_expiry(binds);
     }
 
     async fn run_call(&self, call: CallNumber, discovery: SocketAddr) -> WatchEnd {
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -8,68 +8,70 @@
 use std::time::{Duration, Instant};
 
 /// The maximum length of a line in bytes: no more than the amount that a writable pipe accepts at once.
-const MOST: usize = 4000;
+const MAX_LINE_BYTES: usize = 4000;
 
 thread_local! {
     /// Unlimited until the configuration is read.
-    static LINES: Cell<u32> = const { Cell::new(u32::MAX) };
+    static LINES_PER_S: Cell<u32> = const { Cell::new(u32::MAX) };
 }
 
 /// Sets how many lines per second each place in the code may write.
-pub fn allow(lines: u32) {
-    LINES.set(lines);
+pub fn set_lines_per_second(lines_per_second: u32) {
+    LINES_PER_S.set(lines_per_second);
 }
 
 /// The rate limiter of one place in the code, so that frequent lines do not suppress others.
-pub struct Gate {
-    since: Cell<Option<Instant>>,
+pub struct RateLimiter {
+    second_started_at: Cell<Option<Instant>>,
     written: Cell<u32>,
-    left_out: Cell<u32>,
+    suppressed: Cell<u32>,
 }
 
-impl Gate {
-    pub const fn new() -> Gate {
-        Gate { since: Cell::new(None), written: Cell::new(0), left_out: Cell::new(0) }
+impl RateLimiter {
+    pub const fn new() -> RateLimiter {
+        RateLimiter { second_started_at: Cell::new(None), written: Cell::new(0), suppressed: Cell::new(0) }
     }
 
     /// Returns whether a line may be written now, and how many were suppressed before it.
-    pub fn pass(&self) -> Option<u32> {
+    pub fn try_acquire(&self) -> Option<u32> {
         let now = Instant::now();
-        if self.since.get().is_none_or(|at| now - at >= Duration::from_secs(1)) {
-            self.since.set(Some(now));
+        if self.second_started_at.get().is_none_or(|at| now - at >= Duration::from_secs(1)) {
+            self.second_started_at.set(Some(now));
             self.written.set(0);
         }
-        if self.written.get() >= LINES.get() || !taken() {
-            self.left_out.set(self.left_out.get() + 1);
+        if self.written.get() >= LINES_PER_S.get() || !can_write() {
+            self.suppressed.set(self.suppressed.get() + 1);
             return None;
         }
         self.written.set(self.written.get() + 1);
-        Some(self.left_out.replace(0))
+        Some(self.suppressed.replace(0))
     }
 }
 
 /// Whether a line can be written without blocking. Writing to a full pipe would stop the only thread until
 /// the reader continues, and writing to a pipe without a reader would fail. If `poll` fails, the write is
 /// attempted.
-fn taken() -> bool {
+fn can_write() -> bool {
     let stderr = stderr();
-    let mut asked = [PollFd::new(&stderr, PollFlags::OUT)];
-    match poll(&mut asked, Some(&Timespec::default())) {
-        Ok(_) => asked[0].revents().contains(PollFlags::OUT) && !asked[0].revents().contains(PollFlags::ERR),
+    let mut poll_fds = [PollFd::new(&stderr, PollFlags::OUT)];
+    match poll(&mut poll_fds, Some(&Timespec::default())) {
+        Ok(_) => {
+            poll_fds[0].revents().contains(PollFlags::OUT) && !poll_fds[0].revents().contains(PollFlags::ERR)
+        }
         Err(_) => true,
     }
 }
 
 /// Writes a line without a rate limit, if it can be written without blocking.
-pub fn line(text: Arguments<'_>) {
-    if taken() {
+pub fn write_unlimited(text: Arguments<'_>) {
+    if can_write() {
         write(text);
     }
 }
 
 pub fn write(text: Arguments<'_>) {
     let mut line = text.to_string().into_bytes();
-    line.truncate(MOST);
+    line.truncate(MAX_LINE_BYTES);
     line.push(b'\n');
     let _ = stderr().write_all(&line);
 }
@@ -77,13 +79,13 @@
 macro_rules! note {
     ($($part:tt)*) => {{
         thread_local! {
-            static GATE: $crate::log::Gate = const { $crate::log::Gate::new() };
+            static RATE_LIMITER: $crate::log::RateLimiter = const { $crate::log::RateLimiter::new() };
         }
-        match GATE.with($crate::log::Gate::pass) {
+        match RATE_LIMITER.with($crate::log::RateLimiter::try_acquire) {
             None => {}
             Some(0) => $crate::log::write(format_args!($($part)*)),
-            Some(more) => {
-                $crate::log::write(format_args!("{} ({more} more suppressed)", format_args!($($part)*)));
+            Some(suppressed) => {
+                $crate::log::write(format_args!("{} ({suppressed} more suppressed)", format_args!($($part)*)));
             }
         }
     }};
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -15,7 +15,7 @@
 use yarrowfront::ids::BackendId;
 
 /// The names of a report's fields in the settings, and their names on the wire.
-const SOCKET_NAMES: [(&str, &str); 6] = [
+const WIRE_NAMES: [(&str, &str); 6] = [
     ("outstanding", "inflight"),
     ("backlog", "queue"),
     ("utilization", "util"),
@@ -26,10 +26,10 @@
 
 /// Returns the values of a load report in the order of the settings; `None` if a value is missing or
 /// invalid.
-pub fn report(names: &[String], bytes: &[u8]) -> Option<Vec<f32>> {
+pub fn parse_report(names: &[String], bytes: &[u8]) -> Option<Vec<f32>> {
     let json: Value = serde_json::from_slice(bytes).ok().unwrap_or_default();
     let value = |name: &String| {
-        let known = SOCKET_NAMES.iter().find(|(settings, _)| settings == name);
+        let known = WIRE_NAMES.iter().find(|(settings, _)| settings == name);
         let field = json.get(name).or_else(|| json.get(known?.1))?;
         field.as_f64().filter(|v| (0.0..1e9).contains(v)).map(|v| v as f32)
     };
@@ -50,19 +50,24 @@
 impl Prober {
     pub async fn probe(self, backend: BackendId) {
         let sent = self.dispatcher.clock.now();
-        let found = match self.dispatcher.address(backend) {
+        let load_values = match self.dispatcher.address(backend) {
             Some(address) => {
-                timeout(self.limits.probe_timeout, self.ask(backend, address)).await.ok().flatten()
+                timeout(self.limits.probe_timeout, self.fetch_report(backend, address)).await.ok().flatten()
             }
             None => None,
         };
-        let trip = self.dispatcher.clock.now().since(sent);
-        self.dispatcher.record_probe(backend, found.is_some(), trip, found.as_deref().unwrap_or_default());
+        let round_trip = self.dispatcher.clock.now().since(sent);
+        self.dispatcher.record_probe(
+            backend,
+            load_values.is_some(),
+            round_trip,
+            load_values.as_deref().unwrap_or_default(),
+        );
     }
 
     /// Returns the report: empty if the backend answers without a valid one, and `None` if it does not
     /// answer.
-    async fn ask(&self, backend: BackendId, address: SocketAddr) -> Option<Vec<f32>> {
+    async fn fetch_report(&self, backend: BackendId, address: SocketAddr) -> Option<Vec<f32>> {
         let host = HeaderValue::from_str(&address.to_string()).ok()?;
         loop {
             let lease = self.pool.lease(backend, address).await.ok()?;
@@ -73,9 +78,9 @@
                 Exchange::Stale(_) => continue,
                 Exchange::Answered(response) if response.status() == StatusCode::OK => {
                     match response.body() {
-                        ReadBody::Buffered(body) => {
-                            Some(report(&self.dispatcher.names().report_fields, body).unwrap_or_default())
-                        }
+                        ReadBody::Buffered(body) => Some(
+                            parse_report(&self.dispatcher.names().report_fields, body).unwrap_or_default(),
+                        ),
                         ReadBody::Streaming(_) => None,
                     }
                 }
@@ -87,7 +92,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::report;
+    use super::parse_report;
 
     /// Reports use the wire names of the fields and the settings those of the simulator. If the names were
     /// not mapped, every report would be ignored. An incomplete report must not be used at all.
@@ -105,7 +110,7 @@
             ("busy", None),
         ];
         for (text, values) in cases {
-            assert_eq!(report(&names, text.as_bytes()), values.map(Vec::from), "{text}");
+            assert_eq!(parse_report(&names, text.as_bytes()), values.map(Vec::from), "{text}");
         }
     }
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -6,7 +6,7 @@
 use crate::fleet::{Fleet, NodeIdentity};
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
-use crate::log::{line, note};
+use crate::log::{note, write_unlimited};
 use crate::sites::Sites;
 use crate::trial::{write_atomically, ActiveTrial, QueuedAction, Trial, TrialAction, TrialReply};
 use hyper::StatusCode;
@@ -107,9 +107,9 @@
                     match self.reload_file() {
                         Ok(changed) => {
                             let discovery = *self.discovery.borrow();
-                            line(format_args!("reload: discovery is at {discovery}; {changed}"));
+                            write_unlimited(format_args!("reload: discovery is at {discovery}; {changed}"));
                         }
-                        Err(why) => line(format_args!("reload: the old configuration stays: {why}")),
+                        Err(why) => write_unlimited(format_args!("reload: the old configuration stays: {why}")),
                     }
                 }
                 Some((action, reply)) = next_action(&mut actions) => {
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -44,12 +44,12 @@
         if recorder.is_none() && ticket.is_none() {
             return;
         }
-        let (now, arrived) = (self.dispatcher.clock.now(), self.dispatcher.arrived(self.handle));
+        let (now, arrived_at) = (self.dispatcher.clock.now(), self.dispatcher.arrived_at(self.handle));
         if let Some(ticket) = ticket {
-            ticket.record_end(end, now.since(arrived));
+            ticket.record_end(end, now.since(arrived_at));
         }
         if let Some(recorder) = recorder {
-            recorder.record_end(now, arrived, end);
+            recorder.record_end(now, arrived_at, end);
         }
     }
 }
@@ -98,7 +98,7 @@
     };
     let (body_complete, mut body_completed) = watch::channel(false);
     let body_complete = Rc::new(body_complete);
-    let mut decision = dispatcher.place(handle);
+    let mut decision = dispatcher.decide(handle);
     loop {
         match decision {
             Decision::Launch(backend) => {
@@ -181,9 +181,9 @@
             }
             // Even an answer that a backend sends now would not reach the client before the process is
             // killed.
-            () = node.lifecycle.stopped_for(node.limits.answer_deadline.get()), if !body_is_streaming => dispatcher.give_up(handle),
-            () = placement_due.notified(), if !body_is_streaming => dispatcher.place(handle),
-            () = sleep(check_delay.unwrap_or_default()), if check_delay.is_some() && !body_is_streaming => dispatcher.place(handle),
+            () = node.lifecycle.stopped_for(node.limits.answer_deadline.get()), if !body_is_streaming => dispatcher.reject_or_fail(handle),
+            () = placement_due.notified(), if !body_is_streaming => dispatcher.decide(handle),
+            () = sleep(check_delay.unwrap_or_default()), if check_delay.is_some() && !body_is_streaming => dispatcher.decide(handle),
         };
     }
 }
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -17,7 +17,7 @@
 
 /// The interval between two checks without a wake-up: short compared with the time between a stop signal and
 /// the kill.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Receives one message for each signal; several signals that come together may give one message.
 pub struct Signals {
@@ -26,9 +26,9 @@
 }
 
 /// One kind of signal: a flag that is set when it arrives, and where to report it.
-struct Kind {
-    came: Arc<AtomicBool>,
-    to: mpsc::UnboundedSender<()>,
+struct SignalKind {
+    is_pending: Arc<AtomicBool>,
+    sender: mpsc::UnboundedSender<()>,
 }
 
 impl Signals {
@@ -36,43 +36,46 @@
     pub fn listen() -> io::Result<Signals> {
         let (reader, writer) = UnixStream::pair()?;
         reader.set_nonblocking(true)?;
-        let (stop, told_to_stop) = Kind::register(&[SIGTERM, SIGINT], &writer)?;
-        let (hangup, told_to_reload) = Kind::register(&[SIGHUP], &writer)?;
-        spawn_local(deliver(tokio::net::UnixStream::from_std(reader)?, [stop, hangup]));
-        Ok(Signals { stop: told_to_stop, hangup: told_to_reload })
+        let (stop, stop_receiver) = SignalKind::register(&[SIGTERM, SIGINT], &writer)?;
+        let (hangup, hangup_receiver) = SignalKind::register(&[SIGHUP], &writer)?;
+        spawn_local(dispatch_signals(tokio::net::UnixStream::from_std(reader)?, [stop, hangup]));
+        Ok(Signals { stop: stop_receiver, hangup: hangup_receiver })
     }
 }
 
-impl Kind {
-    fn register(signals: &[i32], writer: &UnixStream) -> io::Result<(Kind, mpsc::UnboundedReceiver<()>)> {
-        let came = Arc::new(AtomicBool::new(false));
+impl SignalKind {
+    fn register(
+        signals: &[i32],
+        writer: &UnixStream,
+    ) -> io::Result<(SignalKind, mpsc::UnboundedReceiver<()>)> {
+        let is_pending = Arc::new(AtomicBool::new(false));
         for signal in signals {
             // In this order, so that the reader finds the flag set when it is woken.
-            signal_hook::flag::register(*signal, came.clone())?;
+            signal_hook::flag::register(*signal, is_pending.clone())?;
             signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
         }
-        let (to, told) = mpsc::unbounded_channel();
-        Ok((Kind { came, to }, told))
+        let (sender, receiver) = mpsc::unbounded_channel();
+        Ok((SignalKind { is_pending, sender }, receiver))
     }
 }
 
-async fn deliver(woken: tokio::net::UnixStream, kinds: [Kind; 2]) {
+async fn dispatch_signals(wakeups: tokio::net::UnixStream, signal_kinds: [SignalKind; 2]) {
     loop {
-        let _ = timeout(LOOK, woken.readable()).await;
-        empty(&woken);
-        for kind in &kinds {
-            if kind.came.swap(false, Ordering::SeqCst) {
+        let _ = timeout(CHECK_INTERVAL, wakeups.readable()).await;
+        drain(&wakeups);
+        for signal_kind in &signal_kinds {
+            if signal_kind.is_pending.swap(false, Ordering::SeqCst) {
                 // The receiver is dropped only while the process shuts down.
-                let _ = kind.to.send(());
+                let _ = signal_kind.sender.send(());
             }
         }
     }
 }
 
-fn empty(woken: &tokio::net::UnixStream) {
-    let mut some = [0; 64];
+fn drain(wakeups: &tokio::net::UnixStream) {
+    let mut buffer = [0; 64];
     loop {
-        match woken.try_read(&mut some) {
+        match wakeups.try_read(&mut buffer) {
             Ok(count) if count > 0 => {}
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             _ => return,
--- a/crates/node/src/sites.rs
+++ b/crates/node/src/sites.rs
@@ -140,7 +140,7 @@
                 LaunchCounts { answered, unanswered, full: sum.full + counts.full }
             })
         };
-        let (ready, cold) = self.dispatcher.listed_by_site(names, now, self.warm_up_time.get());
+        let (ready, cold) = self.dispatcher.listed_backends_by_site(names, now, self.warm_up_time.get());
         let known = &mut *self.listed_backends.borrow_mut();
         for (known, ready) in known.iter_mut().zip(&ready) {
             *known = (*known * LISTED_DECAY).max(f64::from(*ready));
