--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use yarrowfront::settings::Settings;
 use yarrowfront::times::Micros;
-use yarrowfront_view::terms::ViewTerms;
+use yarrowfront_view::config::ViewConfig;
 
 pub struct Config {
     /// The complete configuration of a process.
@@ -27,7 +27,7 @@
     /// The list as this node last had it, as a cache for the start.
     pub cached_list: Option<Value>,
     /// The operators' file for the fleet view, if one is named; without it the node keeps no view.
-    pub view: Option<ViewTerms>,
+    pub view: Option<ViewConfig>,
     /// The operators' file for rollouts, if one is named; without it the node keeps no statistics and
     /// accepts no trial settings.
     pub trial: Option<TrialConfig>,
@@ -89,9 +89,9 @@
 }
 
 /// The operators' file for the fleet view, with the seeds from their separate file, if it names one.
-fn read_view(path: &str) -> Result<ViewTerms, String> {
+fn read_view(path: &str) -> Result<ViewConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("fleet: {path}: {e}"))?;
-    let mut view = ViewTerms::from_toml(&text).map_err(|why| format!("fleet: {path}: {why}"))?;
+    let mut view = ViewConfig::from_toml(&text).map_err(|why| format!("fleet: {path}: {why}"))?;
     if let Some(file) = &view.seeds_file {
         view.seeds.extend(read_seeds(file)?);
     }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -18,12 +18,12 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant};
 use yarrowfront::times::{Micros, Timestamp};
-use yarrowfront_view::card::{Card, Life, Load, Phase};
+use yarrowfront_view::config::ViewConfig;
 use yarrowfront_view::member::Member;
-use yarrowfront_view::share::{Share, Sharer, Why};
-use yarrowfront_view::terms::ViewTerms;
-use yarrowfront_view::view::{View, What};
-use yarrowfront_view::wire::LARGEST;
+use yarrowfront_view::node_info::{Generation, Load, NodeInfo, Phase};
+use yarrowfront_view::share::{Share, ShareReason, ShareTracker};
+use yarrowfront_view::view::{ChangeKind, View};
+use yarrowfront_view::wire::MAX_DATAGRAM_BYTES;
 
 /// The number of datagrams that are read at once: a flood of them must not delay commands for longer than
 /// the processing of one command takes.
@@ -43,9 +43,9 @@
 /// The members of the fleet by site.
 pub struct SiteMembers {
     /// For each site, the number of members that are alive and of all that are known.
-    pub of: BTreeMap<String, (u32, u32)>,
+    pub by_site: BTreeMap<String, (u32, u32)>,
     /// This node sees no other member, or no majority.
-    pub isolated: bool,
+    pub is_isolated: bool,
     /// The earliest generation of a live member in another site.
     pub oldest_elsewhere: Option<u64>,
 }
@@ -54,9 +54,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeIdentity {
     pub site: String,
-    pub digest: u64,
-    pub place: u32,
-    pub places: u32,
+    pub settings_digest: u64,
+    pub slot: u32,
+    pub slots: u32,
 }
 
 impl NodeIdentity {
@@ -72,16 +72,16 @@
         }
         NodeIdentity {
             site: site.chars().take(16).collect(),
-            digest: stable_hash(&settings.to_string()),
-            place: number("settings.me"),
-            places: number("settings.balancers").max(1),
+            settings_digest: stable_hash(&settings.to_string()),
+            slot: number("settings.me"),
+            slots: number("settings.balancers").max(1),
         }
     }
 }
 
 pub struct Fleet {
     view: RefCell<View>,
-    sharer: RefCell<Sharer>,
+    share_tracker: RefCell<ShareTracker>,
     share: Cell<Option<Share>>,
     identity: RefCell<NodeIdentity>,
     address: SocketAddr,
@@ -102,23 +102,23 @@
 impl Fleet {
     /// Creates the view with a generation that is later than the given one.
     pub fn new(
-        terms: ViewTerms,
+        config: ViewConfig,
         name: &str,
         identity: NodeIdentity,
         (predecessor_generation, seed): (u64, u64),
         (dispatcher, lifecycle, peer): Parts,
     ) -> Rc<Fleet> {
         let now = dispatcher.clock.now();
-        let address = terms.address.unwrap_or(terms.listen);
-        let life = Life(now.0.max(predecessor_generation + 1));
-        peer.generation.set(life.0);
-        let card = card(address, &identity, Phase::JOINING);
-        let sharer = Sharer::new(now, terms.times);
+        let address = config.address.unwrap_or(config.listen);
+        let generation = Generation(now.0.max(predecessor_generation + 1));
+        peer.generation.set(generation.0);
+        let info = node_info(address, &identity, Phase::JOINING);
+        let share_tracker = ShareTracker::new(now, config.timing);
         // The seed differs between the two processes of a node.
-        let view = View::new(now, terms, name, life, card, seed ^ life.0);
+        let view = View::new(now, config, name, generation, info, seed ^ generation.0);
         Rc::new(Fleet {
             view: RefCell::new(view),
-            sharer: RefCell::new(sharer),
+            share_tracker: RefCell::new(share_tracker),
             share: Cell::new(None),
             identity: RefCell::new(identity),
             address,
@@ -134,10 +134,10 @@
     }
 
     /// Whether this configuration can be adopted without a restart.
-    pub fn check_reload(&self, terms: &ViewTerms) -> Result<(), String> {
+    pub fn check_reload(&self, config: &ViewConfig) -> Result<(), String> {
         let view = self.view.borrow();
-        match (terms.listen, terms.address, &terms.fleet)
-            == (view.terms.listen, view.terms.address, &view.terms.fleet)
+        match (config.listen, config.address, &config.fleet)
+            == (view.config.listen, view.config.address, &view.config.fleet)
         {
             true => Ok(()),
             false => Err("fleet: fleet, listen and address can be changed only by a restart".to_owned()),
@@ -145,9 +145,9 @@
     }
 
     /// Adopts a reloaded fleet file and this node's reloaded configuration.
-    pub fn adopt(&self, terms: ViewTerms, identity: NodeIdentity) {
-        *self.sharer.borrow_mut() = Sharer::new(self.dispatcher.clock.now(), terms.times);
-        self.view.borrow_mut().follow(self.dispatcher.clock.now(), terms);
+    pub fn adopt(&self, config: ViewConfig, identity: NodeIdentity) {
+        *self.share_tracker.borrow_mut() = ShareTracker::new(self.dispatcher.clock.now(), config.timing);
+        self.view.borrow_mut().reconfigure(self.dispatcher.clock.now(), config);
         *self.identity.borrow_mut() = identity;
         self.updated_at.set(Timestamp(0));
         self.wake.notify_one();
@@ -161,7 +161,7 @@
             let Some(socket) = self.listen().await else { continue };
             if std::mem::replace(&mut has_listened_before, true) {
                 // The other process has ended, and its generation was later than this one's.
-                self.view.borrow_mut().raise_life(self.dispatcher.clock.now(), Life(0));
+                self.view.borrow_mut().raise_generation(self.dispatcher.clock.now(), Generation(0));
             }
             note!("fleet: listening on {}", self.address);
             tokio::select! {
@@ -175,7 +175,7 @@
     }
 
     async fn listen(&self) -> Option<Rc<UdpSocket>> {
-        let address = self.view.borrow().terms.listen;
+        let address = self.view.borrow().config.listen;
         match UdpSocket::bind(address).await {
             Ok(socket) => {
                 let socket = Rc::new(socket);
@@ -191,17 +191,17 @@
     }
 
     async fn run_view(&self, socket: &UdpSocket) {
-        let mut bytes = [0; LARGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             self.update();
             self.send_pending(socket);
-            let next = self.view.borrow().next().min(self.updated_at.get() + UPDATE_INTERVAL);
+            let next = self.view.borrow().next_timeout().min(self.updated_at.get() + UPDATE_INTERVAL);
             tokio::select! {
                 biased;
                 () = sleep_until(self.dispatcher.clock.instant(next)) => {
                     let now = self.dispatcher.clock.now();
-                    if self.view.borrow().next() <= now {
-                        self.view.borrow_mut().due(now);
+                    if self.view.borrow().next_timeout() <= now {
+                        self.view.borrow_mut().handle_timeout(now);
                     }
                 }
                 () = self.wake.notified() => {}
@@ -218,7 +218,7 @@
         for count in 0..DATAGRAMS_PER_READ {
             match socket.try_recv_from(bytes) {
                 Ok((size, from)) => {
-                    self.view.borrow_mut().heard(self.dispatcher.clock.now(), from, &bytes[..size]);
+                    self.view.borrow_mut().receive(self.dispatcher.clock.now(), from, &bytes[..size]);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return count,
                 // If a destination had no listener, the kernel reports that on a later call.
@@ -230,23 +230,31 @@
 
     fn send_pending(&self, socket: &UdpSocket) {
         loop {
-            let Some((to, bytes)) = self.view.borrow_mut().outgoing() else { break };
+            let Some((to, bytes)) = self.view.borrow_mut().next_datagram() else { break };
             // A datagram that the kernel does not accept is lost, like any other datagram may be.
             let _ = socket.try_send_to(&bytes, to);
         }
         loop {
-            let Some(change) = self.view.borrow_mut().change() else { break };
-            let text = match change.what {
-                What::Alone | What::Together => change.what.word().to_owned(),
+            let Some(change) = self.view.borrow_mut().next_change() else { break };
+            let text = match change.kind {
+                ChangeKind::Alone | ChangeKind::NoLongerAlone => change.kind.as_str().to_owned(),
                 what => {
-                    format!("{} (life {}): {}, by {}", change.name, change.life.0, what.word(), change.by)
+                    format!(
+                        "{} (life {}): {}, by {}",
+                        change.name,
+                        change.generation.0,
+                        what.as_str(),
+                        change.reported_by
+                    )
                 }
             };
             // Each kind of change has its own rate limit, so that a death is not suppressed by the changes
             // that preceded it.
-            match change.what {
-                What::Dead | What::Left | What::Displaced => note!("fleet: {text}"),
-                What::Suspected | What::Refuted | What::Raised => note!("fleet: {text}"),
+            match change.kind {
+                ChangeKind::Dead | ChangeKind::Left | ChangeKind::NameTaken => note!("fleet: {text}"),
+                ChangeKind::Suspected | ChangeKind::Refuted | ChangeKind::SelfRefuted => {
+                    note!("fleet: {text}")
+                }
                 _ => note!("fleet: {text}"),
             }
             let mut recent_changes = self.recent_changes.borrow_mut();
@@ -255,7 +263,7 @@
             }
             recent_changes.push((change.at, text));
         }
-        self.peer.generation.set(self.view.borrow().life().0);
+        self.peer.generation.set(self.view.borrow().generation().0);
     }
 
     /// Publishes this node's present state, and passes on to the balancer what it uses of the view.
@@ -269,31 +277,31 @@
         let phase = match () {
             () if self.lifecycle.is_stopping() => Phase::STOPPING,
             () if !self.dispatcher.has_list() || !self.peer.is_ready() => Phase::JOINING,
-            () if self.lifecycle.is_draining() => Phase::SENT_AWAY,
+            () if self.lifecycle.is_draining() => Phase::DRAINING,
             () if self.peer.has_peer() => Phase::UPGRADING,
             () => Phase::SERVING,
         };
         let identity = self.identity.borrow();
-        let (in_hand, taken, backends, list, age) = self.dispatcher.load();
+        let (in_flight, accepted, backends, list_version, age) = self.dispatcher.load();
         let load = Load {
-            in_hand: in_hand as u32,
-            taken: taken.into(),
-            backends: backends as u32,
-            list,
+            in_flight: in_flight as u32,
+            accepted: accepted.into(),
+            backend_count: backends as u32,
+            list_version,
             list_age_ms: age.map_or(u64::MAX, |age| age.as_millis() as u64),
         };
         let mut view = self.view.borrow_mut();
-        view.told(&card(self.address, &identity, phase), load);
-        let share = self.sharer.borrow_mut().look(now, &view, identity.places, identity.place);
+        view.update_self(&node_info(self.address, &identity, phase), load);
+        let share = self.share_tracker.borrow_mut().update(now, &view, identity.slots, identity.slot);
         self.share.set(Some(share));
-        if view.terms.portions {
-            let fallback = Sharer::without(identity.places, identity.place, now);
-            let (node_count, node_index) = (share.nodes, share.me);
-            let fallback = (fallback.nodes, fallback.me);
+        if view.config.use_view_share {
+            let fallback = ShareTracker::fallback(identity.slots, identity.slot, now);
+            let (node_count, node_index) = (share.nodes, share.index);
+            let fallback = (fallback.nodes, fallback.index);
             self.dispatcher.set_node_share(NodeShare {
                 node_count,
                 node_index,
-                valid_until: share.until,
+                valid_until: share.valid_until,
                 fallback,
             });
         }
@@ -306,9 +314,9 @@
         }
         self.seeds_read_at.set(Instant::now());
         let mut view = self.view.borrow_mut();
-        let Some(file) = view.terms.seeds_file.clone() else { return };
+        let Some(file) = view.config.seeds_file.clone() else { return };
         match read_seeds(&file) {
-            Ok(seeds) => view.terms.seeds = seeds,
+            Ok(seeds) => view.config.seeds = seeds,
             Err(why) => note!("fleet: keeping the previous seeds: {why}"),
         }
     }
@@ -316,20 +324,21 @@
     /// The live and the known members of each site, including this node.
     pub fn members_by_site(&self) -> SiteMembers {
         let (view, share) = (self.view.borrow(), self.share.get());
-        let mut of: BTreeMap<String, (u32, u32)> = BTreeMap::new();
-        let (mut oldest_elsewhere, identity) = (None, view.card().site.clone());
-        of.insert(identity.clone(), (1, 1));
+        let mut by_site: BTreeMap<String, (u32, u32)> = BTreeMap::new();
+        let (mut oldest_elsewhere, own_site) = (None, view.info().site.clone());
+        by_site.insert(own_site.clone(), (1, 1));
         for (_, member) in view.members() {
-            let here = member.standing.here();
-            let site = of.entry(member.card.site.clone()).or_default();
-            *site = (site.0 + u32::from(here), site.1 + 1);
-            if here && member.card.site != identity {
-                let life = oldest_elsewhere.get_or_insert(member.life.0);
-                *life = member.life.0.min(*life);
+            let is_present = member.state.is_present();
+            let site = by_site.entry(member.info.site.clone()).or_default();
+            *site = (site.0 + u32::from(is_present), site.1 + 1);
+            if is_present && member.info.site != own_site {
+                let generation = oldest_elsewhere.get_or_insert(member.generation.0);
+                *generation = member.generation.0.min(*generation);
             }
         }
-        let isolated = view.alone() || share.is_some_and(|share| share.why == Why::Unsure);
-        SiteMembers { of, isolated, oldest_elsewhere }
+        let is_isolated =
+            view.is_alone() || share.is_some_and(|share| share.reason == ShareReason::NoMajority);
+        SiteMembers { by_site, is_isolated, oldest_elsewhere }
     }
 
     /// Announces at the end of a planned stop that this node is leaving.
@@ -346,22 +355,22 @@
     pub fn to_json(&self) -> Value {
         let (view, identity, now) = (self.view.borrow(), self.identity.borrow(), self.dispatcher.clock.now());
         let age = |at: Timestamp| now.since(at).0 / 1000;
-        let card = |card: &Card| {
-            json!({"address": card.address, "site": card.site, "build": card.build,
-                "settings": format!("{:016x}", card.digest), "phase": card.phase.to_string(),
-                "place": card.place, "places": card.places})
+        let info = |info: &NodeInfo| {
+            json!({"address": info.address, "site": info.site, "build": info.build,
+                "settings": format!("{:016x}", info.settings_digest), "phase": info.phase.to_string(),
+                "place": info.slot, "places": info.slots})
         };
         let load = |load: &Load| {
-            json!({"in_hand": load.in_hand, "taken": load.taken, "backends": load.backends, "list": load.list,
+            json!({"in_hand": load.in_flight, "taken": load.accepted, "backends": load.backend_count, "list": load.list_version,
                 "list_age_ms": load.list_age_ms})
         };
         let member = |(name, m): (&str, &Member)| {
-            json!({"name": name, "life": m.life.0, "edition": m.edition.0, "standing": m.standing.word(),
-                "since_ms": age(m.since), "by": m.by, "heard_ms": m.heard.map(age), "card": card(&m.card),
-                "load": m.load.as_ref().map(load), "trip_us": m.trip.map(|trip| trip.0), "asked": m.asked,
-                "lost": m.lost})
+            json!({"name": name, "life": m.generation.0, "edition": m.incarnation.0, "standing": m.state.as_str(),
+                "since_ms": age(m.state_since), "by": m.reported_by, "heard_ms": m.last_heard.map(age), "card": info(&m.info),
+                "load": m.load.as_ref().map(load), "trip_us": m.rtt.map(|trip| trip.0), "asked": m.probes_sent,
+                "lost": m.probes_lost})
         };
-        let (counts, portion) = (view.counts(), self.share.get());
+        let (counts, share) = (view.counters(), self.share.get());
         let recent_changes: Vec<Value> = self
             .recent_changes
             .borrow()
@@ -369,15 +378,15 @@
             .map(|(at, text)| json!({"ago_ms": age(*at), "what": text}))
             .collect();
         json!({
-            "fleet": view.terms.fleet, "name": view.name(), "life": view.life().0, "edition": view.edition().0,
-            "card": card(view.card()), "load": load(&view.load()), "here": view.here(), "alone": view.alone(),
-            "displaced": view.displaced(), "digest": format!("{:016x}", view.digest()), "trouble": view.trouble(),
-            "portion": portion.map(|p| json!({"nodes": p.nodes, "me": p.me, "why": p.why.word(),
-                "used": view.terms.portions, "stated": identity.places})),
-            "counts": {"heard": counts.heard, "sent": counts.sent, "bytes_sent": counts.bytes_sent,
-                "strangers": counts.strangers, "other_fleet": counts.other_fleet,
+            "fleet": view.config.fleet, "name": view.name(), "life": view.generation().0, "edition": view.incarnation().0,
+            "card": info(view.info()), "load": load(&view.load()), "here": view.present_count(), "alone": view.is_alone(),
+            "displaced": view.displaced_by(), "digest": format!("{:016x}", view.digest()), "trouble": view.local_health_score(),
+            "portion": share.map(|p| json!({"nodes": p.nodes, "me": p.index, "why": p.reason.as_str(),
+                "used": view.config.use_view_share, "stated": identity.slots})),
+            "counts": {"heard": counts.datagrams_received, "sent": counts.datagrams_sent, "bytes_sent": counts.bytes_sent,
+                "strangers": counts.outside_networks, "other_fleet": counts.other_fleet,
                 "other_version": counts.other_version, "malformed": counts.malformed,
-                "old_life": counts.old_life, "no_room": counts.no_room, "changes": counts.changes,
+                "old_life": counts.old_generation, "no_room": counts.member_limit_reached, "changes": counts.changes,
                 "stalls": counts.stalls},
             "members": view.members().map(member).collect::<Vec<_>>(), "lately": recent_changes,
         })
@@ -392,21 +401,21 @@
             page.push_str(&text);
             page.push('\n');
         };
-        let alone = if view.alone() { "; THIS NODE IS ALONE" } else { "" };
-        line(format!("{} in {}: {} here{alone}", view.name(), view.terms.fleet, view.here()));
-        if let Some(rival) = view.displaced() {
+        let alone = if view.is_alone() { "; THIS NODE IS ALONE" } else { "" };
+        line(format!("{} in {}: {} here{alone}", view.name(), view.config.fleet, view.present_count()));
+        if let Some(rival) = view.displaced_by() {
             line(format!(
                 "ANOTHER PROCESS HAS THIS NAME: {rival}; this one says nothing while that one answers"
             ));
         }
         if let Some(share) = self.share.get() {
-            line(format!("portion: as one of {}, {}", share.nodes, share.why.word()));
+            line(format!("portion: as one of {}, {}", share.nodes, share.reason.as_str()));
         }
         line(format!(
             "digest {:016x}, {} changes, trouble {}",
             view.digest(),
-            view.counts().changes,
-            view.trouble()
+            view.counters().changes,
+            view.local_health_score()
         ));
         line(format!(
             "{:<20} {:<10} {:<10} {:<8} {:<21} {:<11} {:<10} {:>8} {:>6}",
@@ -415,28 +424,28 @@
         for (name, m) in view.members() {
             line(format!(
                 "{name:<20} {:<10} {:<10} {:<8} {:<21} {:<11} {:<10} {:>8} {:>6}",
-                m.standing.word(),
-                seconds(m.since),
-                m.card.site,
-                m.card.address.to_string(),
-                m.card.phase.to_string(),
-                m.by,
-                m.trip.map_or("-".to_owned(), |trip| trip.0.to_string()),
-                m.lost
+                m.state.as_str(),
+                seconds(m.state_since),
+                m.info.site,
+                m.info.address.to_string(),
+                m.info.phase.to_string(),
+                m.reported_by,
+                m.rtt.map_or("-".to_owned(), |trip| trip.0.to_string()),
+                m.probes_lost
             ));
         }
         page
     }
 }
 
-fn card(address: SocketAddr, identity: &NodeIdentity, phase: Phase) -> Card {
-    Card {
+fn node_info(address: SocketAddr, identity: &NodeIdentity, phase: Phase) -> NodeInfo {
+    NodeInfo {
         address,
         site: identity.site.clone(),
         build: build(),
-        digest: identity.digest,
+        settings_digest: identity.settings_digest,
         phase,
-        place: identity.place,
-        places: identity.places,
+        slot: identity.slot,
+        slots: identity.slots,
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -163,7 +163,7 @@
         let listener = accept::bind(at, limits.backlog, false).map_err(|e| format!("admin: {at}: {e}"))?;
         let (dispatcher, lifecycle, limits, peer) =
             (dispatcher.clone(), lifecycle.clone(), limits.clone(), peer.clone());
-        let (fleet, sites, settings_digest) = (fleet.clone(), sites.clone(), reload.digest());
+        let (fleet, sites, settings_digest) = (fleet.clone(), sites.clone(), reload.settings_digest());
         let admin = admin::Admin {
             dispatcher,
             lifecycle,
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -35,7 +35,7 @@
     sites: Option<Rc<Sites>>,
     /// The file before the trial, and the digest of the settings in force.
     file_before_trial: Option<Value>,
-    digest: Rc<Cell<u64>>,
+    settings_digest: Rc<Cell<u64>>,
 }
 
 /// Keys that only a restart can change: the node's identity and the resources of the process.
@@ -71,7 +71,7 @@
         (dispatcher, limits, lifecycle): (Rc<Dispatcher>, Rc<Limits>, Rc<Lifecycle>),
         (fleet, trial, sites): OptionalStages,
     ) -> Reload {
-        let digest = Rc::new(Cell::new(NodeIdentity::of(&file, &dispatcher).digest));
+        let settings_digest = Rc::new(Cell::new(NodeIdentity::of(&file, &dispatcher).settings_digest));
         Reload {
             hangup,
             discovery,
@@ -83,13 +83,13 @@
             trial,
             sites,
             file_before_trial: None,
-            digest,
+            settings_digest,
         }
     }
 
     /// The digest of the settings in force, without those that are specific to each node.
-    pub fn digest(&self) -> Rc<Cell<u64>> {
-        self.digest.clone()
+    pub fn settings_digest(&self) -> Rc<Cell<u64>> {
+        self.settings_digest.clone()
     }
 
     /// Reloads the file on each signal and handles trial requests. A file with any error changes nothing.
@@ -174,7 +174,7 @@
             self.dispatcher.replace_settings(names, settings);
         }
         let identity = NodeIdentity::of(&new.file, &self.dispatcher);
-        self.digest.set(identity.digest);
+        self.settings_digest.set(identity.settings_digest);
         if let (Some(fleet), Some(view)) = (&self.fleet, new.view) {
             fleet.adopt(view, identity);
         }
@@ -191,7 +191,7 @@
         if self.lifecycle.is_stopping() || self.lifecycle.has_successor() {
             return Err(conflict("this process is stopping or has been succeeded"));
         }
-        let digest = |cell: &Cell<u64>| format!("{:016x}", cell.get());
+        let settings_digest = |cell: &Cell<u64>| format!("{:016x}", cell.get());
         match action {
             TrialAction::Lead => Ok("led".to_owned()),
             TrialAction::GetSettings => Ok(self.file["settings"].to_string()),
@@ -203,7 +203,7 @@
                 let new = Config::from_file(file, Self::variable).map_err(unprocessable)?;
                 let names = self.dispatcher.names().merged_with(&new.names, new.settings);
                 names.map_err(unprocessable)?;
-                Ok(format!("{:016x}", NodeIdentity::of(&new.file, &self.dispatcher).digest))
+                Ok(format!("{:016x}", NodeIdentity::of(&new.file, &self.dispatcher).settings_digest))
             }
             TrialAction::Try { from, settings, for_ms } => {
                 let expires_at = Instant::now() + trial.trial_duration(for_ms)?;
@@ -211,7 +211,7 @@
                 if former_digest.as_ref().is_some_and(|former| *former != from) {
                     return Err(conflict("other settings are on trial"));
                 }
-                let current_digest = digest(&self.digest);
+                let current_digest = settings_digest(&self.settings_digest);
                 if former_digest.is_none() && current_digest != from {
                     return Err(conflict(&format!("the settings in force here are {current_digest}")));
                 }
@@ -224,7 +224,7 @@
                 let changed = self.adopt(new).map_err(unprocessable)?;
                 self.file_before_trial.get_or_insert(previous_file);
                 *trial.active.borrow_mut() = Some(ActiveTrial { former_digest: from, expires_at });
-                Ok(format!("{} on trial; {changed}", digest(&self.digest)))
+                Ok(format!("{} on trial; {changed}", settings_digest(&self.settings_digest)))
             }
             TrialAction::Extend { for_ms } => {
                 let expires_at = Instant::now() + trial.trial_duration(for_ms)?;
@@ -232,7 +232,7 @@
                     Some(active) => active.expires_at = expires_at,
                     None => return Err(conflict("nothing is on trial")),
                 }
-                Ok(format!("{} goes on", digest(&self.digest)))
+                Ok(format!("{} goes on", settings_digest(&self.settings_digest)))
             }
             TrialAction::Confirm => {
                 if self.file_before_trial.is_some() {
@@ -240,7 +240,7 @@
                     self.file_before_trial = None;
                     *trial.active.borrow_mut() = None;
                 }
-                Ok(format!("{} holds", digest(&self.digest)))
+                Ok(format!("{} holds", settings_digest(&self.settings_digest)))
             }
             TrialAction::RollBack => self.roll_back(),
         }
@@ -254,7 +254,7 @@
         let Some(former) = self.file_before_trial.take() else { return Ok("nothing is on trial".to_owned()) };
         let new = Config::from_file(former, Self::variable).and_then(|former| self.adopt(former));
         let changed = new.map_err(|why| (StatusCode::INTERNAL_SERVER_ERROR, why))?;
-        Ok(format!("{:016x} again; {changed}", self.digest.get()))
+        Ok(format!("{:016x} again; {changed}", self.settings_digest.get()))
     }
 
     /// Writes the settings to the configuration file; the rest of the file stays as it is.
--- a/crates/node/src/sites.rs
+++ b/crates/node/src/sites.rs
@@ -150,14 +150,14 @@
         let list_age =
             self.dispatcher.load().4.map_or(Micros(u64::MAX), |age| Micros(age.as_micros() as u64));
         let view = self.fleet.as_ref().map(|fleet| fleet.members_by_site());
-        let node_is_isolated = view.as_ref().is_some_and(|view| view.isolated);
+        let node_is_isolated = view.as_ref().is_some_and(|view| view.is_isolated);
         let evidence = |index: usize| {
             let counts = sum(index);
             let other_sites = (0..names.len()).filter(|other| *other != index).map(sum);
             let other_sites =
                 other_sites.fold((0, 0), |all, counts| (all.0 + counts.answered, all.1 + counts.unanswered));
             let live_nodes =
-                view.as_ref().map(|view| view.of.get(&names[index]).copied().unwrap_or_default());
+                view.as_ref().map(|view| view.by_site.get(&names[index]).copied().unwrap_or_default());
             let ready_backends = (known[index] >= 0.5).then(|| (ready[index], known[index].round() as u32));
             Evidence {
                 live_nodes,
@@ -172,7 +172,7 @@
             }
         };
         let site_nodes =
-            view.as_ref().and_then(|view| view.of.get(&names[own_site.0])).map_or(1, |(here, _)| *here);
+            view.as_ref().and_then(|view| view.by_site.get(&names[own_site.0])).map_or(1, |(here, _)| *here);
         let is_young = now.since(self.dispatcher.clock.process_start()) < NEW_PROCESS_AGE;
         let was_running_before =
             |life: u64| life + NEW_PROCESS_AGE.0 < self.dispatcher.clock.process_start().0;
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -3,9 +3,8 @@
 //! `experiment`, `report`) to the clocks (`virtual_clock`, `real`), to policies and judges, to the model.
 #![forbid(unsafe_code)]
 
-mod agenda;
 pub mod compare;
-pub mod draw;
+mod event_queue;
 pub mod experiment;
 pub mod judge;
 pub mod model;
@@ -14,6 +13,7 @@
 pub mod program;
 pub mod real;
 pub mod report;
+pub mod rng;
 pub mod scenario;
 pub mod search;
 pub mod soak;
