--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -66,15 +66,15 @@
     loop {
         let open_count = clients.open.borrow().len();
         let max_open = node.limits.client_sockets() + node.limits.surplus_client_sockets;
-        let succeeded = node.lifecycle.has_successor();
+        let has_successor = node.lifecycle.has_successor();
         if open_count >= max_open {
             close_idle(&clients.open.borrow(), node.limits.idle_after);
         }
         let accepted = tokio::select! {
             // The new process accepts from now on. It has the same listening socket, so it also takes what
             // is in the kernel's queue.
-            () = node.lifecycle.wait_for_successor(!succeeded) => continue,
-            accepted = listener.accept(), if open_count < max_open && !succeeded => accepted,
+            () = node.lifecycle.wait_for_successor(!has_successor) => continue,
+            accepted = listener.accept(), if open_count < max_open && !has_successor => accepted,
             // At the limit, further connections wait in the kernel's queue until one closes. The sleep lets
             // the loop close idle ones, as silent connections must not block accepting for ever.
             () = clients.connection_closed.notified(), if open_count >= max_open => continue,
@@ -124,7 +124,7 @@
     // The node waits only for commands in flight. Answers that are still streaming continue until the
     // process is killed.
     let no_answer_owed = async {
-        node.lifecycle.stopped_for(node.limits.exit_deadline.get()).await;
+        node.lifecycle.stopped_for(node.limits.exit_after_stop.get()).await;
         // A stalled client is waited for no longer than `client_silence`.
         while clients.owes_answer(node.limits.client_silence) {
             sleep(node.limits.idle_after).await;
@@ -176,10 +176,10 @@
         let limits = node.limits.clone();
         builder.max_buf_size(limits.max_head_bytes);
         let request_observer = RequestObserver::new(client.clone(), limits.max_head_bytes);
-        let watched = ObservedStream { stream, observer: request_observer };
+        let observed = ObservedStream { stream, observer: request_observer };
         let service = TowerToHyperService::new(ClientService { node: node.clone(), client: client.clone() });
-        let mut connection = builder.serve_connection(TokioIo::new(watched), service);
-        let mut closing = false;
+        let mut connection = builder.serve_connection(TokioIo::new(observed), service);
+        let mut is_closing = false;
         let is_graceful = loop {
             let idle_deadline = client.idle_deadline(&limits).max(Instant::now() + limits.idle_after);
             tokio::select! {
@@ -189,9 +189,9 @@
                 // When the client closes, the connection ends: the commands in flight are dropped, and the
                 // balancer is informed.
                 _ = poll_fn(|cx| connection.poll_without_shutdown(cx)) => break true,
-                () = ready(()), if closing => {
+                () = ready(()), if is_closing => {
                     Pin::new(&mut connection).graceful_shutdown();
-                    closing = false;
+                    is_closing = false;
                 }
                 () = client.recheck.notified() => {
                     // The client's close was detected behind data that is not being read at present.
@@ -202,7 +202,7 @@
                         // Yield once, so that data already in the kernel's buffer is read before the
                         // connection closes.
                         yield_now().await;
-                        closing = true;
+                        is_closing = true;
                     }
                 }
                 // The loop then checks for the client's close on each turn.
--- a/crates/node/src/bodies.rs
+++ b/crates/node/src/bodies.rs
@@ -108,6 +108,7 @@
 }
 
 impl BodyMemory {
+    /// A budget of this many bytes, shared by all clones.
     pub fn new(max_bytes: usize) -> BodyMemory {
         BodyMemory { max_bytes, held_bytes: Arc::default(), peer_held: Arc::default() }
     }
@@ -116,10 +117,12 @@
         self.max_bytes.saturating_sub(self.held_bytes.load(Relaxed) + self.peer_held.load(Relaxed))
     }
 
+    /// The bytes that this process holds or has reserved.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes.load(Relaxed)
     }
 
+    /// Sets the bytes that the other process of this node holds; they reduce this process's budget.
     pub fn set_peer_bytes(&self, bytes: usize) {
         self.peer_held.store(bytes, Relaxed);
     }
@@ -246,6 +249,7 @@
 }
 
 impl BodyStream {
+    /// Sets the callback that is called once when the body has ended.
     pub fn on_end(&mut self, callback: impl FnOnce(StreamEnd) + 'static) {
         self.on_end = Some(Box::new(callback));
     }
--- a/crates/node/src/client_connections.rs
+++ b/crates/node/src/client_connections.rs
@@ -44,6 +44,7 @@
     pub is_evicted: Cell<bool>,
 }
 
+/// All connections from clients.
 #[derive(Default)]
 pub struct ClientConnections {
     pub open: RefCell<Slab<Rc<ClientConnection>>>,
@@ -69,6 +70,7 @@
 }
 
 impl ClientConnection {
+    /// A connection that was just accepted.
     pub fn new(clients: Rc<ClientConnections>) -> ClientConnection {
         let (recheck, conflicting_head, close_requested) = (Notify::new(), Cell::default(), Cell::default());
         let (
@@ -124,6 +126,7 @@
         self.recheck.notify_one();
     }
 
+    /// Closes the connection even in the middle of a head.
     pub fn evict(&self) {
         self.is_evicted.set(true);
         self.request_close();
--- a/crates/node/src/client_service.rs
+++ b/crates/node/src/client_service.rs
@@ -84,7 +84,7 @@
             path if path.starts_with("/api/") => {}
             _ => return text_reply(StatusCode::NOT_FOUND, "no such path"),
         }
-        let mut command = match self.command(request.method(), request.headers()) {
+        let mut command = match self.parse_command(request.method(), request.headers()) {
             Ok(command) => command,
             Err(why) => return text_reply(StatusCode::BAD_REQUEST, &why),
         };
@@ -118,12 +118,14 @@
             None => None,
             Some(sites) => {
                 let names = self.dispatcher.names();
-                let known =
+                let profile_goal =
                     names.definition(command.profile).map(|(name, profile)| (name, profile.goal_time));
-                match known.map_or(Ok(None), |(name, goal)| sites.admit(name, goal, client.accepted_at)) {
+                match profile_goal
+                    .map_or(Ok(None), |(name, goal)| sites.admit(name, goal, client.accepted_at))
+                {
                     Ok(ticket) => ticket,
                     // No launch was made, so the command certainly has not run.
-                    Err(span) => return rejection(span),
+                    Err(retry_after) => return rejection(retry_after),
                 }
             }
         };
@@ -151,7 +153,7 @@
     }
 
     /// Parses the few header fields that the balancer's decisions need.
-    fn command(&self, method: &Method, headers: &HeaderMap) -> Result<Command, String> {
+    fn parse_command(&self, method: &Method, headers: &HeaderMap) -> Result<Command, String> {
         let header = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
         if header(CORRELATION_ID_HEADER).is_none_or(str::is_empty)
             || headers.get_all(CORRELATION_ID_HEADER).iter().count() != 1
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -11,8 +11,8 @@
 use yarrowfront::times::Micros;
 use yarrowfront_view::config::ViewConfig;
 
+/// The complete configuration of a process.
 pub struct Config {
-    /// The complete configuration of a process.
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -121,6 +121,7 @@
 }
 
 impl Config {
+    /// Reads the file that `ROUTER_CONFIG` names, and the other variables.
     pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let path = variable("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
         let bytes = std::fs::read(&path).map_err(|e| format!("ROUTER_CONFIG: {path}: {e}"))?;
--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -116,6 +116,7 @@
     latencies: Histogram<u32>,
 }
 
+/// The statistics of this node.
 pub struct Counts {
     max_seconds: usize,
     inner: RefCell<Inner>,
@@ -226,6 +227,7 @@
         });
     }
 
+    /// Counts a launch that has ended.
     pub fn count_outcome(&self, now: Timestamp, outcome: Outcome) {
         self.with_second(now, |inner| {
             inner.outcomes[outcome_index(outcome)] += 1;
@@ -235,6 +237,7 @@
         });
     }
 
+    /// Counts a connection that was accepted.
     pub fn count_connection(&self, now: Timestamp) {
         self.with_second(now, |inner| {
             inner.connections += 1;
@@ -242,6 +245,7 @@
         });
     }
 
+    /// Counts a probe.
     pub fn count_probe(&self, now: Timestamp) {
         self.with_second(now, |inner| {
             inner.probes += 1;
@@ -249,6 +253,7 @@
         });
     }
 
+    /// Counts an update of the list of backends.
     pub fn count_list_update(&self, now: Timestamp) {
         self.with_second(now, |inner| {
             inner.lists += 1;
@@ -311,6 +316,7 @@
 }
 
 impl CommandRecorder {
+    /// Counts an accepted command and starts recording it.
     pub fn start(counts: Rc<Counts>, now: Timestamp, name: &str, profile: &Profile) -> CommandRecorder {
         counts.count_accepted(now, name);
         let (payoff, goal_time, is_once_only) =
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -31,11 +31,13 @@
 }
 
 impl Clock {
+    /// Starts the clock at the present Unix time.
     pub fn start() -> Clock {
         let unix_start_us = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { unix_start_us: unix_start_us.as_micros() as u64, start: Instant::now() }
     }
 
+    /// The present time.
     pub fn now(&self) -> Timestamp {
         Timestamp(self.unix_start_us + self.start.elapsed().as_micros() as u64)
     }
@@ -45,6 +47,7 @@
         Timestamp(self.unix_start_us)
     }
 
+    /// Converts a time to the runtime's clock; a time before the start becomes the start.
     pub fn instant(&self, at: Timestamp) -> Instant {
         self.start + Duration::from_micros(at.since(Timestamp(self.unix_start_us)).0)
     }
@@ -229,6 +232,7 @@
         Some((CommandHandle(index as u32), placement_due))
     }
 
+    /// Asks the balancer what to do with a command now.
     pub fn decide(&self, handle: CommandHandle) -> Decision {
         self.with_balancer(|inner, now| {
             inner.balancer.decide(now, handle, &mut inner.commands_in_flight[handle.0 as usize].command)
@@ -332,6 +336,7 @@
         });
     }
 
+    /// The longest `Retry-After` that may be sent; zero if none may be sent.
     pub fn max_retry_after(&self) -> Micros {
         self.inner.borrow().max_retry_after
     }
@@ -356,6 +361,7 @@
         (ready, cold)
     }
 
+    /// Whether a backend that reports itself full may nevertheless have run the command.
     pub fn full_may_have_run(&self) -> bool {
         self.inner.borrow().full_may_have_run
     }
@@ -418,6 +424,7 @@
         inner.balancer.launch_valid_until(&inner.commands_in_flight[handle.0 as usize].command, number)
     }
 
+    /// How long until the balancer must be asked about this command again; `None` if it need not be.
     pub fn time_until_check(&self, handle: CommandHandle) -> Option<Duration> {
         let inner = self.inner.borrow();
         self.timer_delay(&inner, Some(&inner.commands_in_flight[handle.0 as usize].command))
@@ -448,6 +455,7 @@
         });
     }
 
+    /// Passes an update of the list on to the balancer and adopts the backends' addresses.
     pub fn apply_list(&self, kind: ListUpdateKind, entries: &[AddressedEntry]) {
         if let Some(counts) = &self.counts {
             counts.count_list_update(self.clock.now());
@@ -554,6 +562,7 @@
         json!({"index": version, "snapshot": true, "endpoints": stored.values().collect::<Vec<_>>()})
     }
 
+    /// The client ids of all commands in flight, for the other process of this node.
     pub fn client_ids_in_flight(&self) -> Vec<String> {
         let inner = self.inner.borrow();
         inner.command_ids.iter().filter_map(|id| id.to_str().ok()).map(str::to_owned).collect()
@@ -565,6 +574,7 @@
         *self.peer_command_ids.borrow_mut() = client_ids.into_iter().collect();
     }
 
+    /// The present address of a backend; `None` if it is gone.
     pub fn address(&self, backend: BackendId) -> Option<SocketAddr> {
         self.inner.borrow().addresses.get(backend.0 as usize).copied().flatten()
     }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -60,6 +60,7 @@
 }
 
 impl NodeIdentity {
+    /// Reads this node's identity from its configuration file.
     pub fn of(file: &Value, dispatcher: &Dispatcher) -> NodeIdentity {
         let number = |path| lookup(file, path).ok().and_then(Value::as_f64).unwrap_or(0.0) as u32;
         let zones = &dispatcher.names().zones;
@@ -79,6 +80,7 @@
     }
 }
 
+/// The fleet view together with its socket.
 pub struct Fleet {
     view: RefCell<View>,
     share_tracker: RefCell<ShareTracker>,
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -182,6 +182,7 @@
     New,
 }
 
+/// This process's side of the link to the other process of the node.
 pub struct Peer {
     dispatcher: Rc<Dispatcher>,
     lifecycle: Rc<Lifecycle>,
@@ -202,6 +203,7 @@
 }
 
 impl Peer {
+    /// A process that has no link yet.
     pub fn new(
         (dispatcher, lifecycle, limits, body_memory): (Rc<Dispatcher>, Rc<Lifecycle>, Rc<Limits>, BodyMemory),
         path: Option<PathBuf>,
@@ -226,6 +228,7 @@
         })
     }
 
+    /// Whether this process accepts connections, or is about to.
     pub fn is_ready(&self) -> bool {
         self.is_ready.get()
     }
--- a/crates/node/src/launch.rs
+++ b/crates/node/src/launch.rs
@@ -30,6 +30,7 @@
 const UNPROCESSED_HEADER: &str = "x-unprocessed";
 const BACKEND_LOAD_HEADER: &str = "x-backend-load";
 
+/// One launch of a command, addressed to a backend.
 pub struct Launch {
     pub outbound: Rc<OutboundRequest>,
     pub handle: CommandHandle,
@@ -44,6 +45,7 @@
     pub control: Rc<LaunchControl>,
 }
 
+/// A `tower` service that carries out launches.
 #[derive(Clone)]
 pub struct Launcher {
     pub pool: Rc<Pool>,
@@ -92,7 +94,7 @@
                 .instant(self.dispatcher.launch_valid_until(launch.handle, number).min(launch.deadline));
             let lease = match timeout_at(write_deadline, self.pool.lease(backend, address)).await {
                 Ok(Ok(lease)) => lease,
-                Ok(Err(LeaseError::Unreachable)) => {
+                Ok(Err(LeaseError::ConnectFailed)) => {
                     result.outcome = Outcome::ConnectFailed;
                     return_body(&launch, request);
                     return result;
@@ -147,11 +149,11 @@
                     continue;
                 }
                 Some(Exchange::Answered(response)) => self.read_answer(&mut result, response),
-                Some(Exchange::Unreachable(request)) => {
+                Some(Exchange::ConnectFailed(request)) => {
                     return_body(&launch, request);
                     result.outcome = Outcome::ConnectFailed;
                 }
-                Some(Exchange::Broken) => {
+                Some(Exchange::ConnectionLost) => {
                     result.outcome = match stream_end.get() {
                         // The last byte was never written, so the backend cannot have run the command.
                         Some(StreamEnd::Broken) => Outcome::NotSent,
--- a/crates/node/src/launch_types.rs
+++ b/crates/node/src/launch_types.rs
@@ -36,6 +36,7 @@
         matches!(&self.body, RequestBody::Streaming(flow) if flow.borrow().is_none())
     }
 
+    /// Whether the body is streaming, so that the command can be sent only once.
     pub fn is_streaming(&self) -> bool {
         matches!(self.body, RequestBody::Streaming(_))
     }
@@ -52,6 +53,7 @@
 }
 
 impl LaunchControl {
+    /// Cancels the launch.
     pub fn cancel(&self) {
         self.cancelled.send_replace(true);
     }
@@ -66,10 +68,12 @@
         }
     }
 
+    /// Whether the launch was cancelled.
     pub fn is_cancelled(&self) -> bool {
         *self.cancelled.borrow()
     }
 
+    /// Completes when the launch is cancelled.
     pub async fn wait_cancelled(&self) {
         // This cannot fail, as the sender lives as long as `self`.
         let _ = self.cancelled.subscribe().wait_for(|cancelled| *cancelled).await;
@@ -83,6 +87,7 @@
         }
     }
 
+    /// Whether any of the launch may have been written.
     pub fn may_be_written(&self) -> bool {
         self.may_be_written.get()
     }
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -6,6 +6,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, Instant};
 
+/// The state of the node between its start and its exit.
 pub struct Lifecycle {
     /// When the stop signal came.
     stopped_at: watch::Sender<Option<Instant>>,
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -16,6 +16,7 @@
     pub other_backends: Cell<usize>,
 }
 
+/// The limits of one process.
 pub struct Limits {
     /// The maximum size of a request's or an answer's head.
     pub max_head_bytes: usize,
@@ -59,7 +60,7 @@
     pub ready_timeout: Duration,
     /// How long a connection rests after an answer before the next launch uses it, and how long this holds
     /// after a backend was seen to answer twice. A second answer comes some milliseconds after the first.
-    /// Resting at all times, and not only then, cost a tenth of the result in short test runs.
+    /// Resting at all times, and not only then, cost a tenth on short simulated days.
     pub rest_after_answer: Duration,
     pub rest_for: Duration,
     /// How long an idle connection to a backend is kept.
@@ -79,8 +80,8 @@
     pub keep_idle_after_stop: Duration,
     /// When the commands in flight are answered after the stop signal, and when the node exits even if a
     /// client still owes the rest of a command.
-    pub answer_deadline: Cell<Duration>,
-    pub exit_deadline: Cell<Duration>,
+    pub answer_after_stop: Cell<Duration>,
+    pub exit_after_stop: Cell<Duration>,
     /// How long the node waits for the last connections in the kernel's queue.
     pub queue_drain_timeout: Duration,
     /// A connection without a command for this long is idle. Before that, its first command may be on its
@@ -114,9 +115,9 @@
 const OPERATOR_DESCRIPTORS: usize = 24;
 const _: () = assert!(OWN_DESCRIPTORS + OPERATOR_DESCRIPTORS <= RESERVED_DESCRIPTORS);
 
-/// The process is killed 700 ms after the longest time limit at the earliest, or 700 ms after this time if
-/// the limit is longer.
-const KILL_GRACE: Duration = Duration::from_secs(3);
+/// The process is killed 700 ms after the longest time limit at the earliest. Of that limit at most this
+/// much counts.
+const MAX_TIME_LIMIT_BEFORE_KILL: Duration = Duration::from_secs(3);
 
 /// The minimum resources: sockets for eight commands at a time, and memory for their windows.
 const MIN_SOCKETS: usize = RESERVED_DESCRIPTORS + 16;
@@ -128,6 +129,8 @@
 const MAX_BODY_BYTES: usize = 32 << 20;
 
 impl Limits {
+    /// Computes the limits from the resources and timeouts in the configuration. The idle timeout is that
+    /// of the backends.
     pub fn compute(
         sockets: usize,
         memory_mb: usize,
@@ -203,8 +206,12 @@
             heartbeat_timeout: Duration::from_millis(3000),
             accept_after_stop: Duration::from_millis(500),
             keep_idle_after_stop: Duration::from_millis(600),
-            answer_deadline: Cell::new(KILL_GRACE.min(longest_time_limit) + Duration::from_millis(550)),
-            exit_deadline: Cell::new(KILL_GRACE.min(longest_time_limit) + Duration::from_millis(650)),
+            answer_after_stop: Cell::new(
+                MAX_TIME_LIMIT_BEFORE_KILL.min(longest_time_limit) + Duration::from_millis(550),
+            ),
+            exit_after_stop: Cell::new(
+                MAX_TIME_LIMIT_BEFORE_KILL.min(longest_time_limit) + Duration::from_millis(650),
+            ),
             queue_drain_timeout: Duration::from_millis(20),
             idle_after: Duration::from_millis(100),
             // A client that sends nothing usable gets an error or is disconnected within three seconds of
@@ -228,14 +235,17 @@
         budget.saturating_sub(other.get()).max(budget / 4)
     }
 
+    /// The maximum number of client connections, and of commands in flight, at present.
     pub fn client_sockets(&self) -> usize {
         Limits::remaining(self.client_sockets, &self.sockets.other_clients)
     }
 
+    /// The maximum number of connections to backends at present.
     pub fn backend_sockets(&self) -> usize {
         Limits::remaining(self.backend_sockets, &self.sockets.other_backends)
     }
 
+    /// The maximum number of client connections that stay open between commands at present.
     pub fn kept_client_sockets(&self) -> usize {
         Limits::remaining(self.kept_client_sockets, &self.sockets.other_clients)
     }
@@ -245,7 +255,7 @@
         self.connect_timeout.set(other.connect_timeout.get());
         self.backend_idle_timeout.set(other.backend_idle_timeout.get());
         // A command in flight may still have the longer time limit.
-        self.answer_deadline.set(self.answer_deadline.get().max(other.answer_deadline.get()));
-        self.exit_deadline.set(self.exit_deadline.get().max(other.exit_deadline.get()));
+        self.answer_after_stop.set(self.answer_after_stop.get().max(other.answer_after_stop.get()));
+        self.exit_after_stop.set(self.exit_after_stop.get().max(other.exit_after_stop.get()));
     }
 }
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -11,6 +11,7 @@
 use yarrowfront::ids::{BackendTypeId, GroupId, ZoneId};
 use yarrowfront::times::Timestamp;
 
+/// Applies discovery's messages to the dispatcher and keeps the list's version.
 pub struct ListUpdater {
     dispatcher: Rc<Dispatcher>,
     /// The list version that this node has.
@@ -37,6 +38,7 @@
         ListUpdater { dispatcher, version: Cell::new(0) }
     }
 
+    /// The list version that this node has; discovery is asked for changes since then.
     pub fn version(&self) -> u64 {
         self.version.get()
     }
--- a/crates/node/src/list_age.rs
+++ b/crates/node/src/list_age.rs
@@ -23,14 +23,17 @@
 }
 
 impl ListAge {
+    /// Discovery has a new address.
     pub fn discovery_moved(&mut self, now: Timestamp) {
         self.binds_after_move.get_or_insert(now + BINDS_AFTER_MOVE);
     }
 
+    /// A watch that had been answered has ended.
     pub fn watch_ended(&mut self, now: Timestamp) {
         self.record_loss(now + BINDS_AFTER_WATCH_END);
     }
 
+    /// A watch has fallen silent after its last message at this time.
     pub fn watch_silent(&mut self, last_message: Timestamp) {
         self.record_loss(last_message + BINDS_AFTER_SILENCE);
     }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -28,6 +28,7 @@
 }
 
 impl RateLimiter {
+    /// A limiter that has suppressed nothing yet.
     pub const fn new() -> RateLimiter {
         RateLimiter { second_started_at: Cell::new(None), written: Cell::new(0), suppressed: Cell::new(0) }
     }
@@ -69,6 +70,7 @@
     }
 }
 
+/// Writes a line without any check, truncated to the maximum length.
 pub fn write(text: Arguments<'_>) {
     let mut line = text.to_string().into_bytes();
     line.truncate(MAX_LINE_BYTES);
--- a/crates/node/src/message_reader.rs
+++ b/crates/node/src/message_reader.rs
@@ -17,6 +17,7 @@
 }
 
 impl MessageReader {
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
--- a/crates/node/src/names.rs
+++ b/crates/node/src/names.rs
@@ -5,6 +5,7 @@
 use yarrowfront::ids::ProfileId;
 use yarrowfront::settings::{Profile, Settings};
 
+/// The names of the present settings with their ids.
 pub struct Names {
     /// All zones and kinds since the start, indexed by id.
     pub zones: Vec<String>,
@@ -29,6 +30,7 @@
 }
 
 impl Names {
+    /// The names of the first settings, with ids in the order of the file.
     pub fn new(
         zones: Vec<String>,
         backend_types: Vec<String>,
@@ -68,6 +70,7 @@
         self.all_profiles.get(usize::from(id.0)).map(|(name, profile)| (name.as_str(), profile))
     }
 
+    /// The profile that new commands with this name get.
     pub fn find_profile(&self, name: &str) -> Option<(ProfileId, &Profile)> {
         let (_, id) = self.profiles.iter().find(|(n, _)| n == name)?;
         Some((*id, &self.all_profiles[usize::from(id.0)].1))
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -8,6 +8,7 @@
 use crate::sites::Sites;
 use std::rc::Rc;
 
+/// The shared parts of a running node.
 pub struct Node {
     pub dispatcher: Rc<Dispatcher>,
     pub launcher: Launcher,
--- a/crates/node/src/observed_stream.rs
+++ b/crates/node/src/observed_stream.rs
@@ -23,6 +23,7 @@
     fn on_flush(&self, _stream: &Transport) {}
 }
 
+/// A stream together with its observer.
 pub struct ObservedStream<W> {
     pub stream: Transport,
     pub observer: W,
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -46,13 +46,13 @@
     is_new: bool,
     address: SocketAddr,
     /// No request is outstanding on it.
-    idle: Rc<Cell<bool>>,
+    is_idle: Rc<Cell<bool>>,
     _task: AbortOnDrop,
 }
 
 /// Detects data that a backend sends on a connection without an outstanding request.
 struct UnsolicitedDataObserver {
-    idle: Rc<Cell<bool>>,
+    is_idle: Rc<Cell<bool>>,
     unsolicited_at: Rc<Cell<Option<Instant>>>,
 }
 
@@ -65,7 +65,7 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(stream.poll_read(cx, buf))?;
-        if self.idle.get() && buf.filled().len() > before {
+        if self.is_idle.get() && buf.filled().len() > before {
             self.unsolicited_at.set(Some(Instant::now()));
             note!("pool: a backend sent data without a request; connections now rest after each answer");
         }
@@ -87,11 +87,12 @@
     idle_since: Instant,
 }
 
+/// Why no connection could be leased.
 pub enum LeaseError {
     /// The socket budget is used up and no idle connection can be closed.
     NoSocket,
     /// The connection was refused, reset or not established in time.
-    Unreachable,
+    ConnectFailed,
 }
 
 /// The result of a request on a leased connection.
@@ -102,11 +103,12 @@
     /// another connection.
     Stale(Request<OutgoingBody>),
     /// The same on a connection that was newly opened.
-    Unreachable(Request<OutgoingBody>),
+    ConnectFailed(Request<OutgoingBody>),
     /// The request may have been written completely, and no valid answer came.
-    Broken,
+    ConnectionLost,
 }
 
+/// All connections to backends that are idle, and the means to open new ones.
 pub struct Pool {
     limits: Rc<Limits>,
     body_memory: BodyMemory,
@@ -145,7 +147,7 @@
             let mut idle = connections.remove(usable_count);
             if self.is_usable(&idle, Some(address)) {
                 idle.lease.is_new = false;
-                idle.lease.idle.set(false);
+                idle.lease.is_idle.set(false);
                 return Some(idle.lease);
             }
         }
@@ -164,24 +166,26 @@
         if open_sockets.get() >= self.limits.backend_sockets() && !self.close_oldest_idle() {
             return Err(LeaseError::NoSocket);
         }
-        let (socket_guard, idle) = (SocketGuard::new(open_sockets), Rc::<Cell<bool>>::default());
+        let (socket_guard, is_idle) = (SocketGuard::new(open_sockets), Rc::<Cell<bool>>::default());
         let stream = self.connect(address).await?;
         let mut builder = http1::Builder::new();
         builder.max_buf_size(self.limits.max_head_bytes);
-        let observer =
-            UnsolicitedDataObserver { idle: idle.clone(), unsolicited_at: self.unsolicited_at.clone() };
-        let handshake =
-            builder.handshake::<_, OutgoingBody>(TokioIo::new(ObservedStream { stream, observer: observer }));
-        let (sender, connection) = handshake.await.map_err(|_| LeaseError::Unreachable)?;
+        let unsolicited_data_observer =
+            UnsolicitedDataObserver { is_idle: is_idle.clone(), unsolicited_at: self.unsolicited_at.clone() };
+        let handshake = builder.handshake::<_, OutgoingBody>(TokioIo::new(ObservedStream {
+            stream,
+            observer: unsolicited_data_observer,
+        }));
+        let (sender, connection) = handshake.await.map_err(|_| LeaseError::ConnectFailed)?;
         let task = tokio::task::spawn_local(async move {
             // An error here is reported through the sender.
             let _ = connection.await;
             drop(socket_guard);
         });
-        Ok(Lease { sender, is_new: true, address, idle, _task: AbortOnDrop(task.abort_handle()) })
+        Ok(Lease { sender, is_new: true, address, is_idle, _task: AbortOnDrop(task.abort_handle()) })
     }
 
-    /// Connects within the dial timeout. If this machine lacks a port or a file descriptor, it retries until
+    /// Connects within the connect timeout. If this machine lacks a port or a file descriptor, it retries until
     /// the timeout.
     async fn connect(&self, address: SocketAddr) -> Result<Transport, LeaseError> {
         let is_waiting_for_socket = Cell::new(false);
@@ -195,12 +199,12 @@
                         sleep(self.limits.accept_retry_pause).await;
                         is_waiting_for_socket.set(false);
                     }
-                    Err(_) => return Err(LeaseError::Unreachable),
+                    Err(_) => return Err(LeaseError::ConnectFailed),
                 }
             }
         };
         let timeout_error =
-            |_| if is_waiting_for_socket.get() { LeaseError::NoSocket } else { LeaseError::Unreachable };
+            |_| if is_waiting_for_socket.get() { LeaseError::NoSocket } else { LeaseError::ConnectFailed };
         timeout(self.limits.connect_timeout.get(), open_connection).await.map_err(timeout_error)?
     }
 
@@ -217,8 +221,8 @@
             // Only a request that hyper hands back was certainly not written.
             Err(mut error) => {
                 return match error.take_message() {
-                    None => Exchange::Broken,
-                    Some(request) if lease.is_new => Exchange::Unreachable(request),
+                    None => Exchange::ConnectionLost,
+                    Some(request) if lease.is_new => Exchange::ConnectFailed(request),
                     Some(request) => Exchange::Stale(request),
                 }
             }
@@ -229,7 +233,7 @@
             Err(error) => {
                 // The lease is dropped here, which closes the connection: it is in an unknown state.
                 note!("pool: an answer could not be read: {error:?}");
-                return Exchange::Broken;
+                return Exchange::ConnectionLost;
             }
         };
         let read_body = match read_body {
@@ -254,7 +258,7 @@
     /// Returns a connection to the pool.
     pub fn give_back(&self, backend: BackendId, lease: Lease) {
         if !lease.sender.is_closed() {
-            lease.idle.set(true);
+            lease.is_idle.set(true);
             let idle = IdleConnection { lease, idle_since: Instant::now() };
             self.idle.borrow_mut().entry(backend).or_default().push(idle);
         }
@@ -279,7 +283,7 @@
         let oldest = idle
             .iter_mut()
             .filter(|(_, connections)| !connections.is_empty())
-            .min_by_key(|(_, t)| t[0].idle_since);
+            .min_by_key(|(_, connections)| connections[0].idle_since);
         oldest.map(|(_, connections)| connections.remove(0)).is_some()
     }
 }
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -40,6 +40,7 @@
     values
 }
 
+/// Sends probes to backends.
 #[derive(Clone)]
 pub struct Prober {
     pub dispatcher: Rc<Dispatcher>,
@@ -48,6 +49,7 @@
 }
 
 impl Prober {
+    /// Probes a backend and reports the result to the dispatcher.
     pub async fn probe(self, backend: BackendId) {
         let sent = self.dispatcher.clock.now();
         let load_values = match self.dispatcher.address(backend) {
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -22,6 +22,7 @@
 /// The optional stages, each present if its file is configured.
 pub type OptionalStages = (Option<Rc<Fleet>>, Option<Rc<Trial>>, Option<Rc<Sites>>);
 
+/// The configuration in force, and what has to follow its changes.
 pub struct Reload {
     hangup: mpsc::UnboundedReceiver<()>,
     discovery: watch::Sender<SocketAddr>,
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -7,6 +7,7 @@
 use hyper::{Response, StatusCode};
 use yarrowfront::times::Micros;
 
+/// An answer to a client or an operator.
 pub type Reply = Response<OutgoingBody>;
 
 /// Headers that apply to one connection only and are not forwarded.
--- a/crates/node/src/request_framing.rs
+++ b/crates/node/src/request_framing.rs
@@ -54,6 +54,7 @@
 }
 
 impl FramingParser {
+    /// A parser at the start of a connection.
     pub fn new() -> FramingParser {
         let line = Vec::with_capacity(MAX_LINE_BYTES);
         FramingParser {
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -58,8 +58,10 @@
     fn drop(&mut self) {
         self.record_end(CommandEnd::ClientGone);
         // A launch with an incomplete streaming body cannot complete any more.
-        let coming = self.dispatcher.is_body_streaming(self.handle);
-        self.controls.iter().for_each(|controls| if coming { controls.cancel() } else { controls.detach() });
+        let body_is_incomplete = self.dispatcher.is_body_streaming(self.handle);
+        self.controls
+            .iter()
+            .for_each(|control| if body_is_incomplete { control.cancel() } else { control.detach() });
         if self.dispatcher.record_client_done(self.handle) {
             note!("command: the client disconnected before its answer");
         }
@@ -72,12 +74,13 @@
     }
 }
 
+/// Serves a command until it has its answer.
 pub async fn serve(
     node: &Node,
     command: Command,
     client_id: HeaderValue,
     outbound: Rc<OutboundRequest>,
-    (guard, ticket): (CommandGuard, Option<AdmissionTicket>),
+    (command_guard, ticket): (CommandGuard, Option<AdmissionTicket>),
 ) -> Reply {
     let dispatcher = &node.dispatcher;
     let deadline = command.deadline;
@@ -94,7 +97,7 @@
         controls,
         recorder,
         ticket,
-        _command_guard: guard,
+        _command_guard: command_guard,
     };
     let (body_complete, mut body_completed) = watch::channel(false);
     let body_complete = Rc::new(body_complete);
@@ -140,9 +143,9 @@
                 });
             }
             Decision::Wait => {}
-            Decision::Reject(span) => {
+            Decision::Reject(retry_after) => {
                 active.record_end(CommandEnd::Rejected);
-                return rejection(span);
+                return rejection(retry_after);
             }
             Decision::Fail => {
                 active.record_end(CommandEnd::Failed);
@@ -181,7 +184,7 @@
             }
             // Even an answer that a backend sends now would not reach the client before the process is
             // killed.
-            () = node.lifecycle.stopped_for(node.limits.answer_deadline.get()), if !body_is_streaming => dispatcher.reject_or_fail(handle),
+            () = node.lifecycle.stopped_for(node.limits.answer_after_stop.get()), if !body_is_streaming => dispatcher.reject_or_fail(handle),
             () = placement_due.notified(), if !body_is_streaming => dispatcher.decide(handle),
             () = sleep(check_delay.unwrap_or_default()), if check_delay.is_some() && !body_is_streaming => dispatcher.decide(handle),
         };
--- a/crates/node/src/site_evidence.rs
+++ b/crates/node/src/site_evidence.rs
@@ -14,6 +14,7 @@
     pub full: u32,
 }
 
+/// The evidence of all sites since the last query.
 #[derive(Default)]
 pub struct SiteEvidence {
     /// The site of each backend, indexed by `BackendId`.
@@ -23,6 +24,7 @@
 }
 
 impl SiteEvidence {
+    /// Records the site of a backend.
     pub fn set_site(&self, backend: BackendId, site: u16) {
         let sites = &mut *self.site_of.borrow_mut();
         let index = backend.0 as usize;
@@ -52,6 +54,7 @@
         });
     }
 
+    /// Counts a probe, which was answered if `found`.
     pub fn count_probe(&self, backend: BackendId, found: bool) {
         self.count(backend, |counts| match found {
             true => counts.answered += 1,
--- a/crates/node/src/sites.rs
+++ b/crates/node/src/sites.rs
@@ -30,6 +30,7 @@
 /// as much was running before.
 const NEW_PROCESS_AGE: Micros = Micros::from_millis(30_000);
 
+/// The site failover stage of a node.
 pub struct Sites {
     /// Admits commands by site, and keeps the state of each site.
     admission: RefCell<SiteAdmission>,
@@ -97,6 +98,7 @@
         self.admission.borrow_mut().replace_plan(plan)
     }
 
+    /// Evaluates the sites in regular intervals.
     pub async fn run(self: Rc<Sites>) {
         loop {
             self.evaluate();
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -11,6 +11,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
+/// A TCP connection that avoids tokio's assumptions about short reads and writes.
 pub struct Transport(TcpStream);
 
 /// Whether to retry the call: it was interrupted, or the socket was not ready after all.
@@ -42,10 +43,12 @@
         Transport(stream)
     }
 
+    /// Opens a connection.
     pub async fn connect(address: SocketAddr) -> io::Result<Transport> {
         Ok(Transport::new(TcpStream::connect(address).await?))
     }
 
+    /// The underlying stream.
     pub fn tcp(&self) -> &TcpStream {
         &self.0
     }
--- a/crates/node/src/trial.rs
+++ b/crates/node/src/trial.rs
@@ -111,6 +111,7 @@
 
 /// The new state, or the reason why the request failed.
 pub type TrialReply = Result<String, (StatusCode, String)>;
+/// An action with the channel for its reply.
 pub type QueuedAction = (TrialAction, oneshot::Sender<TrialReply>);
 
 /// An active trial: the digest of the settings before it, and when it expires.
@@ -120,6 +121,7 @@
     pub expires_at: Instant,
 }
 
+/// This node's part in rollouts: the leader, and the settings on trial.
 pub struct Trial {
     pub config: TrialConfig,
     leader: RefCell<Leader>,
@@ -148,6 +150,7 @@
         Ok((Trial { config, leader, active, expired, queue }, actions))
     }
 
+    /// The leader of the present term.
     pub fn leader(&self) -> Leader {
         self.leader.borrow().clone()
     }
