--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -65,7 +65,7 @@
     let mut failures = AcceptFailures::default();
     loop {
         let open_count = clients.open.borrow().len();
-        let max_open = node.limits.client_sockets() + node.limits.surplus_client_sockets;
+        let max_open = node.limits.max_client_sockets() + node.limits.surplus_client_sockets;
         let has_successor = node.lifecycle.has_successor();
         if open_count >= max_open {
             close_idle(&clients.open.borrow(), node.limits.idle_after);
@@ -156,10 +156,10 @@
 fn start_connection(stream: TcpStream, clients: &Rc<ClientConnections>, node: &Rc<Node>) {
     let stream = Transport::new(stream);
     let limits = &node.limits;
-    if clients.open.borrow().len() >= limits.client_sockets() {
+    if clients.open.borrow().len() >= limits.max_client_sockets() {
         // Closing an idle connection makes room. The surplus sockets cover the time until it is closed.
         close_idle(&clients.open.borrow(), limits.idle_after);
-    } else if clients.connections_with_command.get() > limits.kept_client_sockets() {
+    } else if clients.connections_with_command.get() > limits.max_kept_client_sockets() {
         // Too many clients keep an idle connection: for each new connection, one that has been idle for a
         // while is closed.
         close_idle(&clients.open.borrow(), limits.first_head_timeout);
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -137,14 +137,14 @@
             () if self.lifecycle.has_successor() => "succeeded",
             () => "serving",
         };
-        let more = json!({
+        let node_state = json!({
             "name": self.name, "build": build(), "words": self.protocol_versions, "state": state,
             "settings": format!("{:016x}", self.settings_digest.get()), "life": self.dispatcher.clock.process_start().0, "now_us": now.0,
             "list": list, "memory_kb": memory, "descriptors": descriptors, "cpu_ms": cpu,
             "pid": std::process::id(), "term": leader.term, "leader": leader.name, "trial": active, "lapsed": trial.expired.get(),
         });
-        if let (Value::Object(json), Value::Object(more)) = (&mut json, more) {
-            json.extend(more);
+        if let (Value::Object(json), Value::Object(node_state)) = (&mut json, node_state) {
+            json.extend(node_state);
         }
         json_reply(&json)
     }
--- a/crates/node/src/client_connections.rs
+++ b/crates/node/src/client_connections.rs
@@ -203,13 +203,13 @@
 
     /// Whether there are more connections than may be kept open between commands.
     pub fn exceeds_kept_connections(&self, limits: &Limits) -> bool {
-        self.clients.connections_with_command.get() > limits.kept_client_sockets()
-            || self.clients.open.borrow().len() > limits.client_sockets()
+        self.clients.connections_with_command.get() > limits.max_kept_client_sockets()
+            || self.clients.open.borrow().len() > limits.max_client_sockets()
     }
 
     /// Whether there are more commands in flight than are allowed.
     pub fn exceeds_command_limit(&self, limits: &Limits) -> bool {
-        self.clients.commands.get() > limits.client_sockets()
+        self.clients.commands.get() > limits.max_client_sockets()
     }
 }
 
--- a/crates/node/src/client_service.rs
+++ b/crates/node/src/client_service.rs
@@ -204,7 +204,7 @@
     /// If nodes parsed different keys from the same header, or none, they would send related commands to
     /// different backends.
     #[test]
-    fn keys_among_the_facts() {
+    fn name_key_is_parsed_from_facts() {
         let same = affinity_key("nameKey=5c0f");
         assert_ne!(same, 0);
         for facts in ["nameKey=5c0f", "size=3, nameKey = 5c0f", "nameKey=5c0f,nameKey=6"] {
--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -47,7 +47,7 @@
     /// All launches, those beyond each command's first, and those of once-only commands after a launch that
     /// may have run.
     launches: u32,
-    extra: u32,
+    extra_launches: u32,
     possible_second_runs: u32,
 }
 
@@ -62,14 +62,14 @@
         (self.payoff_requested, self.payoff_served) =
             (self.payoff_requested + other.payoff_requested, self.payoff_served + other.payoff_served);
         self.launches += other.launches;
-        self.extra += other.extra;
+        self.extra_launches += other.extra_launches;
         self.possible_second_runs += other.possible_second_runs;
     }
 
     fn to_json(&self) -> Value {
         json!({"taken": self.accepted, "in_goal": self.within_goal, "late": self.late, "turned_back": self.rejected,
             "errored": self.failed, "left": self.client_gone, "asked": self.payoff_requested, "served": self.payoff_served,
-            "launches": self.launches, "extra": self.extra, "twice": self.possible_second_runs})
+            "launches": self.launches, "extra": self.extra_launches, "twice": self.possible_second_runs})
     }
 }
 
@@ -94,12 +94,12 @@
 #[derive(Default)]
 struct Second {
     /// In seconds of Unix time.
-    at: u64,
+    unix_s: u64,
     by_profile: Vec<ProfileCounts>,
     outcomes: Outcomes,
     connections: u32,
     probes: u32,
-    lists: u32,
+    list_updates: u32,
     /// Latencies of the finished commands, as pairs of bucket and count, sorted by bucket.
     latencies: Vec<(u8, u32)>,
 }
@@ -111,7 +111,7 @@
     outcomes: Outcomes,
     connections: u64,
     probes: u64,
-    lists: u64,
+    list_updates: u64,
     /// Latencies since the start in microseconds; histograms of several nodes can be merged.
     latencies: Histogram<u32>,
 }
@@ -122,8 +122,8 @@
     inner: RefCell<Inner>,
 }
 
-fn bucket(span: Micros) -> u8 {
-    let steps = (span.as_f64() / FIRST_BUCKET_US).max(1.0).log2() * BUCKETS_PER_DOUBLING;
+fn bucket(latency: Micros) -> u8 {
+    let steps = (latency.as_f64() / FIRST_BUCKET_US).max(1.0).log2() * BUCKETS_PER_DOUBLING;
     steps.min((BUCKETS - 1) as f64) as u8
 }
 
@@ -144,7 +144,7 @@
             outcomes: Outcomes::default(),
             connections: 0,
             probes: 0,
-            lists: 0,
+            list_updates: 0,
             latencies,
         };
         Counts { max_seconds, inner: RefCell::new(inner) }
@@ -153,25 +153,25 @@
     /// Calls a function with the inner state, which then has an entry for the present second.
     fn with_second<T>(&self, now: Timestamp, call: impl FnOnce(&mut Inner) -> T) -> T {
         let inner = &mut *self.inner.borrow_mut();
-        let at = now.0 / 1_000_000;
-        if inner.seconds.back().is_none_or(|last| last.at < at) {
+        let unix_s = now.0 / 1_000_000;
+        if inner.seconds.back().is_none_or(|last| last.unix_s < unix_s) {
             if inner.seconds.len() >= self.max_seconds {
                 inner.seconds.pop_front();
             }
-            inner.seconds.push_back(Second { at, ..Second::default() });
+            inner.seconds.push_back(Second { unix_s, ..Second::default() });
         }
         call(inner)
     }
 
     fn update_profile(&self, now: Timestamp, profile: &str, change: impl Fn(&mut ProfileCounts)) {
         self.with_second(now, |inner| {
-            let place = inner.profile_index(profile);
-            change(&mut inner.totals[place]);
+            let index = inner.profile_index(profile);
+            change(&mut inner.totals[index]);
             if let Some(second) = inner.seconds.back_mut() {
-                if second.by_profile.len() <= place {
-                    second.by_profile.resize(place + 1, ProfileCounts::default());
+                if second.by_profile.len() <= index {
+                    second.by_profile.resize(index + 1, ProfileCounts::default());
                 }
-                change(&mut second.by_profile[place]);
+                change(&mut second.by_profile[index]);
             }
         });
     }
@@ -180,13 +180,13 @@
         self.update_profile(now, profile, |entry| entry.accepted += 1);
     }
 
-    /// Counts a launch; `extra` if it is not the command's first, `twice` if the command is once-only and
+    /// Counts a launch; `is_extra` if it is not the command's first, `may_run_twice` if the command is once-only and
     /// may have run already.
-    fn count_launch(&self, now: Timestamp, profile: &str, extra: bool, possible_second_runs: bool) {
+    fn count_launch(&self, now: Timestamp, profile: &str, is_extra: bool, may_run_twice: bool) {
         self.update_profile(now, profile, |entry| {
             entry.launches += 1;
-            entry.extra += u32::from(extra);
-            entry.possible_second_runs += u32::from(possible_second_runs);
+            entry.extra_launches += u32::from(is_extra);
+            entry.possible_second_runs += u32::from(may_run_twice);
         });
     }
 
@@ -202,7 +202,7 @@
         let latency = now.since(arrived);
         self.update_profile(now, name, |entry| {
             let within_goal = end == CommandEnd::Finished && latency <= goal_time;
-            // A client that has given up has no payoff to serve any more.
+            // A client that disconnected early requested nothing that could still be served.
             entry.payoff_requested += if end == CommandEnd::ClientGone { 0.0 } else { payoff };
             entry.payoff_served += if within_goal { payoff } else { 0.0 };
             match end {
@@ -221,8 +221,8 @@
             let Some(second) = inner.seconds.back_mut() else { return };
             let bucket = bucket(latency);
             match second.latencies.binary_search_by_key(&bucket, |(b, _)| *b) {
-                Ok(place) => second.latencies[place].1 += 1,
-                Err(place) => second.latencies.insert(place, (bucket, 1)),
+                Ok(index) => second.latencies[index].1 += 1,
+                Err(index) => second.latencies.insert(index, (bucket, 1)),
             }
         });
     }
@@ -256,8 +256,8 @@
     /// Counts an update of the list of backends.
     pub fn count_list_update(&self, now: Timestamp) {
         self.with_second(now, |inner| {
-            inner.lists += 1;
-            inner.seconds.back_mut().into_iter().for_each(|second| second.lists += 1);
+            inner.list_updates += 1;
+            inner.seconds.back_mut().into_iter().for_each(|second| second.list_updates += 1);
         });
     }
 
@@ -266,26 +266,28 @@
     pub fn to_json(&self, now: Timestamp, after: u64) -> Value {
         let inner = self.inner.borrow();
         let by_profile = |tallies: &[ProfileCounts]| -> Value {
-            let some = inner
+            let nonzero = inner
                 .profile_names
                 .iter()
                 .zip(tallies)
                 .filter(|(_, entry)| **entry != ProfileCounts::default());
-            some.map(|(name, entry)| (name.clone(), entry.to_json()))
+            nonzero
+                .map(|(name, entry)| (name.clone(), entry.to_json()))
                 .collect::<serde_json::Map<_, _>>()
                 .into()
         };
         let outcomes = |outcomes: &Outcomes| -> Value {
-            let some = OUTCOME_NAMES.iter().zip(outcomes).filter(|(_, count)| **count > 0);
-            some.map(|(word, count)| ((*word).to_owned(), Value::from(*count)))
+            let nonzero = OUTCOME_NAMES.iter().zip(outcomes).filter(|(_, count)| **count > 0);
+            nonzero
+                .map(|(word, count)| ((*word).to_owned(), Value::from(*count)))
                 .collect::<serde_json::Map<_, _>>()
                 .into()
         };
-        let has_ended = now.0 / 1_000_000;
-        let seconds = inner.seconds.iter().filter(|second| second.at > after && second.at < has_ended).map(|s| {
+        let current_second = now.0 / 1_000_000;
+        let seconds = inner.seconds.iter().filter(|second| second.unix_s > after && second.unix_s < current_second).map(|s| {
             let latencies: Vec<_> = s.latencies.iter().map(|(bucket, count)| (bucket_start_us(*bucket), *count)).collect();
-            json!({"at": s.at, "profiles": by_profile(&s.by_profile), "outcomes": outcomes(&s.outcomes), "times": latencies,
-                "connections": s.connections, "probes": s.probes, "lists": s.lists})
+            json!({"at": s.unix_s, "profiles": by_profile(&s.by_profile), "outcomes": outcomes(&s.outcomes), "times": latencies,
+                "connections": s.connections, "probes": s.probes, "lists": s.list_updates})
         });
         let all = inner.totals.iter().fold(ProfileCounts::default(), |mut all, entry| {
             all.add(entry);
@@ -294,7 +296,7 @@
         let quantile = |q| inner.latencies.value_at_quantile(q);
         json!({
             "total": {"profiles": by_profile(&inner.totals), "all": all.to_json(), "outcomes": outcomes(&inner.outcomes),
-                "connections": inner.connections, "probes": inner.probes, "lists": inner.lists,
+                "connections": inner.connections, "probes": inner.probes, "lists": inner.list_updates,
                 "times": {"p50": quantile(0.5), "p90": quantile(0.9), "p99": quantile(0.99), "p999": quantile(0.999)}},
             "seconds": seconds.collect::<Vec<_>>(),
         })
@@ -359,12 +361,12 @@
 
 impl Inner {
     fn profile_index(&mut self, profile: &str) -> usize {
-        if let Some(place) = self.profile_names.iter().position(|name| name == profile) {
-            return place;
+        if let Some(index) = self.profile_names.iter().position(|name| name == profile) {
+            return index;
         }
         let name = if self.profile_names.len() < MAX_PROFILES { profile } else { OTHERS };
-        if let Some(place) = self.profile_names.iter().position(|known| known == name) {
-            return place;
+        if let Some(index) = self.profile_names.iter().position(|known| known == name) {
+            return index;
         }
         self.profile_names.push(name.to_owned());
         self.totals.push(ProfileCounts::default());
@@ -394,7 +396,7 @@
     /// seconds are dropped. A rollout that read an incomplete second, or one second twice, would compare
     /// wrong figures.
     #[test]
-    fn seconds_add_up() {
+    fn seconds_add_up_to_the_totals() {
         let counts = Counts::new(5);
         for second in 0..9u64 {
             let now = Timestamp(second * 1_000_000 + 1000);
@@ -415,7 +417,7 @@
         assert_eq!([&all["extra"], &all["twice"]], [&json!(9), &json!(1)]);
         assert_eq!(seconds[0]["times"][0][1], 1);
         assert!(
-            seconds[0]["times"][0][0].as_u64().is_some_and(|at| (36_000..=40_000).contains(&at)),
+            seconds[0]["times"][0][0].as_u64().is_some_and(|start| (36_000..=40_000).contains(&start)),
             "{json}"
         );
         assert_eq!(seconds[1]["times"], json!([]));
@@ -425,7 +427,7 @@
     /// rollout at once. A launch that never ran, or a second launch of a repeatable command, must not count
     /// as a violation.
     #[test]
-    fn second_runs() {
+    fn possible_second_runs_of_once_only_commands_are_counted() {
         let cases = [
             (Idempotency::Once, Some(true), 0),
             (Idempotency::Once, Some(false), 1),
@@ -466,7 +468,7 @@
     /// --ignored --nocapture`.
     #[test]
     #[ignore = "measures"]
-    fn what_it_costs() {
+    fn cost_of_the_statistics_per_command() {
         let (goal_time, time_limit, dedup_window) =
             (Micros::from_millis(50), Micros::from_millis(500), Micros(0));
         let (idempotency, dedup_scope) = (Idempotency::Repeatable, DedupScope::All);
@@ -489,7 +491,7 @@
     /// Neither thousands of profile names nor extreme latencies may take more memory than the documented
     /// bounds.
     #[test]
-    fn bounded() {
+    fn memory_is_bounded() {
         let counts = Counts::new(3);
         for name in 0..1000u64 {
             let now = Timestamp(name * 1000);
--- a/crates/node/src/launch_types.rs
+++ b/crates/node/src/launch_types.rs
@@ -33,7 +33,7 @@
 impl OutboundRequest {
     /// Whether the command can no longer be sent because a part of its body is gone.
     pub fn is_body_consumed(&self) -> bool {
-        matches!(&self.body, RequestBody::Streaming(flow) if flow.borrow().is_none())
+        matches!(&self.body, RequestBody::Streaming(stream) if stream.borrow().is_none())
     }
 
     /// Whether the body is streaming, so that the command can be sent only once.
@@ -125,7 +125,7 @@
     /// launches whose write was in progress when the command ended and whose connection then turned out to
     /// be closed with nothing sent: they must be cancelled too.
     #[test]
-    fn a_launch_whose_command_is_over() {
+    fn unwritten_launch_is_cancelled_when_its_command_ends() {
         type Step = fn(&LaunchControl);
         let (write, detach): (Step, Step) =
             (|control| control.set_may_be_written(true), LaunchControl::detach);
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -34,13 +34,13 @@
     /// The maximum number of connections from clients (and of commands in flight), the maximum number of
     /// connections to backends (for launches and probes), and how many client connections may exceed the
     /// first number until idle ones have closed.
-    client_sockets: usize,
-    backend_sockets: usize,
+    max_client_sockets: usize,
+    max_backend_sockets: usize,
     pub surplus_client_sockets: usize,
     pub sockets: Sockets,
     /// The maximum number of client connections that stay open between commands; beyond it, each answer
     /// closes its connection.
-    kept_client_sockets: usize,
+    max_kept_client_sockets: usize,
     /// The maximum number of connections from operators, and of bytes of a body that their request should
     /// not have.
     pub max_admin_connections: usize,
@@ -150,7 +150,7 @@
         let usable_sockets = sockets.saturating_sub(RESERVED_DESCRIPTORS + surplus_client_sockets).max(8);
         // A command needs one connection on either side, but clients keep more idle connections than the
         // pool does.
-        let client_sockets = (usable_sockets * 3 / 5).max(4);
+        let max_client_sockets = (usable_sockets * 3 / 5).max(4);
         Ok(Limits {
             max_head_bytes: 16 << 10,
             // A body has no time limit of its own until its last byte. A well-behaved client sends 64 kB per
@@ -179,12 +179,12 @@
             // The other half is for the buffers of connections, the list and the program itself.
             body_memory_bytes: memory_bytes / 2,
             max_message_bytes: 4 << 20,
-            client_sockets,
-            backend_sockets: (usable_sockets * 2 / 5).max(4),
+            max_client_sockets,
+            max_backend_sockets: (usable_sockets * 2 / 5).max(4),
             surplus_client_sockets,
             sockets: Sockets::default(),
             // Clients need a third of the descriptors for commands; half as many may be idle.
-            kept_client_sockets: sockets / 6,
+            max_kept_client_sockets: sockets / 6,
             // Part of the reserved descriptors. A request is answered within a millisecond; the rest of its
             // time a connection is only open.
             max_admin_connections: OPERATOR_DESCRIPTORS,
@@ -236,18 +236,18 @@
     }
 
     /// The maximum number of client connections, and of commands in flight, at present.
-    pub fn client_sockets(&self) -> usize {
-        Limits::remaining(self.client_sockets, &self.sockets.other_clients)
+    pub fn max_client_sockets(&self) -> usize {
+        Limits::remaining(self.max_client_sockets, &self.sockets.other_clients)
     }
 
     /// The maximum number of connections to backends at present.
-    pub fn backend_sockets(&self) -> usize {
-        Limits::remaining(self.backend_sockets, &self.sockets.other_backends)
+    pub fn max_backend_sockets(&self) -> usize {
+        Limits::remaining(self.max_backend_sockets, &self.sockets.other_backends)
     }
 
     /// The maximum number of client connections that stay open between commands at present.
-    pub fn kept_client_sockets(&self) -> usize {
-        Limits::remaining(self.kept_client_sockets, &self.sockets.other_clients)
+    pub fn max_kept_client_sockets(&self) -> usize {
+        Limits::remaining(self.max_kept_client_sockets, &self.sockets.other_clients)
     }
 
     /// Adopts the limits of a reloaded configuration.
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -138,7 +138,7 @@
     /// All nodes, including those of older builds, must put the backends in the same order. With numbers
     /// assigned in order of arrival, or a randomly keyed hasher, each node would have its own order.
     #[test]
-    fn a_name_is_the_same_number_everywhere() {
+    fn name_hash_is_the_same_on_all_nodes() {
         assert_eq!(
             [stable_hash("s-5be2a07c"), stable_hash("b1")],
             [8605843283703293279, 5184175751576726796]
--- a/crates/node/src/list_watches.rs
+++ b/crates/node/src/list_watches.rs
@@ -274,10 +274,10 @@
                 }
                 last_message_at = Some(self.dispatcher.clock.now());
             }
-            if reader.unfinished() > 0 {
-                note!("list: {} bytes of an incomplete message received", reader.unfinished());
+            if reader.unfinished_bytes() > 0 {
+                note!("list: {} bytes of an incomplete message received", reader.unfinished_bytes());
             }
-            if reader.unfinished() > self.limits.max_message_bytes {
+            if reader.unfinished_bytes() > self.limits.max_message_bytes {
                 return Err("a message is too long".into());
             }
         }
--- a/crates/node/src/message_reader.rs
+++ b/crates/node/src/message_reader.rs
@@ -7,10 +7,10 @@
     bytes: Vec<u8>,
     /// The number of bytes that were scanned, the last of them that was not white space, and the nesting
     /// depth of braces and brackets there.
-    seen: usize,
-    last: u8,
+    scanned: usize,
+    last_byte: u8,
     depth: usize,
-    quoted: bool,
+    in_string: bool,
     escaped: bool,
     /// The line end after the last message has not been received yet. It is no heartbeat.
     line_end_due: bool,
@@ -23,7 +23,7 @@
     }
 
     /// The number of bytes of an incomplete message.
-    pub fn unfinished(&self) -> usize {
+    pub fn unfinished_bytes(&self) -> usize {
         self.bytes.len()
     }
 
@@ -31,45 +31,45 @@
     /// Invalid data costs no more than its own line or message.
     pub fn next(&mut self) -> Option<Vec<u8>> {
         self.skip_line_end();
-        while let Some(&byte) = self.bytes.get(self.seen) {
-            if self.breaks_off_before(byte) {
-                return Some(self.cut(self.seen, false));
+        while let Some(&byte) = self.bytes.get(self.scanned) {
+            if self.is_cut_short_before(byte) {
+                return Some(self.take_message(self.scanned, false));
             }
             // A JSON string cannot contain a line end.
-            if byte == b'\n' && (self.depth == 0 || self.quoted) {
-                return Some(self.cut(self.seen + 1, false));
+            if byte == b'\n' && (self.depth == 0 || self.in_string) {
+                return Some(self.take_message(self.scanned + 1, false));
             }
             let outside = self.depth == 0;
-            self.look_at(byte);
+            self.scan(byte);
             if !outside && self.depth == 0 {
                 // The message is complete with its last brace; the line end may come much later.
-                return Some(self.cut(self.seen, true));
+                return Some(self.take_message(self.scanned, true));
             }
         }
         None
     }
 
     /// An object cannot directly follow a literal, so the message before it was cut short.
-    fn breaks_off_before(&self, byte: u8) -> bool {
-        self.depth > 0 && !self.quoted && byte == b'{' && !b"[,:{".contains(&self.last)
+    fn is_cut_short_before(&self, byte: u8) -> bool {
+        self.depth > 0 && !self.in_string && byte == b'{' && !b"[,:{".contains(&self.last_byte)
     }
 
-    fn look_at(&mut self, byte: u8) {
+    fn scan(&mut self, byte: u8) {
         match byte {
             _ if self.escaped => self.escaped = false,
-            b'\\' if self.quoted => self.escaped = true,
-            b'"' => self.quoted = !self.quoted,
-            b'{' | b'[' if !self.quoted => self.depth += 1,
-            b'}' | b']' if !self.quoted => self.depth = self.depth.saturating_sub(1),
+            b'\\' if self.in_string => self.escaped = true,
+            b'"' => self.in_string = !self.in_string,
+            b'{' | b'[' if !self.in_string => self.depth += 1,
+            b'}' | b']' if !self.in_string => self.depth = self.depth.saturating_sub(1),
             _ => {}
         }
         if !byte.is_ascii_whitespace() {
-            self.last = byte;
+            self.last_byte = byte;
         }
-        self.seen += 1;
+        self.scanned += 1;
     }
 
-    fn cut(&mut self, end: usize, line_end_due: bool) -> Vec<u8> {
+    fn take_message(&mut self, end: usize, line_end_due: bool) -> Vec<u8> {
         let message = self.bytes.drain(..end).collect();
         let bytes = std::mem::take(&mut self.bytes);
         *self = MessageReader { bytes, line_end_due, ..MessageReader::default() };
@@ -106,7 +106,7 @@
     /// Messages on one line or on several, split anywhere, between heartbeats and after invalid data: each
     /// must be returned unchanged.
     #[test]
-    fn messages_in_lines_and_over_lines() {
+    fn messages_are_found_wherever_the_data_is_split() {
         let one = "{\"a\":[{\"b\":\"}\\\"{\"}]}\n";
         let many = "{\n  \"a\": [\n    {\n      \"b\": 1\n    },\n    {\"b\": 2}\n  ]\n}\n";
         let flat = "{\n\"a\": [\n{\n\"b\": 1\n},\n{\n\"b\": 2\n}\n]\n}\n";
@@ -123,9 +123,9 @@
         for parts in cases {
             let text = parts.concat();
             let wanted: Vec<_> = parts.iter().map(|part| part.trim_ascii()).collect();
-            for cut in 0..text.len() {
-                let (first, rest) = text.as_bytes().split_at(cut);
-                assert_eq!(read(&[first, rest]), wanted, "{text:?} at {cut}");
+            for split in 0..text.len() {
+                let (first, rest) = text.as_bytes().split_at(split);
+                assert_eq!(read(&[first, rest]), wanted, "{text:?} at {split}");
             }
         }
     }
@@ -133,7 +133,7 @@
     /// A message must be returned as soon as its last brace is received, whatever follows and whenever. The
     /// line end after it must not count as a heartbeat.
     #[test]
-    fn a_message_before_its_line_end() {
+    fn message_is_complete_before_its_line_end() {
         let message = "{\"a\": 1}";
         assert_eq!(read(&[message.as_bytes()]), [message]);
         assert_eq!(read(&[message.as_bytes(), b"\n", b"\n"]), [message, ""]);
--- a/crates/node/src/names.rs
+++ b/crates/node/src/names.rs
@@ -106,7 +106,7 @@
     /// If ids were positions in the file, any reordering would end commands in flight by the rules of
     /// another profile and move backends to another zone. Reloading the former file must restore its ids.
     #[test]
-    fn ids_stay_when_names_move() {
+    fn ids_survive_a_reload_that_reorders_names() {
         let (first, settings) = file(0, ["a", "b"], ["x", "y"], &[("read", 200), ("pay", 300)]);
         let (second, other) = file(1, ["c", "a"], ["y", "z"], &[("pay", 300), ("read", 250), ("new", 100)]);
         let (names, now) = first.merged_with(&second, other).expect("good");
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -163,7 +163,7 @@
 
     async fn open_connection(&self, address: SocketAddr) -> Result<Lease, LeaseError> {
         let open_sockets = &self.limits.sockets.backends;
-        if open_sockets.get() >= self.limits.backend_sockets() && !self.close_oldest_idle() {
+        if open_sockets.get() >= self.limits.max_backend_sockets() && !self.close_oldest_idle() {
             return Err(LeaseError::NoSocket);
         }
         let (socket_guard, is_idle) = (SocketGuard::new(open_sockets), Rc::<Cell<bool>>::default());
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -99,7 +99,7 @@
     /// Reports use the wire names of the fields and the settings those of the simulator. If the names were
     /// not mapped, every report would be ignored. An incomplete report must not be used at all.
     #[test]
-    fn reports_in_either_words() {
+    fn reports_are_parsed_under_either_field_name() {
         let names = ["outstanding", "backlog", "utilization"].map(String::from);
         let cases: [(&str, Option<[f32; 3]>); 8] = [
             (r#"{"inflight":7,"queue":2,"util":0.5}"#, Some([7.0, 2.0, 0.5])),
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -312,7 +312,7 @@
     /// The same settings are sent to all nodes. If they replaced each node's own index and zone by the
     /// leader's, all nodes would count as one, and each would take another site's backends for its own.
     #[test]
-    fn each_node_stays_itself() {
+    fn leader_settings_keep_each_nodes_index_and_zone() {
         let own_settings = json!({"me": 3, "zone": 1, "zones": ["a", "b"], "balancers": 4});
         let new = json!({"me": 0, "zone": 0, "zones": ["b", "c", "a"], "balancers": 4});
         let found = with_node_identity(new, &own_settings).expect("settings");
--- a/crates/node/src/request_framing.rs
+++ b/crates/node/src/request_framing.rs
@@ -98,12 +98,12 @@
                 | ParserState::ChunkSize
                 | ParserState::ChunkEnd
                 | ParserState::Trailers => {
-                    let (part, rest) = match bytes.iter().position(|&b| b == b'\n') {
+                    let (line_part, rest) = match bytes.iter().position(|&b| b == b'\n') {
                         Some(end) => (&bytes[..end], Some(&bytes[end + 1..])),
                         None => (bytes, None),
                     };
-                    let buffer = MAX_LINE_BYTES - self.line.len();
-                    self.line.extend_from_slice(&part[..part.len().min(buffer)]);
+                    let free_bytes = MAX_LINE_BYTES - self.line.len();
+                    self.line.extend_from_slice(&line_part[..line_part.len().min(free_bytes)]);
                     bytes = rest.unwrap_or_default();
                     if rest.is_none() {
                         continue;
@@ -283,7 +283,7 @@
     /// is split. While chunked bodies were not parsed, such a head passed undetected behind one, and the
     /// request hidden in its body was forwarded.
     #[test]
-    fn heads_behind_bodies() {
+    fn conflicting_lengths_are_detected_after_any_body() {
         let plain = "POST /api HTTP/1.1\r\nContent-Length: 3\r\n\r\na\nb";
         let chunked = "POST /api HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n\
             3;a=\"b\"\r\na\r\n\r\nA\r\n0123456789\r\n0\r\nX: content-length: 3\r\n\r\n";
@@ -301,13 +301,13 @@
             for cut in 0..text.len() {
                 let (first, rest) = text.as_bytes().split_at(cut);
                 let (mut parser, mut ends) = (FramingParser::new(), Vec::new());
-                let mut state = 0;
-                for mut part in [first, rest] {
-                    while !part.is_empty() {
-                        let request_bytes = parser.parse(part);
-                        (state, part) = (state + request_bytes, &part[request_bytes..]);
+                let mut position = 0;
+                for mut chunk in [first, rest] {
+                    while !chunk.is_empty() {
+                        let request_bytes = parser.parse(chunk);
+                        (position, chunk) = (position + request_bytes, &chunk[request_bytes..]);
                         if parser.is_at_request_end() {
-                            ends.push(state);
+                            ends.push(position);
                         }
                     }
                 }
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -15,7 +15,7 @@
 pub struct Transport(TcpStream);
 
 /// Whether to retry the call: it was interrupted, or the socket was not ready after all.
-fn again(error: &io::Error) -> bool {
+fn should_retry(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
@@ -61,7 +61,7 @@
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             match write(&self.0) {
-                Err(error) if again(&error) => {}
+                Err(error) if should_retry(&error) => {}
                 written => return Poll::Ready(written),
             }
         }
@@ -77,7 +77,7 @@
                     buf.advance(count);
                     return Poll::Ready(Ok(()));
                 }
-                Err(error) if again(&error) => {}
+                Err(error) if should_retry(&error) => {}
                 Err(error) => return Poll::Ready(Err(error)),
             }
         }
--- a/crates/node/src/trial.rs
+++ b/crates/node/src/trial.rs
@@ -235,7 +235,7 @@
     /// A leader that was cut off must not have authority beside its successor, nor may two leaders share a
     /// term. A restarted node must remember its leader.
     #[test]
-    fn one_leader_at_a_time() {
+    fn only_one_leader_is_accepted_at_a_time() {
         let file = std::env::temp_dir().join(format!("yarrowfront-term-{}", std::process::id()));
         let text = format!("term_file = {:?}", file.display().to_string());
         let config = TrialConfig::from_toml(&text).expect("good terms");
@@ -260,7 +260,7 @@
 
     /// The example file for operators states the default values.
     #[test]
-    fn the_example() {
+    fn example_file_states_the_defaults() {
         let example =
             TrialConfig::from_toml(include_str!("../../../deploy/rollout.example.toml")).expect("terms");
         let bare = format!("term_file = {:?}", example.term_file.display().to_string());
@@ -269,7 +269,7 @@
 
     /// An error in the operators' file must name the key or the line.
     #[test]
-    fn bad_files() {
+    fn errors_name_the_key_or_line() {
         let cases = [
             ("", "term_file"),
             ("term_file = 3", "line 1"),
