--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -126,9 +126,8 @@
         let (memory, descriptors, cpu) = counts::process_usage();
         let (leader, list) = (trial.leader(), self.dispatcher.load().3);
         let active = trial.active.borrow().as_ref().map(|active| {
-            let connection_closed =
-                active.expires_at.saturating_duration_since(Instant::now()).as_millis() as u64;
-            json!({"former": active.former_digest, "left_ms": connection_closed})
+            let remaining_ms = active.expires_at.saturating_duration_since(Instant::now()).as_millis() as u64;
+            json!({"former": active.former_digest, "left_ms": remaining_ms})
         });
         let state = match () {
             () if self.lifecycle.is_stopping() => "stopping",
--- a/crates/node/src/admin_request.rs
+++ b/crates/node/src/admin_request.rs
@@ -28,7 +28,12 @@
     /// A request of a rollout's leader, which is in the body.
     Rollout,
     /// Takes a backend out of service for maintenance, or puts it back.
-    Maint { name: String, out: bool },
+    #[serde(rename = "maint")]
+    Maintenance {
+        name: String,
+        #[serde(rename = "out")]
+        enter: bool,
+    },
     /// Starts or ends the draining of clients.
     Drain(bool),
 }
@@ -69,8 +74,8 @@
             let name =
                 percent_decode_str(id).decode_utf8().map_err(|_| RequestError::NoSuchPath)?.into_owned();
             match action {
-                "maint" => (AdminRequest::Maint { name, out: true }, Method::PUT),
-                "ready" => (AdminRequest::Maint { name, out: false }, Method::PUT),
+                "maint" => (AdminRequest::Maintenance { name, enter: true }, Method::PUT),
+                "ready" => (AdminRequest::Maintenance { name, enter: false }, Method::PUT),
                 _ => return Err(RequestError::NoSuchPath),
             }
         }
@@ -92,9 +97,9 @@
             | AdminRequest::Rollout
             | AdminRequest::Sites
             | AdminRequest::Site { .. } => None,
-            AdminRequest::Maint { name, out } => {
-                dispatcher.set_maintenance(dispatcher.known_backend(name)?, *out);
-                Some(format!("{name} {}", if *out { "is left out" } else { "is used" }))
+            AdminRequest::Maintenance { name, enter } => {
+                dispatcher.set_maintenance(dispatcher.known_backend(name)?, *enter);
+                Some(format!("{name} {}", if *enter { "is left out" } else { "is used" }))
             }
             AdminRequest::Drain(drain) => {
                 lifecycle.set_draining(*drain);
--- a/crates/node/src/list_age.rs
+++ b/crates/node/src/list_age.rs
@@ -2,8 +2,8 @@
 //! not received them.
 //!
 //! In the deployment, discovery's changes bind a node some seconds after its watch was lost or discovery has
-//! moved, whether or not they have arrived. Only a call that is still waiting for its answer can deliver
-//! them in time.
+//! moved, whether or not they have arrived: the node is held to them as if it knew them. Only a call that
+//! is still waiting for its answer can deliver them in time.
 
 use yarrowfront::times::{Micros, Timestamp};
 
@@ -57,7 +57,7 @@
 
     /// The time from which changes that were not received bind this node; `None` if none can have been
     /// missed.
-    pub fn binds_from(&self) -> Option<Timestamp> {
+    pub fn expires_at(&self) -> Option<Timestamp> {
         self.binds_after_move.into_iter().chain(self.binds_after_loss).min()
     }
 }
@@ -68,14 +68,14 @@
 
     const NOW: Timestamp = Timestamp(1_000_000);
 
-    fn binds_after_millis(change: impl Fn(&mut ListAge)) -> Option<u64> {
+    fn expires_after_ms(change: impl Fn(&mut ListAge)) -> Option<u64> {
         let mut age = ListAge::default();
         change(&mut age);
-        age.binds_from().map(|at| at.since(NOW).0 / 1000)
+        age.expires_at().map(|at| at.since(NOW).0 / 1000)
     }
 
     #[test]
-    fn the_earliest_time_binds_until_discovery_answers() {
+    fn list_expires_at_the_earliest_time_until_discovery_answers() {
         type Events = fn(&mut ListAge);
         let cases: [(Events, Option<u64>); 8] = [
             (|_| {}, None),
@@ -87,8 +87,8 @@
             (|age| (age.discovery_moved(NOW), age.watch_ended(NOW), age.answered(true)).2, None),
             (|age| (age.discovery_moved(NOW), age.call_failed()).1, None),
         ];
-        for (number, (events, binds)) in cases.into_iter().enumerate() {
-            assert_eq!(binds_after_millis(events), binds, "case {number}");
+        for (number, (events, expires_after)) in cases.into_iter().enumerate() {
+            assert_eq!(expires_after_ms(events), expires_after, "case {number}");
         }
     }
 }
--- a/crates/node/src/list_watches.rs
+++ b/crates/node/src/list_watches.rs
@@ -209,12 +209,12 @@
     }
 
     fn update_list_age(&self, change: impl FnOnce(&mut ListAge, Timestamp)) {
-        let binds = {
+        let expires_at = {
             let mut list_age = self.list_age.borrow_mut();
             change(&mut list_age, self.dispatcher.clock.now());
-            list_age.binds_from()
+            list_age.expires_at()
         };
-        self.dispatcher.set_list_expiry(binds);
+        self.dispatcher.set_list_expiry(expires_at);
     }
 
     async fn run_call(&self, call: CallNumber, discovery: SocketAddr) -> WatchEnd {
@@ -236,17 +236,17 @@
         };
         tokio::select! {
             () = driver => Ok(()),
-            end = self.read(call, discovery, &mut sender) => end,
+            end = self.read_watch(call, discovery, &mut sender) => end,
         }
     }
 
-    async fn read(
+    async fn read_watch(
         &self,
         call: CallNumber,
         discovery: SocketAddr,
         sender: &mut SendRequest<Empty<Bytes>>,
     ) -> Result<(), WatchEnd> {
-        let request = self.request(discovery)?;
+        let request = self.build_request(discovery)?;
         let called_at = Instant::now();
         note!("list: requesting from {discovery} the changes since version {}", self.list_updater.version());
         let mut deadline = called_at + self.limits.discovery_timeout;
@@ -283,7 +283,7 @@
         }
     }
 
-    fn request(&self, discovery: SocketAddr) -> Result<Request<Empty<Bytes>>, WatchEnd> {
+    fn build_request(&self, discovery: SocketAddr) -> Result<Request<Empty<Bytes>>, WatchEnd> {
         let mut request = Request::new(Empty::new());
         let path = format!("/discovery/hosts?stream=1&index={}", self.list_updater.version());
         *request.uri_mut() = path.parse().map_err(|e| format!("{e}"))?;
@@ -301,10 +301,10 @@
         self.update_list_age(|list_age, _| list_age.answered(self.configured_address.get() == discovery));
     }
 
-    fn handle_message(&self, line: &[u8], first: bool) {
+    fn handle_message(&self, line: &[u8], is_first: bool) {
         self.dispatcher.record_discovery_contact();
         if line.is_empty() {
-            if first {
+            if is_first {
                 // Nothing has changed since the requested version, which is an answer as well.
                 self.dispatcher.apply_list(ListUpdateKind::Delta, &[]);
             }
