--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// The number of launches by outcome, in the order of `WORDS`.
+/// The number of launches by outcome, in the order of `OUTCOME_NAMES`.
 type Outcomes = [u32; 8];
 const OUTCOME_NAMES: [&str; 8] =
     ["finished", "errored", "full", "timed_out", "unreachable", "broken", "cancelled", "unsent"];
@@ -180,8 +180,8 @@
         self.update_profile(now, profile, |entry| entry.accepted += 1);
     }
 
-    /// Counts a launch; `is_extra` if it is not the command's first, `may_run_twice` if the command is once-only and
-    /// may have run already.
+    /// Counts a launch; `is_extra` if it is not the first of its command, `may_run_twice` if the command is
+    /// once-only and may have run already.
     fn count_launch(&self, now: Timestamp, profile: &str, is_extra: bool, may_run_twice: bool) {
         self.update_profile(now, profile, |entry| {
             entry.launches += 1;
@@ -464,8 +464,8 @@
         }
     }
 
-    /// Measures the cost of the statistics per command: `cargo test --release -p yarrowfront-node --lib --
-    /// --ignored --nocapture`.
+    /// Measures the cost of the statistics per command. Run it with
+    /// `cargo test --release -p yarrowfront-node --lib -- --ignored --nocapture`.
     #[test]
     #[ignore = "measures"]
     fn cost_of_the_statistics_per_command() {
--- a/crates/node/src/launch_types.rs
+++ b/crates/node/src/launch_types.rs
@@ -106,7 +106,7 @@
     pub backend: BackendId,
     pub outcome: Outcome,
     pub answer: Option<BackendAnswer>,
-    /// The values of the load report, and the generation of the names by which its fields were parsed.
+    /// The values of the load report, and the revision of the names by which its fields were parsed.
     pub report: Option<(u32, Vec<f32>)>,
 }
 
--- a/crates/node/src/names.rs
+++ b/crates/node/src/names.rs
@@ -7,14 +7,14 @@
 
 /// The names of the present settings with their ids.
 pub struct Names {
-    /// All zones and kinds since the start, indexed by id.
+    /// All zones and backend types since the start, indexed by id.
     pub zones: Vec<String>,
     pub backend_types: Vec<String>,
     /// The profiles that new commands may have.
     pub profiles: Vec<(String, ProfileId)>,
     /// All profiles since the start, indexed by id; a profile that has changed gets a new id.
     all_profiles: Vec<(String, Profile)>,
-    /// The fields of a load report in their order, and the generation of the settings that define it.
+    /// The fields of a load report in their order, and the revision of the settings that define it.
     pub report_fields: Vec<String>,
     pub revision: u32,
 }
--- a/crates/node/src/observed_stream.rs
+++ b/crates/node/src/observed_stream.rs
@@ -16,7 +16,7 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>>;
 
-    /// Called after each write; `stuck` if the peer accepts no more data at present.
+    /// Called after each write; `_is_stalled` if the peer accepts no more data at present.
     fn on_write(&self, _is_stalled: bool) {}
 
     /// Called when hyper flushes, which it does after all other work that it can do for now.
--- a/crates/node/src/trial.rs
+++ b/crates/node/src/trial.rs
@@ -1,5 +1,6 @@
-//! Trial settings: the leader of a rollout sends them in a request, and unless it repeats itself in time,
-//! the node returns to the former settings by itself. Available only if a rollout file is configured.
+//! Trial settings: the leader of a rollout sends them in a request. Unless further requests from the leader
+//! follow in time, the node returns to the former settings by itself. Available only if a rollout file is
+//! configured.
 //!
 //! A leader is identified by a term and a name. The node stores the highest term that it has seen on disk
 //! before it accepts a request, and refuses every other leader: one that was cut off and comes back has no
@@ -80,8 +81,8 @@
 pub enum TrialAction {
     /// The sender becomes the leader.
     Lead,
-    /// Checks whether the node would accept these settings, and returns their digest. Like `GetSettings`, it needs
-    /// no leader.
+    /// Checks whether the node would accept these settings, and returns their digest. Like `GetSettings`, it
+    /// needs no leader.
     #[serde(rename = "weigh")]
     Check { settings: Value },
     /// Returns the settings in force.
