--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -3,7 +3,7 @@
 
 use crate::client_connections::{close_idle, ClientConnection, ClientConnections};
 use crate::client_service::ClientService;
-use crate::log::note;
+use crate::log::log;
 use crate::node::Node;
 use crate::observed_stream::ObservedStream;
 use crate::request_framing::RequestObserver;
@@ -87,7 +87,7 @@
                 start_connection(stream, &clients, &node);
             }
             Err(error) => {
-                note!("accept: {error}");
+                log!("accept: {error}");
                 failures.record(node.limits.accept_retry_pause).await;
             }
         }
@@ -132,7 +132,7 @@
     };
     tokio::select! {
         () = all_closed => {}
-        () = no_answer_owed => note!("stop: {} connections still open", clients.open.borrow().len()),
+        () = no_answer_owed => log!("stop: {} connections still open", clients.open.borrow().len()),
     }
 }
 
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -9,7 +9,7 @@
 use crate::handover::Peer;
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
-use crate::log::note;
+use crate::log::log;
 use crate::reply::{text_reply, Reply};
 use crate::sites::Sites;
 use crate::transport::Transport;
@@ -98,11 +98,11 @@
             Some(new_state) => {
                 // If there are two processes, both have applied it before the success is reported.
                 self.peer.forward_request(&admin_request).await;
-                note!("admin: {new_state}");
+                log!("admin: {new_state}");
                 text_reply(StatusCode::OK, &new_state)
             }
             None => {
-                note!("admin: {admin_request:?}: this backend was never listed");
+                log!("admin: {admin_request:?}: this backend was never listed");
                 text_reply(StatusCode::NOT_FOUND, "no backend with this name was ever listed")
             }
         }
@@ -159,7 +159,7 @@
         let Some(sites) = &self.sites else { return self.sites() };
         match sites.set_override(name, action) {
             Some(new_state) => {
-                note!("admin: {new_state}");
+                log!("admin: {new_state}");
                 text_reply(StatusCode::OK, &new_state)
             }
             None => text_reply(
@@ -220,7 +220,7 @@
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    note!("admin: accept: {error}");
+                    log!("admin: accept: {error}");
                     sleep(self.limits.accept_retry_pause).await;
                     continue;
                 }
--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -66,7 +66,7 @@
         self.possible_second_runs += other.possible_second_runs;
     }
 
-    fn to_json(&self) -> Value {
+    fn as_json(&self) -> Value {
         json!({"taken": self.accepted, "in_goal": self.within_goal, "late": self.late, "turned_back": self.rejected,
             "errored": self.failed, "left": self.client_gone, "asked": self.payoff_requested, "served": self.payoff_served,
             "launches": self.launches, "extra": self.extra_launches, "twice": self.possible_second_runs})
@@ -272,7 +272,7 @@
                 .zip(tallies)
                 .filter(|(_, entry)| **entry != ProfileCounts::default());
             nonzero
-                .map(|(name, entry)| (name.clone(), entry.to_json()))
+                .map(|(name, entry)| (name.clone(), entry.as_json()))
                 .collect::<serde_json::Map<_, _>>()
                 .into()
         };
@@ -295,7 +295,7 @@
         });
         let quantile = |q| inner.latencies.value_at_quantile(q);
         json!({
-            "total": {"profiles": by_profile(&inner.totals), "all": all.to_json(), "outcomes": outcomes(&inner.outcomes),
+            "total": {"profiles": by_profile(&inner.totals), "all": all.as_json(), "outcomes": outcomes(&inner.outcomes),
                 "connections": inner.connections, "probes": inner.probes, "lists": inner.list_updates,
                 "times": {"p50": quantile(0.5), "p90": quantile(0.9), "p99": quantile(0.99), "p999": quantile(0.999)}},
             "seconds": seconds.collect::<Vec<_>>(),
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::handover::Peer;
 use crate::lifecycle::Lifecycle;
 use crate::list::stable_hash;
-use crate::log::note;
+use crate::log::log;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -142,7 +142,7 @@
             == (view.config.listen, view.config.address, &view.config.fleet)
         {
             true => Ok(()),
-            false => Err("fleet: fleet, listen and address can be changed only by a restart".to_owned()),
+            false => Err("fleet: fleet, listen and address take a restart to change".to_owned()),
         }
     }
 
@@ -165,7 +165,7 @@
                 // The other process has ended, and its generation was later than this one's.
                 self.view.borrow_mut().raise_generation(self.dispatcher.clock.now(), Generation(0));
             }
-            note!("fleet: listening on {}", self.address);
+            log!("fleet: listening on {}", self.address);
             tokio::select! {
                 () = self.run_view(&socket) => {}
                 () = self.lifecycle.wait_for_successor(true) => {}
@@ -185,7 +185,7 @@
                 Some(socket)
             }
             Err(error) => {
-                note!("fleet: {address}: {error}");
+                log!("fleet: {address}: {error}");
                 sleep(BIND_RETRY_INTERVAL).await;
                 None
             }
@@ -253,11 +253,11 @@
             // Each kind of change has its own rate limit, so that a death is not suppressed by the changes
             // that preceded it.
             match change.kind {
-                ChangeKind::Dead | ChangeKind::Left | ChangeKind::NameTaken => note!("fleet: {text}"),
+                ChangeKind::Dead | ChangeKind::Left | ChangeKind::NameTaken => log!("fleet: {text}"),
                 ChangeKind::Suspected | ChangeKind::Refuted | ChangeKind::SelfRefuted => {
-                    note!("fleet: {text}")
+                    log!("fleet: {text}")
                 }
-                _ => note!("fleet: {text}"),
+                _ => log!("fleet: {text}"),
             }
             let mut recent_changes = self.recent_changes.borrow_mut();
             if recent_changes.len() == MAX_RECENT_CHANGES {
@@ -319,7 +319,7 @@
         let Some(file) = view.config.seeds_file.clone() else { return };
         match read_seeds(&file) {
             Ok(seeds) => view.config.seeds = seeds,
-            Err(why) => note!("fleet: keeping the previous seeds: {why}"),
+            Err(why) => log!("fleet: keeping the previous seeds: {why}"),
         }
     }
 
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -8,7 +8,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
-use crate::log::note;
+use crate::log::log;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -108,10 +108,7 @@
         Ok(Ok((state, listener))) => Ok(Some(Handover { state, listener, stream })),
         Ok(Err(why)) => Err(why),
         Err(error) => {
-            note!(
-                "handover: cannot use the process at {}: {error}; starting as from nothing",
-                path.display()
-            );
+            log!("handover: cannot use the process at {}: {error}; starting as from nothing", path.display());
             Ok(None)
         }
     }
@@ -254,10 +251,10 @@
                         Role::New,
                     ));
                     if !link.send_and_wait(Message::Ready, self.limits.peer_timeout).await {
-                        note!("handover: the old process has not confirmed that it stopped accepting");
+                        log!("handover: the old process has not confirmed that it stopped accepting");
                     }
                 }
-                Err(error) => note!("handover: {error}"),
+                Err(error) => log!("handover: {error}"),
             }
         }
         self.is_ready.set(true);
@@ -272,7 +269,7 @@
                 .send_and_wait(Message::OperatorRequest(request.clone()), self.limits.peer_timeout / 2)
                 .await
             {
-                note!("handover: the other process has not confirmed an operator's request");
+                log!("handover: the other process has not confirmed an operator's request");
             }
         }
     }
@@ -292,7 +289,7 @@
                     previous.abort();
                 }
             }
-            Err(error) => note!("handover: {}: {error}; no handover is possible", path.display()),
+            Err(error) => log!("handover: {}: {error}; no handover is possible", path.display()),
         }
     }
 
@@ -301,7 +298,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => drop(tokio::task::spawn_local(self.clone().handle_successor(stream))),
                 Err(error) => {
-                    note!("handover: {error}");
+                    log!("handover: {error}");
                     sleep(self.limits.accept_retry_pause).await;
                 }
             }
@@ -314,7 +311,7 @@
         let mut read = Reader::new(read);
         let hello = timeout(self.limits.peer_timeout, self.read_message(&mut read)).await;
         let Ok(Some(Message::Hello { version: VERSION })) = hello else {
-            note!("handover: a connection was not from a new process of this version");
+            log!("handover: a connection was not from a new process of this version");
             return;
         };
         let listener = self.listener.upgrade().filter(|_| !self.lifecycle.is_stopping());
@@ -331,11 +328,11 @@
         self.is_sending_state.set(false);
         match sent {
             Ok(()) => {
-                note!("handover: a new process has received this one's state");
+                log!("handover: a new process has received this one's state");
                 let link = self.open_link(write);
                 self.run_link(read, link, Role::Old).await;
             }
-            Err(error) => note!("handover: {error}"),
+            Err(error) => log!("handover: {error}"),
         }
     }
 
@@ -405,7 +402,7 @@
             match message {
                 None => break,
                 Some(Message::Ready) if role == Role::Old => {
-                    note!("handover: the new process accepts connections from here on");
+                    log!("handover: the new process accepts connections from here on");
                     self.lifecycle.set_has_successor(true);
                     let _ = link.outgoing.send(self.usage_message());
                     let _ = link.outgoing.send(Message::StoppedAccepting);
@@ -421,7 +418,7 @@
                     self.body_memory.set_peer_bytes(bytes);
                     self.dispatcher.set_peer_command_ids(ids);
                 }
-                Some(other) => note!("handover: ignored an unexpected message: {other:?}"),
+                Some(other) => log!("handover: ignored an unexpected message: {other:?}"),
             }
         }
         reading.abort();
@@ -434,7 +431,7 @@
             self.dispatcher.set_predecessor_running(false);
         }
         if role == Role::Old && !self.lifecycle.is_stopping() {
-            note!("handover: the new process is gone; this one continues");
+            log!("handover: the new process is gone; this one continues");
             self.lifecycle.set_has_successor(false);
             self.listen_for_successor();
         }
--- a/crates/node/src/launch.rs
+++ b/crates/node/src/launch.rs
@@ -5,7 +5,7 @@
 use crate::launch_types::{
     BackendAnswer, LaunchControl, LaunchResult, OutboundRequest, RequestBody, TIME_LEFT_HEADER,
 };
-use crate::log::note;
+use crate::log::log;
 use crate::pool::{Exchange, LeaseError, Pool};
 use crate::probe;
 use crate::reply::forwarded_headers;
@@ -67,7 +67,7 @@
             let result = launcher.run(launch).await;
             if !matches!(result.outcome, Outcome::Finished | Outcome::Full) {
                 let name = launcher.dispatcher.backend_name(result.backend);
-                note!("launch: {name}: {}", outcome_text(result.outcome));
+                log!("launch: {name}: {}", outcome_text(result.outcome));
             }
             Ok(result)
         })
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -39,7 +39,7 @@
 mod trial;
 
 use crate::dispatcher::{Clock, Dispatcher};
-use crate::log::note;
+use crate::log::log;
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
@@ -67,7 +67,7 @@
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            note!("yarrowfront: {text}");
+            log!("yarrowfront: {text}");
             ExitCode::FAILURE
         }
     }
@@ -126,7 +126,7 @@
             lifecycle.set_draining(state.is_draining);
             generation = state.generation;
             if let Err(why) = list_updater.apply_message(&state.list, true) {
-                note!("handover: the list could not be used: {why}");
+                log!("handover: the list could not be used: {why}");
             }
             old_process = Some(stream);
             listener.set_nonblocking(true).and_then(|()| tokio::net::TcpListener::from_std(listener))
@@ -220,9 +220,9 @@
     if let Some(sites) = &sites {
         spawn_local(sites.clone().run());
     }
-    note!("{}: listening on {}", config.name, config.listen);
+    log!("{}: listening on {}", config.name, config.listen);
     if list_is_requested {
-        note!(
+        log!(
             "list: discovery is queried; its changes bind this node after {} ms",
             list_request_interval.as_millis()
         );
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -1,7 +1,7 @@
 //! The node's lifecycle: a planned stop with the time since its signal, draining of clients on the
 //! operators' request until they revoke it, and the takeover by a new process.
 
-use crate::log::note;
+use crate::log::log;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, Instant};
@@ -27,7 +27,7 @@
         if signal.recv().await.is_none() {
             return;
         }
-        note!("stop: finishing the commands in flight");
+        log!("stop: finishing the commands in flight");
         self.stopped_at.send_replace(Some(Instant::now()));
     }
 
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -1,7 +1,7 @@
 //! The list of backends: parses discovery's messages and the list cached in the configuration.
 
 use crate::dispatcher::{AddressedEntry, Dispatcher};
-use crate::log::note;
+use crate::log::log;
 use serde_json::Value;
 use std::cell::Cell;
 use std::collections::hash_map::DefaultHasher;
@@ -52,7 +52,7 @@
         for entry in entries {
             match self.parse_entry(entry) {
                 Ok(entry) => parsed_entries.push(entry),
-                Err(why) => note!("list: skipped an entry: {why}: {entry}"),
+                Err(why) => log!("list: skipped an entry: {why}: {entry}"),
             }
         }
         let kind = match (is_cached, is_snapshot) {
@@ -71,7 +71,7 @@
 
     fn log_message(&self, is_snapshot: bool, parsed_entries: &[AddressedEntry]) {
         let count = |state| parsed_entries.iter().filter(|(entry, _)| entry.state == state).count();
-        note!(
+        log!(
             "list: version {} ({}): {} ready, {} draining, {} gone",
             self.version.get(),
             if is_snapshot { "snapshot" } else { "changes" },
--- a/crates/node/src/list_watches.rs
+++ b/crates/node/src/list_watches.rs
@@ -9,7 +9,7 @@
 use crate::limits::Limits;
 use crate::list::ListUpdater;
 use crate::list_age::ListAge;
-use crate::log::note;
+use crate::log::log;
 use crate::message_reader::MessageReader;
 use crate::transport::Transport;
 use bytes::Bytes;
@@ -186,11 +186,11 @@
         };
         match end {
             WatchEnd::Silent(since) => {
-                note!("list: the watch has ended: no message within the heartbeat timeout");
+                log!("list: the watch has ended: no message within the heartbeat timeout");
                 self.update_list_age(|list_age, _| list_age.watch_silent(since));
             }
             WatchEnd::Failed(why) => {
-                note!("list: the watch has ended: {why}");
+                log!("list: the watch has ended: {why}");
                 if was_answered {
                     self.update_list_age(|list_age, now| list_age.watch_ended(now));
                 } else if is_newest && !newest_is_at_former_address {
@@ -248,14 +248,14 @@
     ) -> Result<(), WatchEnd> {
         let request = self.build_request(discovery)?;
         let called_at = Instant::now();
-        note!("list: requesting from {discovery} the changes since version {}", self.list_updater.version());
+        log!("list: requesting from {discovery} the changes since version {}", self.list_updater.version());
         let mut deadline = called_at + self.limits.discovery_timeout;
         let response = timeout_at(deadline, sender.send_request(request)).await;
         let response = response.map_err(|_| "timed out waiting for an answer")?.map_err(|e| e.to_string())?;
         if response.status() != StatusCode::OK {
             return Err(format!("answered {}", response.status()).into());
         }
-        note!("list: {discovery} accepted the watch after {} ms", called_at.elapsed().as_millis());
+        log!("list: {discovery} accepted the watch after {} ms", called_at.elapsed().as_millis());
         let (mut body, mut reader, mut last_message_at) =
             (response.into_body(), MessageReader::default(), None);
         loop {
@@ -275,7 +275,7 @@
                 last_message_at = Some(self.dispatcher.clock.now());
             }
             if reader.unfinished_bytes() > 0 {
-                note!("list: {} bytes of an incomplete message received", reader.unfinished_bytes());
+                log!("list: {} bytes of an incomplete message received", reader.unfinished_bytes());
             }
             if reader.unfinished_bytes() > self.limits.max_message_bytes {
                 return Err("a message is too long".into());
@@ -295,7 +295,7 @@
     /// The call has been answered, so all earlier calls are closed.
     fn record_answer(&self, call: CallNumber, discovery: SocketAddr, called_at: Instant) {
         let waited = called_at.elapsed().as_millis();
-        note!("list: version {} received {waited} ms after the call", self.list_updater.version());
+        log!("list: version {} received {waited} ms after the call", self.list_updater.version());
         self.newest_answered.set(self.newest_answered.get().max(call));
         self.answer_received.notify_one();
         self.update_list_age(|list_age, _| list_age.answered(self.configured_address.get() == discovery));
@@ -312,7 +312,7 @@
         }
         let message = serde_json::from_slice::<Value>(line).map_err(|e| e.to_string());
         if let Err(why) = message.and_then(|message| self.list_updater.apply_message(&message, false)) {
-            note!("list: skipped an invalid message: {why}");
+            log!("list: skipped an invalid message: {why}");
         }
     }
 }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -78,7 +78,7 @@
     let _ = stderr().write_all(&line);
 }
 
-macro_rules! note {
+macro_rules! log {
     ($($part:tt)*) => {{
         thread_local! {
             static RATE_LIMITER: $crate::log::RateLimiter = const { $crate::log::RateLimiter::new() };
@@ -92,4 +92,4 @@
         }
     }};
 }
-pub(crate) use note;
+pub(crate) use log;
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -3,7 +3,7 @@
 
 use crate::bodies::{BodyMemory, OutgoingBody, ReadBody, StreamEnd};
 use crate::limits::Limits;
-use crate::log::note;
+use crate::log::log;
 use crate::observed_stream::{ObservedStream, StreamObserver};
 use crate::transport::{is_local, Transport};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -67,7 +67,7 @@
         ready!(stream.poll_read(cx, buf))?;
         if self.is_idle.get() && buf.filled().len() > before {
             self.unsolicited_at.set(Some(Instant::now()));
-            note!("pool: a backend sent data without a request; connections now rest after each answer");
+            log!("pool: a backend sent data without a request; connections now rest after each answer");
         }
         Poll::Ready(Ok(()))
     }
@@ -194,7 +194,7 @@
                 match Transport::connect(address).await {
                     Ok(stream) => return Ok(stream),
                     Err(error) if is_local(&error) => {
-                        note!("pool: no local socket available to connect: {error}");
+                        log!("pool: no local socket available to connect: {error}");
                         is_waiting_for_socket.set(true);
                         sleep(self.limits.accept_retry_pause).await;
                         is_waiting_for_socket.set(false);
@@ -232,7 +232,7 @@
             Ok(read_body) => read_body,
             Err(error) => {
                 // The lease is dropped here, which closes the connection: it is in an unknown state.
-                note!("pool: an answer could not be read: {error:?}");
+                log!("pool: an answer could not be read: {error:?}");
                 return Exchange::ConnectionLost;
             }
         };
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -3,7 +3,7 @@
 use crate::bodies::{OutgoingBody, ReadBody};
 use crate::dispatcher::Dispatcher;
 use crate::limits::Limits;
-use crate::log::note;
+use crate::log::log;
 use crate::pool::{Exchange, Pool};
 use bytes::Bytes;
 use hyper::header::{HeaderValue, HOST};
@@ -35,7 +35,7 @@
     };
     let values: Option<Vec<f32>> = names.iter().map(value).collect();
     if values.is_none() {
-        note!("load report ignored: {:?}", String::from_utf8_lossy(&bytes[..bytes.len().min(200)]));
+        log!("load report ignored: {:?}", String::from_utf8_lossy(&bytes[..bytes.len().min(200)]));
     }
     values
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -6,7 +6,7 @@
 use crate::fleet::{Fleet, NodeIdentity};
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
-use crate::log::{note, write_unlimited};
+use crate::log::{log, write_unlimited};
 use crate::sites::Sites;
 use crate::trial::{write_atomically, ActiveTrial, QueuedAction, Trial, TrialAction, TrialReply};
 use hyper::StatusCode;
@@ -118,7 +118,7 @@
                     let answer = self.execute(action);
                     if !is_query {
                         let new_state = answer.as_ref().unwrap_or_else(|(_, why)| why);
-                        note!("rollout: {new_state}");
+                        log!("rollout: {new_state}");
                     }
                     let _ = reply.send(answer);
                 }
@@ -127,8 +127,8 @@
                         trial.expired.set(trial.expired.get() + 1);
                     }
                     match self.roll_back() {
-                        Ok(new_state) => note!("rollout: the trial has expired without a request from its leader: {new_state}"),
-                        Err((_, why)) => note!("rollout: the trial has expired without a request from its leader: {why}"),
+                        Ok(new_state) => log!("rollout: the trial has expired without a request from its leader: {new_state}"),
+                        Err((_, why)) => log!("rollout: the trial has expired without a request from its leader: {why}"),
                     }
                 }
             }
@@ -150,7 +150,7 @@
             .iter()
             .find(|path| lookup(&self.file, path).ok() != lookup(&new.file, path).ok())
         {
-            return Err(format!("{path} can be changed only by a restart"));
+            return Err(format!("{path} takes a restart to change"));
         }
         let new_discovery = new.discovery;
         let changed = self.adopt(new)?;
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -6,7 +6,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::launch::Launch;
 use crate::launch_types::{BackendAnswer, LaunchControl, LaunchResult, OutboundRequest};
-use crate::log::note;
+use crate::log::log;
 use crate::node::Node;
 use crate::reply::{rejection, text_reply, Reply};
 use crate::sites::AdmissionTicket;
@@ -63,7 +63,7 @@
             .iter()
             .for_each(|control| if body_is_incomplete { control.cancel() } else { control.detach() });
         if self.dispatcher.record_client_done(self.handle) {
-            note!("command: the client disconnected before its answer");
+            log!("command: the client disconnected before its answer");
         }
         // Results that were not received yet are still reported to the balancer. Launches that end later
         // report their own.
--- a/crates/node/src/sites.rs
+++ b/crates/node/src/sites.rs
@@ -4,7 +4,7 @@
 use crate::counts::CommandEnd;
 use crate::dispatcher::Dispatcher;
 use crate::fleet::Fleet;
-use crate::log::note;
+use crate::log::log;
 use crate::site_evidence::{LaunchCounts, SiteEvidence};
 use serde_json::{json, Value};
 use sites::admission::{Admission, SiteAdmission, SiteObservations};
@@ -116,7 +116,7 @@
             let (site, evidence) = (&names[change.site.0], change.evidence);
             let live_of_known =
                 |part: Option<(u32, u32)>| part.map_or("?".to_owned(), |(here, all)| format!("{here}/{all}"));
-            note!(
+            log!(
                 "sites: {site} is {}: {} (nodes {}, backends {}, answered {}, unanswered {})",
                 change.state.text(),
                 change.reason.text(),
--- a/crates/node/src/trial.rs
+++ b/crates/node/src/trial.rs
@@ -6,7 +6,7 @@
 //! before it accepts a request, and refuses every other leader: one that was cut off and comes back has no
 //! authority any more.
 
-use crate::log::note;
+use crate::log::log;
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -187,7 +187,7 @@
             write_atomically(&self.config.term_file, &bytes).map_err(|e| {
                 (StatusCode::INTERNAL_SERVER_ERROR, format!("the term cannot be stored: {e}"))
             })?;
-            note!("rollout: led by {} in term {}", request.leader.name, request.leader.term);
+            log!("rollout: led by {} in term {}", request.leader.name, request.leader.term);
             *self.leader.borrow_mut() = request.leader.clone();
             return Ok(());
         }
