--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -61,7 +61,7 @@
 pub async fn accept_connections(listener: Rc<TcpListener>, node: Rc<Node>) {
     let clients = Rc::new(ClientConnections::default());
     tokio::task::spawn_local(close_idle_while_draining(clients.clone(), node.clone()));
-    let mut stop_accepting = pin!(node.lifecycle.stopped_for(node.limits.accept_after_stop));
+    let mut stop_accepting = pin!(node.lifecycle.wait_until_stopped_for(node.limits.accept_after_stop));
     let mut failures = AcceptFailures::default();
     loop {
         let open_count = clients.open.borrow().len();
@@ -93,7 +93,7 @@
         }
     }
     // For their clients, connections in the kernel's queue are established already, so they are served too.
-    let mut stop_serving_idle = pin!(node.lifecycle.stopped_for(node.limits.keep_idle_after_stop));
+    let mut stop_serving_idle = pin!(node.lifecycle.wait_until_stopped_for(node.limits.keep_idle_after_stop));
     loop {
         let accepted = tokio::select! {
             accepted = timeout(node.limits.queue_drain_timeout, listener.accept()) => accepted,
@@ -112,7 +112,7 @@
         }
     }
     drop(listener);
-    node.lifecycle.stopped_for(node.limits.keep_idle_after_stop).await;
+    node.lifecycle.wait_until_stopped_for(node.limits.keep_idle_after_stop).await;
     for (_, client) in clients.open.borrow().iter() {
         client.request_close();
     }
@@ -124,7 +124,7 @@
     // The node waits only for commands in flight. Answers that are still streaming continue until the
     // process is killed.
     let no_answer_owed = async {
-        node.lifecycle.stopped_for(node.limits.exit_after_stop.get()).await;
+        node.lifecycle.wait_until_stopped_for(node.limits.exit_after_stop.get()).await;
         // A stalled client is waited for no longer than `client_silence`.
         while clients.owes_answer(node.limits.client_silence) {
             sleep(node.limits.idle_after).await;
@@ -140,7 +140,7 @@
 async fn close_idle_while_draining(clients: Rc<ClientConnections>, node: Rc<Node>) {
     let idle_after = node.limits.idle_after;
     loop {
-        node.lifecycle.draining_for(node.limits.keep_idle_after_stop).await;
+        node.lifecycle.wait_until_draining_for(node.limits.keep_idle_after_stop).await;
         for (_, client) in clients
             .open
             .borrow()
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -175,7 +175,7 @@
         };
         match trial.submit(TrialAction::GetSettings).await {
             Ok(settings) => json_reply(&serde_json::from_str(&settings).unwrap_or_default()),
-            Err((status, why)) => text_reply(status, &why),
+            Err((status, reason)) => text_reply(status, &reason),
         }
     }
 
@@ -191,7 +191,7 @@
         }
         match trial.handle(body).await {
             Ok(new_state) => text_reply(StatusCode::OK, &new_state),
-            Err((status, why)) => text_reply(status, &why),
+            Err((status, reason)) => text_reply(status, &reason),
         }
     }
 
--- a/crates/node/src/bodies.rs
+++ b/crates/node/src/bodies.rs
@@ -179,9 +179,9 @@
                 Err(_) => return Err(ReadError::TooSlow),
             };
             let Ok(data) = frame.into_data() else { continue };
-            if let Err(why) = buffer.push(&data) {
+            if let Err(reason) = buffer.push(&data) {
                 drain_remainder(body);
-                return Err(why);
+                return Err(reason);
             }
             if buffer.bytes.len() > limits.window_bytes || exceeds_window && limits.stream_after.is_some() {
                 break;
--- a/crates/node/src/client_service.rs
+++ b/crates/node/src/client_service.rs
@@ -86,12 +86,12 @@
         }
         let mut command = match self.parse_command(request.method(), request.headers()) {
             Ok(command) => command,
-            Err(why) => return text_reply(StatusCode::BAD_REQUEST, &why),
+            Err(reason) => return text_reply(StatusCode::BAD_REQUEST, &reason),
         };
         let time_left = command.deadline.since(command.arrived_at);
         let (head, body) = request.into_parts();
         // During a stop the rest of the body would arrive too late for an answer.
-        let stopped = self.lifecycle.stopped_for(self.limits.keep_idle_after_stop);
+        let stopped = self.lifecycle.wait_until_stopped_for(self.limits.keep_idle_after_stop);
         let body = match self.body_memory.read(body, self.limits.request_bodies, stopped).await {
             Ok(body) => body,
             Err(ReadError::TooLarge) => return text_reply(StatusCode::PAYLOAD_TOO_LARGE, "body too large"),
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -91,7 +91,7 @@
 /// The operators' file for the fleet view, with the seeds from their separate file, if it names one.
 fn read_view(path: &str) -> Result<ViewConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("fleet: {path}: {e}"))?;
-    let mut view = ViewConfig::from_toml(&text).map_err(|why| format!("fleet: {path}: {why}"))?;
+    let mut view = ViewConfig::from_toml(&text).map_err(|reason| format!("fleet: {path}: {reason}"))?;
     if let Some(file) = &view.seeds_file {
         view.seeds.extend(read_seeds(file)?);
     }
@@ -101,13 +101,13 @@
 /// The operators' file for rollouts.
 fn read_trial(path: &str) -> Result<TrialConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("rollout: {path}: {e}"))?;
-    TrialConfig::from_toml(&text).map_err(|why| format!("rollout: {path}: {why}"))
+    TrialConfig::from_toml(&text).map_err(|reason| format!("rollout: {path}: {reason}"))
 }
 
 /// The operators' site failover plan.
 fn read_plan(path: &str) -> Result<Plan, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("sites: {path}: {e}"))?;
-    Plan::from_toml(&text).map_err(|why| format!("sites: {path}: {why}"))
+    Plan::from_toml(&text).map_err(|reason| format!("sites: {path}: {reason}"))
 }
 
 /// One address per line; empty lines and lines that begin with `#` are ignored.
--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -196,10 +196,10 @@
         now: Timestamp,
         name: &str,
         (payoff, goal_time): (f64, Micros),
-        arrived: Timestamp,
+        arrived_at: Timestamp,
         end: CommandEnd,
     ) {
-        let latency = now.since(arrived);
+        let latency = now.since(arrived_at);
         self.update_profile(now, name, |entry| {
             let within_goal = end == CommandEnd::Finished && latency <= goal_time;
             // A client that disconnected early requested nothing that could still be served.
@@ -352,9 +352,9 @@
 
     /// Counts the end of the command: the client has its answer or has disconnected. Only the first call
     /// counts.
-    pub fn record_end(&mut self, now: Timestamp, arrived: Timestamp, end: CommandEnd) {
+    pub fn record_end(&mut self, now: Timestamp, arrived_at: Timestamp, end: CommandEnd) {
         if !std::mem::replace(&mut self.has_ended, true) {
-            self.counts.count_end(now, &self.name, (self.payoff, self.goal_time), arrived, end);
+            self.counts.count_end(now, &self.name, (self.payoff, self.goal_time), arrived_at, end);
         }
     }
 }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -319,7 +319,7 @@
         let Some(file) = view.config.seeds_file.clone() else { return };
         match read_seeds(&file) {
             Ok(seeds) => view.config.seeds = seeds,
-            Err(why) => log!("fleet: keeping the previous seeds: {why}"),
+            Err(reason) => log!("fleet: keeping the previous seeds: {reason}"),
         }
     }
 
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -45,7 +45,8 @@
     /// There are two processes already, or the node is stopping.
     #[serde(rename = "no")]
     Refused {
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     State(State),
     /// From the new process: it can accept connections, and the old one must stop accepting.
@@ -106,7 +107,7 @@
     let Ok(stream) = StdUnixStream::connect(path) else { return Ok(None) };
     match receive_state(&stream, limits) {
         Ok(Ok((state, listener))) => Ok(Some(Handover { state, listener, stream })),
-        Ok(Err(why)) => Err(why),
+        Ok(Err(reason)) => Err(reason),
         Err(error) => {
             log!("handover: cannot use the process at {}: {error}; starting as from nothing", path.display());
             Ok(None)
@@ -136,7 +137,7 @@
     reader.read_until(b'\n', &mut bytes_read)?;
     match (serde_json::from_slice(&bytes_read)?, socket) {
         (Message::State(state), Some(socket)) => Ok(Ok((state, std::net::TcpListener::from(socket)))),
-        (Message::Refused { why }, _) => Ok(Err(why)),
+        (Message::Refused { reason }, _) => Ok(Err(reason)),
         _ => Err(io::Error::other("it has sent no socket")),
     }
 }
@@ -317,9 +318,9 @@
         let listener = self.listener.upgrade().filter(|_| !self.lifecycle.is_stopping());
         let is_free = self.link.borrow().is_none() && !self.is_sending_state.get();
         let Some(listener) = listener.filter(|_| is_free) else {
-            let why =
+            let reason =
                 if is_free { "this node is stopping" } else { "two processes of this node run already" };
-            let refusal = encode_line(&Message::Refused { why: why.to_owned() }).unwrap_or_default();
+            let refusal = encode_line(&Message::Refused { reason: reason.to_owned() }).unwrap_or_default();
             let _ = write.write_all(&[b"\n", &refusal[..]].concat()).await;
             return;
         };
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -107,8 +107,8 @@
     let pool = Rc::new(pool::Pool::new(limits.clone(), body_memory.clone()));
 
     let list_updater = list::ListUpdater::new(dispatcher.clone());
-    if let Some(Err(why)) = config.cached_list.map(|list| list_updater.apply_message(&list, true)) {
-        return Err(format!("known: {why}"));
+    if let Some(Err(reason)) = config.cached_list.map(|list| list_updater.apply_message(&list, true)) {
+        return Err(format!("known: {reason}"));
     }
     let lifecycle = Rc::new(lifecycle::Lifecycle::new());
     let path = handover::socket_path(config.shared_dir, config.listen);
@@ -125,8 +125,8 @@
             }
             lifecycle.set_draining(state.is_draining);
             generation = state.generation;
-            if let Err(why) = list_updater.apply_message(&state.list, true) {
-                log!("handover: the list could not be used: {why}");
+            if let Err(reason) = list_updater.apply_message(&state.list, true) {
+                log!("handover: the list could not be used: {reason}");
             }
             old_process = Some(stream);
             listener.set_nonblocking(true).and_then(|()| tokio::net::TcpListener::from_std(listener))
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -71,7 +71,7 @@
     }
 
     /// Completes this long after the request to drain clients, if it still holds then.
-    pub async fn draining_for(&self, span: Duration) {
+    pub async fn wait_until_draining_for(&self, span: Duration) {
         let mut draining_since = self.draining_since.subscribe();
         loop {
             let since = *draining_since.borrow_and_update();
@@ -83,7 +83,7 @@
     }
 
     /// Completes this long after the stop signal.
-    pub async fn stopped_for(&self, span: Duration) {
+    pub async fn wait_until_stopped_for(&self, span: Duration) {
         let mut stopped_at = self.stopped_at.subscribe();
         let signal_time = stopped_at.wait_for(Option::is_some).await.ok().and_then(|at| *at);
         match signal_time {
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -62,7 +62,7 @@
     /// after a backend was seen to answer twice. A second answer comes some milliseconds after the first.
     /// Resting at all times, and not only then, cost a tenth on short simulated days.
     pub rest_after_answer: Duration,
-    pub rest_for: Duration,
+    pub rest_period: Duration,
     /// How long an idle connection to a backend is kept.
     pub backend_idle_timeout: Cell<Duration>,
     /// The timeout of a probe. A backend answers it without queueing, in about a round trip.
@@ -197,7 +197,7 @@
             connect_timeout: Cell::new(connect_timeout),
             ready_timeout: Duration::from_millis(20),
             rest_after_answer: Duration::from_millis(10),
-            rest_for: Duration::from_secs(60),
+            rest_period: Duration::from_secs(60),
             // Half of the backend's own idle timeout is early enough, whatever the network delay and however
             // late the node.
             backend_idle_timeout: Cell::new(idle_timeout / 2),
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -52,7 +52,7 @@
         for entry in entries {
             match self.parse_entry(entry) {
                 Ok(entry) => parsed_entries.push(entry),
-                Err(why) => log!("list: skipped an entry: {why}: {entry}"),
+                Err(reason) => log!("list: skipped an entry: {reason}: {entry}"),
             }
         }
         let kind = match (is_cached, is_snapshot) {
--- a/crates/node/src/list_watches.rs
+++ b/crates/node/src/list_watches.rs
@@ -48,14 +48,14 @@
 }
 
 impl From<String> for WatchEnd {
-    fn from(why: String) -> WatchEnd {
-        WatchEnd::Failed(why)
+    fn from(reason: String) -> WatchEnd {
+        WatchEnd::Failed(reason)
     }
 }
 
 impl From<&str> for WatchEnd {
-    fn from(why: &str) -> WatchEnd {
-        WatchEnd::Failed(why.to_owned())
+    fn from(reason: &str) -> WatchEnd {
+        WatchEnd::Failed(reason.to_owned())
     }
 }
 
@@ -189,8 +189,8 @@
                 log!("list: the watch has ended: no message within the heartbeat timeout");
                 self.update_list_age(|list_age, _| list_age.watch_silent(since));
             }
-            WatchEnd::Failed(why) => {
-                log!("list: the watch has ended: {why}");
+            WatchEnd::Failed(reason) => {
+                log!("list: the watch has ended: {reason}");
                 if was_answered {
                     self.update_list_age(|list_age, now| list_age.watch_ended(now));
                 } else if is_newest && !newest_is_at_former_address {
@@ -311,8 +311,8 @@
             return;
         }
         let message = serde_json::from_slice::<Value>(line).map_err(|e| e.to_string());
-        if let Err(why) = message.and_then(|message| self.list_updater.apply_message(&message, false)) {
-            log!("list: skipped an invalid message: {why}");
+        if let Err(reason) = message.and_then(|message| self.list_updater.apply_message(&message, false)) {
+            log!("list: skipped an invalid message: {reason}");
         }
     }
 }
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -139,7 +139,7 @@
         let connections = idle.get_mut(&backend)?;
         // If backends have been seen to answer twice, a connection whose answer has only just arrived may
         // deliver a second one, which would be taken for the answer to the next request.
-        let must_rest = self.unsolicited_at.get().is_some_and(|at| at.elapsed() < self.limits.rest_for);
+        let must_rest = self.unsolicited_at.get().is_some_and(|at| at.elapsed() < self.limits.rest_period);
         let rest_time = if must_rest { self.limits.rest_after_answer } else { Duration::ZERO };
         let mut usable_count = connections.partition_point(|idle| idle.idle_since.elapsed() >= rest_time);
         while usable_count > 0 {
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -110,14 +110,14 @@
                             let discovery = *self.discovery.borrow();
                             write_unlimited(format_args!("reload: discovery is at {discovery}; {changed}"));
                         }
-                        Err(why) => write_unlimited(format_args!("reload: the old configuration stays: {why}")),
+                        Err(reason) => write_unlimited(format_args!("reload: the old configuration stays: {reason}")),
                     }
                 }
                 Some((action, reply)) = next_action(&mut actions) => {
                     let is_query = matches!(action, TrialAction::GetSettings | TrialAction::Check { .. });
                     let answer = self.execute(action);
                     if !is_query {
-                        let new_state = answer.as_ref().unwrap_or_else(|(_, why)| why);
+                        let new_state = answer.as_ref().unwrap_or_else(|(_, reason)| reason);
                         log!("rollout: {new_state}");
                     }
                     let _ = reply.send(answer);
@@ -128,7 +128,7 @@
                     }
                     match self.roll_back() {
                         Ok(new_state) => log!("rollout: the trial has expired without a request from its leader: {new_state}"),
-                        Err((_, why)) => log!("rollout: the trial has expired without a request from its leader: {why}"),
+                        Err((_, reason)) => log!("rollout: the trial has expired without a request from its leader: {reason}"),
                     }
                 }
             }
@@ -197,7 +197,7 @@
             TrialAction::Lead => Ok("led".to_owned()),
             TrialAction::GetSettings => Ok(self.file["settings"].to_string()),
             TrialAction::Check { settings } => {
-                let unprocessable = |why| (StatusCode::UNPROCESSABLE_ENTITY, why);
+                let unprocessable = |reason| (StatusCode::UNPROCESSABLE_ENTITY, reason);
                 let mut file = self.file.clone();
                 file["settings"] =
                     with_node_identity(settings, &self.file["settings"]).map_err(unprocessable)?;
@@ -217,7 +217,7 @@
                     return Err(conflict(&format!("the settings in force here are {current_digest}")));
                 }
                 let mut file = self.file.clone();
-                let unprocessable = |why| (StatusCode::UNPROCESSABLE_ENTITY, why);
+                let unprocessable = |reason| (StatusCode::UNPROCESSABLE_ENTITY, reason);
                 file["settings"] =
                     with_node_identity(settings, &self.file["settings"]).map_err(unprocessable)?;
                 let new = Config::from_file(file, Self::variable).map_err(unprocessable)?;
@@ -237,7 +237,7 @@
             }
             TrialAction::Confirm => {
                 if self.file_before_trial.is_some() {
-                    self.persist_settings().map_err(|why| (StatusCode::INTERNAL_SERVER_ERROR, why))?;
+                    self.persist_settings().map_err(|reason| (StatusCode::INTERNAL_SERVER_ERROR, reason))?;
                     self.file_before_trial = None;
                     *trial.active.borrow_mut() = None;
                 }
@@ -254,7 +254,7 @@
         }
         let Some(former) = self.file_before_trial.take() else { return Ok("nothing is on trial".to_owned()) };
         let new = Config::from_file(former, Self::variable).and_then(|former| self.adopt(former));
-        let changed = new.map_err(|why| (StatusCode::INTERNAL_SERVER_ERROR, why))?;
+        let changed = new.map_err(|reason| (StatusCode::INTERNAL_SERVER_ERROR, reason))?;
         Ok(format!("{:016x} again; {changed}", self.settings_digest.get()))
     }
 
@@ -293,8 +293,8 @@
     Ok(settings)
 }
 
-fn conflict(why: &str) -> (StatusCode, String) {
-    (StatusCode::CONFLICT, why.to_owned())
+fn conflict(reason: &str) -> (StatusCode, String) {
+    (StatusCode::CONFLICT, reason.to_owned())
 }
 
 async fn next_action(actions: &mut Option<mpsc::UnboundedReceiver<QueuedAction>>) -> Option<QueuedAction> {
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -178,13 +178,13 @@
             }
             // During a stop the last byte would arrive too late for an answer. Without it the command cannot
             // have run.
-            () = node.lifecycle.stopped_for(node.limits.keep_idle_after_stop), if body_is_streaming => {
+            () = node.lifecycle.wait_until_stopped_for(node.limits.keep_idle_after_stop), if body_is_streaming => {
                 active.record_end(CommandEnd::Rejected);
                 return rejection(Micros(0));
             }
             // Even an answer that a backend sends now would not reach the client before the process is
             // killed.
-            () = node.lifecycle.stopped_for(node.limits.answer_after_stop.get()), if !body_is_streaming => dispatcher.reject_or_fail(handle),
+            () = node.lifecycle.wait_until_stopped_for(node.limits.answer_after_stop.get()), if !body_is_streaming => dispatcher.reject_or_fail(handle),
             () = placement_due.notified(), if !body_is_streaming => dispatcher.decide(handle),
             () = sleep(check_delay.unwrap_or_default()), if check_delay.is_some() && !body_is_streaming => dispatcher.decide(handle),
         };
--- a/crates/node/src/trial.rs
+++ b/crates/node/src/trial.rs
@@ -132,8 +132,8 @@
     queue: mpsc::UnboundedSender<QueuedAction>,
 }
 
-fn conflict(why: String) -> (StatusCode, String) {
-    (StatusCode::CONFLICT, why)
+fn conflict(reason: String) -> (StatusCode, String) {
+    (StatusCode::CONFLICT, reason)
 }
 
 impl Trial {
@@ -279,8 +279,8 @@
             ("term_file = \"t\"\nterm = 1", "line 2"),
         ];
         for (text, key) in cases {
-            let why = TrialConfig::from_toml(text).expect_err(text);
-            assert!(why.contains(key), "{text}: {why}");
+            let reason = TrialConfig::from_toml(text).expect_err(text);
+            assert!(reason.contains(key), "{text}: {reason}");
         }
     }
 }
