--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -296,7 +296,7 @@
         });
     }
 
-    /// Present only if a rollout file is configured.
+    /// The statistics; `None` unless a rollout file is configured.
     pub fn counts(&self) -> Option<&Rc<Counts>> {
         self.counts.as_ref()
     }
--- a/crates/node/src/list_age.rs
+++ b/crates/node/src/list_age.rs
@@ -15,7 +15,7 @@
 /// Every change binds the node this long after a new configuration gave another address of discovery.
 const BINDS_AFTER_MOVE: Micros = Micros::from_millis(4000);
 
-/// The times from which changes bind that may have been missed since discovery's last answer.
+/// When changes that may have been missed since discovery's last answer start to bind this node.
 #[derive(Debug, Default)]
 pub struct ListAge {
     binds_after_move: Option<Timestamp>,
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -22,7 +22,7 @@
 /// The optional stages, each present if its file is configured.
 pub type OptionalStages = (Option<Rc<Fleet>>, Option<Rc<Trial>>, Option<Rc<Sites>>);
 
-/// The configuration in force, and what has to follow its changes.
+/// Applies configuration changes: holds the configuration in force and the stages that follow it.
 pub struct Reload {
     hangup: mpsc::UnboundedReceiver<()>,
     discovery: watch::Sender<SocketAddr>,
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -22,7 +22,7 @@
 /// Whether a connect failed because this machine lacks a resource, which says nothing about the peer.
 pub fn is_local(error: &io::Error) -> bool {
     use rustix::io::Errno;
-    const LOCAL: [Errno; 8] = [
+    const LOCAL_ERRORS: [Errno; 8] = [
         Errno::MFILE,
         Errno::NFILE,
         Errno::NOBUFS,
@@ -32,7 +32,7 @@
         Errno::AGAIN,
         Errno::INTR,
     ];
-    LOCAL.iter().any(|local| error.raw_os_error() == Some(local.raw_os_error()))
+    LOCAL_ERRORS.iter().any(|local| error.raw_os_error() == Some(local.raw_os_error()))
 }
 
 impl Transport {
