--- a/crates/node/src/list_age.rs
+++ b/crates/node/src/list_age.rs
@@ -1,57 +1,64 @@
-//! From when on the list in use may be overtaken by news that this node is held to and has not heard.
+//! Determines from when on the list in use may be outdated by changes that bind this node although it has
+//! not received them.
 //!
-//! The deployment counts what discovery has to tell as known some seconds after a watch has been lost or discovery has
-//! moved, whether or not it has arrived. Only a call that waits for its answer can still bring it in time.
+//! In the deployment, discovery's changes bind a node some seconds after its watch was lost or discovery has
+//! moved, whether or not they have arrived: the node is held to them as if it knew them. Only a call that
+//! is still waiting for its answer can deliver them in time.
 
 use yarrowfront::times::{Micros, Timestamp};
 
-/// What the end of a watch hides counts as known so long after it.
-const KNOWN_AFTER_END: Micros = Micros::from_millis(2000);
-/// And what a watch misses that has fallen silent, which may have been right behind its last message.
-const KNOWN_AFTER_SILENCE: Micros = Micros::from_millis(6000);
-/// And all that discovery has to tell, so long after a configuration with another address of it.
-const KNOWN_AFTER_MOVE: Micros = Micros::from_millis(4000);
+/// A change that the end of a watch hides binds the node after this time.
+const BINDS_AFTER_WATCH_END: Micros = Micros::from_millis(2000);
+/// A change that a silent watch misses binds the node this long after the last message, as it may have come
+/// right behind it.
+const BINDS_AFTER_SILENCE: Micros = Micros::from_millis(6000);
+/// Every change binds the node this long after a new configuration gave another address of discovery.
+const BINDS_AFTER_MOVE: Micros = Micros::from_millis(4000);
 
-/// The events since the list was last heard of that news may hide behind.
+/// When changes that may have been missed since discovery's last answer start to bind this node.
 #[derive(Debug, Default)]
 pub struct ListAge {
-    after_move: Option<Timestamp>,
-    after_loss: Option<Timestamp>,
+    binds_after_move: Option<Timestamp>,
+    binds_after_loss: Option<Timestamp>,
 }
 
 impl ListAge {
+    /// Discovery has a new address.
     pub fn discovery_moved(&mut self, now: Timestamp) {
-        self.after_move.get_or_insert(now + KNOWN_AFTER_MOVE);
+        self.binds_after_move.get_or_insert(now + BINDS_AFTER_MOVE);
     }
 
+    /// A watch that had been answered has ended.
     pub fn watch_ended(&mut self, now: Timestamp) {
-        self.lost(now + KNOWN_AFTER_END);
+        self.record_loss(now + BINDS_AFTER_WATCH_END);
     }
 
+    /// A watch has fallen silent after its last message at this time.
     pub fn watch_silent(&mut self, last_message: Timestamp) {
-        self.lost(last_message + KNOWN_AFTER_SILENCE);
+        self.record_loss(last_message + BINDS_AFTER_SILENCE);
     }
 
-    fn lost(&mut self, known: Timestamp) {
-        self.after_loss = Some(self.after_loss.map_or(known, |earlier| earlier.min(known)));
+    fn record_loss(&mut self, binds_at: Timestamp) {
+        self.binds_after_loss = Some(self.binds_after_loss.map_or(binds_at, |earlier| earlier.min(binds_at)));
     }
 
-    /// Discovery has answered: at its present address, or still at a former one.
+    /// Discovery has answered, at its present address or still at a former one.
     pub fn answered(&mut self, at_present_address: bool) {
-        self.after_loss = None;
+        self.binds_after_loss = None;
         if at_present_address {
-            self.after_move = None;
+            self.binds_after_move = None;
         }
     }
 
-    /// The call has failed: discovery is down or out of reach, and the list serves on as it is known.
+    /// The call has failed: discovery is down or unreachable, and the list stays valid as it is.
     pub fn call_failed(&mut self) {
         *self = ListAge::default();
     }
 
-    /// From when on news binds this node unheard; none while nothing is missed.
-    pub fn binds_from(&self) -> Option<Timestamp> {
-        self.after_move.into_iter().chain(self.after_loss).min()
+    /// The time from which changes that were not received bind this node; `None` if none can have been
+    /// missed.
+    pub fn expires_at(&self) -> Option<Timestamp> {
+        self.binds_after_move.into_iter().chain(self.binds_after_loss).min()
     }
 }
 
@@ -61,14 +68,14 @@
 
     const NOW: Timestamp = Timestamp(1_000_000);
 
-    fn binds_after_millis(change: impl Fn(&mut ListAge)) -> Option<u64> {
+    fn expires_after_ms(change: impl Fn(&mut ListAge)) -> Option<u64> {
         let mut age = ListAge::default();
         change(&mut age);
-        age.binds_from().map(|at| at.since(NOW).0 / 1000)
+        age.expires_at().map(|at| at.since(NOW).0 / 1000)
     }
 
     #[test]
-    fn the_earliest_binds_until_it_is_answered() {
+    fn list_expires_at_the_earliest_time_until_discovery_answers() {
         type Events = fn(&mut ListAge);
         let cases: [(Events, Option<u64>); 8] = [
             (|_| {}, None),
@@ -80,8 +87,8 @@
             (|age| (age.discovery_moved(NOW), age.watch_ended(NOW), age.answered(true)).2, None),
             (|age| (age.discovery_moved(NOW), age.call_failed()).1, None),
         ];
-        for (number, (events, binds)) in cases.into_iter().enumerate() {
-            assert_eq!(binds_after_millis(events), binds, "case {number}");
+        for (number, (events, expires_after)) in cases.into_iter().enumerate() {
+            assert_eq!(expires_after_ms(events), expires_after, "case {number}");
         }
     }
 }
--- a/crates/node/src/watched.rs
+++ b/crates/node/src/observed_stream.rs
@@ -1,4 +1,4 @@
-//! A socket under hyper on which somebody looks at what comes, or at what does not go.
+//! A socket, driven by hyper, whose reads and writes are observed.
 
 use crate::transport::Transport;
 use std::io;
@@ -6,9 +6,9 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Who looks.
-pub trait Watch {
-    /// Reads on hyper's behalf.
+/// Observes the reads and writes on a connection.
+pub trait StreamObserver {
+    /// Reads from the stream on hyper's behalf.
     fn read(
         &mut self,
         stream: Pin<&mut Transport>,
@@ -16,29 +16,30 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>>;
 
-    /// Something was to be written; `stuck` if the other side takes nothing just now.
-    fn wrote(&self, _stuck: bool) {}
+    /// Called after each write; `_is_stalled` if the peer accepts no more data at present.
+    fn on_write(&self, _is_stalled: bool) {}
 
-    /// Hyper has done for now what it could.
-    fn rests(&self, _stream: &Transport) {}
+    /// Called when hyper flushes, which it does after all other work that it can do for now.
+    fn on_flush(&self, _stream: &Transport) {}
 }
 
-pub struct Watched<W> {
+/// A stream together with its observer.
+pub struct ObservedStream<W> {
     pub stream: Transport,
-    pub watch: W,
+    pub observer: W,
 }
 
-impl<W: Watch + Unpin> AsyncRead for Watched<W> {
+impl<W: StreamObserver + Unpin> AsyncRead for ObservedStream<W> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        this.watch.read(Pin::new(&mut this.stream), cx, buf)
+        this.observer.read(Pin::new(&mut this.stream), cx, buf)
     }
 }
 
-impl<W: Watch + Unpin> AsyncWrite for Watched<W> {
+impl<W: StreamObserver + Unpin> AsyncWrite for ObservedStream<W> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.watch.wrote(written.is_pending());
+        self.observer.on_write(written.is_pending());
         written
     }
 
@@ -48,7 +49,7 @@
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, parts);
-        self.watch.wrote(written.is_pending());
+        self.observer.on_write(written.is_pending());
         written
     }
 
@@ -57,7 +58,7 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.watch.rests(&self.stream);
+        self.observer.on_flush(&self.stream);
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -1,9 +1,9 @@
-//! Asks a backend for its load, and reads load reports.
+//! Probes a backend for its load, and parses load reports.
 
-use crate::bodies::{Out, Start};
-use crate::desk::Desk;
+use crate::bodies::{OutgoingBody, ReadBody};
+use crate::dispatcher::Dispatcher;
 use crate::limits::Limits;
-use crate::log::note;
+use crate::log::log;
 use crate::pool::{Exchange, Pool};
 use bytes::Bytes;
 use hyper::header::{HeaderValue, HOST};
@@ -14,8 +14,8 @@
 use tokio::time::timeout;
 use yarrowfront::ids::BackendId;
 
-/// The settings' names of a report's fields, and what the sockets call them.
-const SOCKET_NAMES: [(&str, &str); 6] = [
+/// The names of a report's fields in the settings, and their names on the wire.
+const WIRE_NAMES: [(&str, &str); 6] = [
     ("outstanding", "inflight"),
     ("backlog", "queue"),
     ("utilization", "util"),
@@ -24,53 +24,68 @@
     ("errors_per_s", "eps"),
 ];
 
-/// The values of a load report in the order of the settings; none if it is not a whole one.
-pub fn report(names: &[String], bytes: &[u8]) -> Option<Vec<f32>> {
+/// Returns the values of a load report in the order of the settings; `None` if a value is missing or
+/// invalid.
+pub fn parse_report(names: &[String], bytes: &[u8]) -> Option<Vec<f32>> {
     let json: Value = serde_json::from_slice(bytes).ok().unwrap_or_default();
     let value = |name: &String| {
-        let known = SOCKET_NAMES.iter().find(|(settings, _)| settings == name);
+        let known = WIRE_NAMES.iter().find(|(settings, _)| settings == name);
         let field = json.get(name).or_else(|| json.get(known?.1))?;
         field.as_f64().filter(|v| (0.0..1e9).contains(v)).map(|v| v as f32)
     };
     let values: Option<Vec<f32>> = names.iter().map(value).collect();
     if values.is_none() {
-        note!("load report left out: {:?}", String::from_utf8_lossy(&bytes[..bytes.len().min(200)]));
+        log!("load report ignored: {:?}", String::from_utf8_lossy(&bytes[..bytes.len().min(200)]));
     }
     values
 }
 
+/// Sends probes to backends.
 #[derive(Clone)]
 pub struct Prober {
-    pub desk: Rc<Desk>,
+    pub dispatcher: Rc<Dispatcher>,
     pub pool: Rc<Pool>,
     pub limits: Rc<Limits>,
 }
 
 impl Prober {
+    /// Probes a backend and reports the result to the dispatcher.
     pub async fn probe(self, backend: BackendId) {
-        let sent = self.desk.clock.now();
-        let found = match self.desk.address(backend) {
-            Some(address) => timeout(self.limits.probe_wait, self.ask(backend, address)).await.ok().flatten(),
+        let sent = self.dispatcher.clock.now();
+        let load_values = match self.dispatcher.address(backend) {
+            Some(address) => {
+                timeout(self.limits.probe_timeout, self.fetch_report(backend, address)).await.ok().flatten()
+            }
             None => None,
         };
-        let trip = self.desk.clock.now().since(sent);
-        self.desk.probed(backend, found.is_some(), trip, found.as_deref().unwrap_or_default());
+        let round_trip = self.dispatcher.clock.now().since(sent);
+        self.dispatcher.record_probe(
+            backend,
+            load_values.is_some(),
+            round_trip,
+            load_values.as_deref().unwrap_or_default(),
+        );
     }
 
-    /// The report; empty where there is none to be had, and none where nobody answers.
-    async fn ask(&self, backend: BackendId, address: SocketAddr) -> Option<Vec<f32>> {
+    /// Returns the report: empty if the backend answers without a valid one, and `None` if it does not
+    /// answer.
+    async fn fetch_report(&self, backend: BackendId, address: SocketAddr) -> Option<Vec<f32>> {
         let host = HeaderValue::from_str(&address.to_string()).ok()?;
         loop {
             let lease = self.pool.lease(backend, address).await.ok()?;
-            let mut request = Request::new(Out::from(Bytes::new()));
+            let mut request = Request::new(OutgoingBody::from(Bytes::new()));
             *request.uri_mut() = Uri::from_static("/metrics/load");
             request.headers_mut().insert(HOST, host.clone());
             return match self.pool.exchange(backend, lease, request).await {
                 Exchange::Stale(_) => continue,
-                Exchange::Came(response) if response.status() == StatusCode::OK => match response.body() {
-                    Start::Whole(body) => Some(report(&self.desk.names().report, body).unwrap_or_default()),
-                    Start::Flows(_) => None,
-                },
+                Exchange::Answered(response) if response.status() == StatusCode::OK => {
+                    match response.body() {
+                        ReadBody::Buffered(body) => Some(
+                            parse_report(&self.dispatcher.names().report_fields, body).unwrap_or_default(),
+                        ),
+                        ReadBody::Streaming(_) => None,
+                    }
+                }
                 _ => None,
             };
         }
@@ -79,12 +94,12 @@
 
 #[cfg(test)]
 mod tests {
-    use super::report;
+    use super::parse_report;
 
-    /// Reports name their fields as the sockets do, the settings as the simulator does: by the wrong names
-    /// a node would go by none. What is not a whole report counts for nothing.
+    /// Reports use the wire names of the fields and the settings those of the simulator. If the names were
+    /// not mapped, every report would be ignored. An incomplete report must not be used at all.
     #[test]
-    fn reports_in_either_words() {
+    fn reports_are_parsed_under_either_field_name() {
         let names = ["outstanding", "backlog", "utilization"].map(String::from);
         let cases: [(&str, Option<[f32; 3]>); 8] = [
             (r#"{"inflight":7,"queue":2,"util":0.5}"#, Some([7.0, 2.0, 0.5])),
@@ -97,7 +112,7 @@
             ("busy", None),
         ];
         for (text, values) in cases {
-            assert_eq!(report(&names, text.as_bytes()), values.map(Vec::from), "{text}");
+            assert_eq!(parse_report(&names, text.as_bytes()), values.map(Vec::from), "{text}");
         }
     }
 }
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -1,14 +1,16 @@
-//! What answers are made of: a plain line, and headers that go on from one connection to another.
+//! Building blocks for answers: plain text replies, and the headers that are forwarded from one connection
+//! to another.
 
-use crate::bodies::Out;
+use crate::bodies::OutgoingBody;
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
 use yarrowfront::times::Micros;
 
-pub type Reply = Response<Out>;
+/// An answer to a client or an operator.
+pub type Reply = Response<OutgoingBody>;
 
-/// What belongs to one connection and not to the command on it.
+/// Headers that apply to one connection only and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -20,16 +22,17 @@
     header::CONTENT_LENGTH,
 ];
 
-pub fn plain(status: StatusCode, text: &str) -> Reply {
-    let mut reply = Response::new(Out::from(Bytes::from(format!("{text}\n"))));
+/// A one-line text reply.
+pub fn text_reply(status: StatusCode, text: &str) -> Reply {
+    let mut reply = Response::new(OutgoingBody::from(Bytes::from(format!("{text}\n"))));
     *reply.status_mut() = status;
     reply.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     reply
 }
 
-/// A turn-back, with a time to come back where one is told.
-pub fn turn_back(span: Micros) -> Reply {
-    let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "turned back");
+/// The reply that rejects a command, with `Retry-After` unless the time is zero.
+pub fn rejection(span: Micros) -> Reply {
+    let mut reply = text_reply(StatusCode::SERVICE_UNAVAILABLE, "turned back");
     if span > Micros(0) {
         let seconds = format!("{:.3}", span.as_f64() / 1e6);
         if let Ok(value) = HeaderValue::from_str(&seconds) {
@@ -39,8 +42,8 @@
     reply
 }
 
-/// Headers as they go on: all but those of the connection they came on.
-pub fn onward(mut headers: HeaderMap) -> HeaderMap {
+/// Removes the headers that apply only to the connection on which they arrived.
+pub fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,15 +1,15 @@
-//! A command's life, from the moment it is in hand to its answer.
+//! Serves one command, from the moment it is accepted to its answer.
 
-use crate::bodies::{Out, Start};
-use crate::cargo::{Answer, Cargo, Done, Reins};
-use crate::counts::{Account, End};
-use crate::desk::Desk;
-use crate::guests::Busy;
+use crate::bodies::{OutgoingBody, ReadBody};
+use crate::client_connections::CommandGuard;
+use crate::counts::{CommandEnd, CommandRecorder};
+use crate::dispatcher::Dispatcher;
 use crate::launch::Launch;
-use crate::log::note;
+use crate::launch_types::{BackendAnswer, LaunchControl, LaunchResult, OutboundRequest};
+use crate::log::log;
 use crate::node::Node;
-use crate::reply::{plain, turn_back, Reply};
-use crate::sites::Ticket;
+use crate::reply::{rejection, text_reply, Reply};
+use crate::sites::AdmissionTicket;
 use hyper::header::HeaderValue;
 use hyper::{Response, StatusCode};
 use std::rc::Rc;
@@ -21,153 +21,184 @@
 use yarrowfront::ids::CommandHandle;
 use yarrowfront::times::Micros;
 
-/// A command in hand. Dropped when it has its answer, or before that when its client has gone.
-struct Held {
-    desk: Rc<Desk>,
-    hand: CommandHandle,
-    ended: mpsc::UnboundedReceiver<Done>,
-    /// By a launch's number.
-    out: Vec<Rc<Reins>>,
-    /// What is counted of it, where anything is, and by what it was let in, where a plan for lost sites asks that.
-    account: Option<Account>,
-    ticket: Option<Ticket>,
-    /// Its connection stays as long as it does.
-    _busy: Busy,
+/// A command in flight. It is dropped when the command has its answer, or earlier if the client disconnects.
+struct ActiveCommand {
+    dispatcher: Rc<Dispatcher>,
+    handle: CommandHandle,
+    /// Receives the results of the launches.
+    results: mpsc::UnboundedReceiver<LaunchResult>,
+    /// Indexed by the launch's number.
+    controls: Vec<Rc<LaunchControl>>,
+    /// The statistics of the command, if any are kept, and its admission by the site failover plan, if there
+    /// is one.
+    recorder: Option<CommandRecorder>,
+    ticket: Option<AdmissionTicket>,
+    /// Keeps its connection from being closed as idle.
+    _command_guard: CommandGuard,
 }
 
-impl Held {
-    /// It has its end: told to whoever counts it, once.
-    fn over(&mut self, end: End) {
-        let (account, ticket) = (&mut self.account, self.ticket.take());
-        if account.is_none() && ticket.is_none() {
+impl ActiveCommand {
+    /// Reports how the command ended to the statistics and the failover plan, once.
+    fn record_end(&mut self, end: CommandEnd) {
+        let (recorder, ticket) = (&mut self.recorder, self.ticket.take());
+        if recorder.is_none() && ticket.is_none() {
             return;
         }
-        let (now, arrived) = (self.desk.clock.now(), self.desk.arrived(self.hand));
+        let (now, arrived_at) = (self.dispatcher.clock.now(), self.dispatcher.arrived_at(self.handle));
         if let Some(ticket) = ticket {
-            ticket.ended(end, now.since(arrived));
+            ticket.record_end(end, now.since(arrived_at));
         }
-        if let Some(account) = account {
-            account.over(now, arrived, end);
+        if let Some(recorder) = recorder {
+            recorder.record_end(now, arrived_at, end);
         }
     }
 }
 
-impl Drop for Held {
+impl Drop for ActiveCommand {
     fn drop(&mut self) {
-        self.over(End::Left);
-        // A launch whose last byte its client still owes never comes whole.
-        let coming = self.desk.coming(self.hand);
-        self.out.iter().for_each(|out| if coming { out.call_off() } else { out.leave() });
-        if self.desk.leave(self.hand) {
-            note!("command: its client has left before its answer");
+        self.record_end(CommandEnd::ClientGone);
+        // A launch with an incomplete streaming body cannot complete any more.
+        let body_is_incomplete = self.dispatcher.is_body_streaming(self.handle);
+        self.controls
+            .iter()
+            .for_each(|control| if body_is_incomplete { control.cancel() } else { control.detach() });
+        if self.dispatcher.record_client_done(self.handle) {
+            log!("command: the client disconnected before its answer");
         }
-        // An outcome that nobody came to read is told all the same; later ones are told by their launches.
-        self.ended.close();
-        while let Ok(done) = self.ended.try_recv() {
-            self.desk.after(self.hand, &done, false);
+        // Results that were not received yet are still reported to the balancer. Launches that end later
+        // report their own.
+        self.results.close();
+        while let Ok(result) = self.results.try_recv() {
+            self.dispatcher.record_launch_result(self.handle, &result, false);
         }
     }
 }
 
+/// Serves a command until it has its answer.
 pub async fn serve(
     node: &Node,
     command: Command,
-    id: HeaderValue,
-    cargo: Rc<Cargo>,
-    (busy, ticket): (Busy, Option<Ticket>),
+    client_id: HeaderValue,
+    outbound: Rc<OutboundRequest>,
+    (command_guard, ticket): (CommandGuard, Option<AdmissionTicket>),
 ) -> Reply {
-    let desk = &node.desk;
-    let ends = command.deadline;
-    let Some((hand, again)) = desk.take(command, id) else {
-        return plain(StatusCode::CONFLICT, "a command with this id is in hand");
+    let dispatcher = &node.dispatcher;
+    let deadline = command.deadline;
+    let Some((handle, placement_due)) = dispatcher.register(command, client_id) else {
+        return text_reply(StatusCode::CONFLICT, "a command with this id is in flight");
     };
-    let (end, ended) = mpsc::unbounded_channel();
-    let account = desk.account(hand);
-    let out = Vec::new();
-    let mut held = Held { desk: desk.clone(), hand, ended, out, account, ticket, _busy: busy };
-    let (flowed, mut over) = watch::channel(false);
-    let flowed = Rc::new(flowed);
-    let mut say = desk.place(hand);
+    let (end, results) = mpsc::unbounded_channel();
+    let recorder = dispatcher.start_recorder(handle);
+    let controls = Vec::new();
+    let mut active = ActiveCommand {
+        dispatcher: dispatcher.clone(),
+        handle,
+        results,
+        controls,
+        recorder,
+        ticket,
+        _command_guard: command_guard,
+    };
+    let (body_complete, mut body_completed) = watch::channel(false);
+    let body_complete = Rc::new(body_complete);
+    let mut decision = dispatcher.decide(handle);
     loop {
-        match say {
+        match decision {
             Decision::Launch(backend) => {
-                let (number, address) = (desk.last_launch(hand), desk.address(backend));
-                let (cargo, flowed) = (cargo.clone(), flowed.clone());
-                let reins = Rc::<Reins>::default();
-                held.out.push(reins.clone());
-                let launch =
-                    Launch { cargo, hand, number, backend, address, ends, flowed, reins: reins.clone() };
-                let (launcher, desk, end) = (node.launcher.clone(), desk.clone(), end.clone());
-                held.account.iter_mut().for_each(|account| account.launched(desk.clock.now()));
-                // A task of its own: should the client go, the module still learns what came of it.
+                let (number, address) = (dispatcher.last_launch_number(handle), dispatcher.address(backend));
+                let (outbound, body_complete) = (outbound.clone(), body_complete.clone());
+                let control = Rc::<LaunchControl>::default();
+                active.controls.push(control.clone());
+                let launch = Launch {
+                    outbound,
+                    handle,
+                    number,
+                    backend,
+                    address,
+                    deadline,
+                    body_complete,
+                    control: control.clone(),
+                };
+                let (launcher, dispatcher, end) = (node.launcher.clone(), dispatcher.clone(), end.clone());
+                active
+                    .recorder
+                    .iter_mut()
+                    .for_each(|recorder| recorder.record_launch(dispatcher.clock.now()));
+                // The launch has its own task: if the client disconnects, the balancer still learns the
+                // outcome.
                 tokio::task::spawn_local(async move {
-                    let done = tokio::select! {
+                    let result = tokio::select! {
                         biased;
-                        Ok(done) = launcher.oneshot(launch) => done,
-                        // Its connection goes with it; if it was written it may have run.
-                        () = reins.called_off() => Done::bare(number, backend, match reins.written() {
+                        Ok(result) = launcher.oneshot(launch) => result,
+                        // Dropping the launch closes its connection. If it was written, the backend may have
+                        // run it.
+                        () = control.wait_cancelled() => LaunchResult::without_answer(number, backend, match control.may_be_written() {
                             true => Outcome::Cancelled,
                             false => Outcome::NotSent,
                         }),
                     };
-                    if let Err(unread) = end.send(done) {
-                        desk.after(hand, &unread.0, false);
+                    if let Err(unreceived) = end.send(result) {
+                        dispatcher.record_launch_result(handle, &unreceived.0, false);
                     }
                 });
             }
             Decision::Wait => {}
-            Decision::Reject(span) => {
-                held.over(End::TurnedBack);
-                return turn_back(span);
+            Decision::Reject(retry_after) => {
+                active.record_end(CommandEnd::Rejected);
+                return rejection(retry_after);
             }
             Decision::Fail => {
-                held.over(End::Errored);
-                return plain(StatusCode::BAD_GATEWAY, "errored");
+                active.record_end(CommandEnd::Failed);
+                return text_reply(StatusCode::BAD_GATEWAY, "errored");
             }
             Decision::CancelLaunch(launch) => {
-                // An outcome that is on its way already goes first.
-                held.out[usize::from(launch)].call_off();
+                // If a result is queued already, it is handled before the cancellation's.
+                active.controls[usize::from(launch)].cancel();
             }
         }
-        let wait = desk.wait(hand);
-        // While its body flows nothing is late: its time counts from the last byte.
-        let flows = desk.coming(hand);
-        say = tokio::select! {
+        let check_delay = dispatcher.time_until_check(handle);
+        // No deadline applies while the request body is streaming: the command's time counts from the last
+        // byte.
+        let body_is_streaming = dispatcher.is_body_streaming(handle);
+        decision = tokio::select! {
             biased;
-            Some(mut done) = held.ended.recv() => {
-                let say = desk.after(hand, &done, cargo.spent());
-                let proves = done.outcome.proves_not_run(desk.full_may_have_run());
-                held.account.iter_mut().for_each(|account| account.outcome(proves));
-                if let Some(answer) = done.answer.take() {
-                    held.over(End::Finished);
-                    return finished(answer, held);
+            Some(mut result) = active.results.recv() => {
+                let decision = dispatcher.record_launch_result(handle, &result, outbound.is_body_consumed());
+                let proves_not_run = result.outcome.proves_not_run(dispatcher.full_may_have_run());
+                active.recorder.iter_mut().for_each(|recorder| recorder.record_outcome(proves_not_run));
+                if let Some(answer) = result.answer.take() {
+                    active.record_end(CommandEnd::Finished);
+                    return answer_client(answer, active);
                 }
-                say
+                decision
             }
-            Ok(()) = over.changed(), if flows => {
-                desk.flowed(hand);
+            Ok(()) = body_completed.changed(), if body_is_streaming => {
+                dispatcher.record_body_complete(handle);
                 Decision::Wait
             }
-            // At a stop its last byte would come too late for an answer. Until then it has not run.
-            () = node.stop.past(node.limits.idle_on), if flows => {
-                held.over(End::TurnedBack);
-                return turn_back(Micros(0));
+            // During a stop the last byte would arrive too late for an answer. Without it the command cannot
+            // have run.
+            () = node.lifecycle.wait_until_stopped_for(node.limits.keep_idle_after_stop), if body_is_streaming => {
+                active.record_end(CommandEnd::Rejected);
+                return rejection(Micros(0));
             }
-            // Not even an answer of the backend's would reach its client before the kill.
-            () = node.stop.past(node.limits.answer_by.get()), if !flows => desk.give_up(hand),
-            () = again.notified(), if !flows => desk.place(hand),
-            () = sleep(wait.unwrap_or_default()), if wait.is_some() && !flows => desk.place(hand),
+            // Even an answer that a backend sends now would not reach the client before the process is
+            // killed.
+            () = node.lifecycle.wait_until_stopped_for(node.limits.answer_after_stop.get()), if !body_is_streaming => dispatcher.reject_or_fail(handle),
+            () = placement_due.notified(), if !body_is_streaming => dispatcher.decide(handle),
+            () = sleep(check_delay.unwrap_or_default()), if check_delay.is_some() && !body_is_streaming => dispatcher.decide(handle),
         };
     }
 }
 
-fn finished(answer: Answer, held: Held) -> Reply {
+fn answer_client(answer: BackendAnswer, active: ActiveCommand) -> Reply {
     let mut reply = Response::new(match answer.body {
-        Start::Whole(body) => Out::from(body),
-        // In hand until its last byte is out: its id is not free before, nor does its connection count as idle.
-        Start::Flows(mut flow) => {
-            flow.keep(Rc::new(held));
-            Out::Flows(flow)
+        ReadBody::Buffered(body) => OutgoingBody::from(body),
+        // The command stays in flight until the last byte of the answer is written: until then its id is not
+        // free and its connection does not count as idle.
+        ReadBody::Streaming(mut stream) => {
+            stream.keep_until_end(Rc::new(active));
+            OutgoingBody::Streaming(stream)
         }
     });
     *reply.headers_mut() = answer.headers;
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -1,7 +1,8 @@
-//! A TCP connection that is read and written until the kernel says that nothing more goes.
+//! A TCP connection whose reads and writes go on until the kernel reports `WouldBlock`.
 //!
-//! tokio takes a read or write that moved less than it could as the last one, and then waits for the kernel's next event.
-//! A call that Linux ends short leaves bytes behind of which no event tells, and they lay there until the connection ended.
+//! After a short read or write, tokio assumes that the socket is drained or full and waits for the next
+//! event of the kernel. If Linux ends a call early, for example on an interrupt, data remains for which no
+//! event comes; it was then left unread until the connection ended.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::net::SocketAddr;
@@ -10,17 +11,18 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
+/// A TCP connection that avoids tokio's assumptions about short reads and writes.
 pub struct Transport(TcpStream);
 
-/// Whether a call is to be made again: it was interrupted, or the connection was less ready than it seemed.
-fn again(error: &io::Error) -> bool {
+/// Whether to retry the call: it was interrupted, or the socket was not ready after all.
+fn should_retry(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
-/// Whether a dial failed for want of something on this machine: it tells nothing of the other side.
+/// Whether a connect failed because this machine lacks a resource, which says nothing about the peer.
 pub fn is_local(error: &io::Error) -> bool {
     use rustix::io::Errno;
-    const LOCAL: [Errno; 8] = [
+    const LOCAL_ERRORS: [Errno; 8] = [
         Errno::MFILE,
         Errno::NFILE,
         Errno::NOBUFS,
@@ -30,21 +32,23 @@
         Errno::AGAIN,
         Errno::INTR,
     ];
-    LOCAL.iter().any(|local| error.raw_os_error() == Some(local.raw_os_error()))
+    LOCAL_ERRORS.iter().any(|local| error.raw_os_error() == Some(local.raw_os_error()))
 }
 
 impl Transport {
-    /// Over an open connection, whose small writes then go out at once.
+    /// Wraps an open connection and disables Nagle's algorithm, so that small writes are sent at once.
     pub fn new(stream: TcpStream) -> Transport {
-        // This fails where the other side has reset it, and the first read tells of that.
+        // This fails if the peer has reset the connection, which the first read then reports.
         let _ = stream.set_nodelay(true);
         Transport(stream)
     }
 
+    /// Opens a connection.
     pub async fn connect(address: SocketAddr) -> io::Result<Transport> {
         Ok(Transport::new(TcpStream::connect(address).await?))
     }
 
+    /// The underlying stream.
     pub fn tcp(&self) -> &TcpStream {
         &self.0
     }
@@ -57,7 +61,7 @@
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             match write(&self.0) {
-                Err(error) if again(&error) => {}
+                Err(error) if should_retry(&error) => {}
                 written => return Poll::Ready(written),
             }
         }
@@ -73,7 +77,7 @@
                     buf.advance(count);
                     return Poll::Ready(Ok(()));
                 }
-                Err(error) if again(&error) => {}
+                Err(error) if should_retry(&error) => {}
                 Err(error) => return Poll::Ready(Err(error)),
             }
         }
