--- a/crates/sites/src/admission.rs
+++ b/crates/sites/src/admission.rs
@@ -97,7 +97,7 @@
             (sites, plan.profiles.iter().map(|profile| profile.name.clone()).collect())
         };
         if names(&plan) != names(&self.plan) {
-            return Err("sites: a change of the sites or profiles needs a restart".to_owned());
+            return Err("sites: other sites or profiles take a restart".to_owned());
         }
         self.plan = plan;
         Ok(())
