--- a/crates/view/src/view/mod.rs
+++ b/crates/view/src/view/mod.rs
@@ -87,17 +87,19 @@
 }
 
 impl ChangeKind {
+    /// The change in words. The field `lately` of `GET /fleet` contains these texts, so they are part of the operators'
+    /// interface and must not change.
     pub fn as_str(self) -> &'static str {
         match self {
             ChangeKind::Joined => "joined",
-            ChangeKind::Restarted => "restarted",
-            ChangeKind::Refuted => "refuted the report and is alive",
+            ChangeKind::Restarted => "started again",
+            ChangeKind::Refuted => "alive after all",
             ChangeKind::Suspected => "suspected",
             ChangeKind::Dead => "dead",
             ChangeKind::Left => "left",
             ChangeKind::Forgotten => "forgotten",
-            ChangeKind::InfoChanged => "announced new information about itself",
-            ChangeKind::SelfRefuted => "this node refuted a report about itself",
+            ChangeKind::InfoChanged => "tells something else of itself",
+            ChangeKind::SelfRefuted => "this node refutes what was said of it",
             ChangeKind::NameTaken => "another process has this node's name",
             ChangeKind::Alone => "this node is alone",
             ChangeKind::NoLongerAlone => "this node is no longer alone",
