--- a/crates/sites/src/admission.rs
+++ b/crates/sites/src/admission.rs
@@ -136,7 +136,7 @@
         self.rejected
     }
 
-    /// Sets or clears an operator's override of a site's state.
+    /// Sets an operator's override of a site's state, or removes it.
     pub fn set_override(&mut self, now: Timestamp, site: SiteId, operator_override: OperatorOverride) {
         self.detectors[site.0].set_override(now, operator_override);
     }
@@ -227,7 +227,8 @@
         Admission::Admitted
     }
 
-    /// Retry-afters evenly spread over the allowed range, no two alike: steps of the golden ratio.
+    /// A retry-after within the allowed range. Successive values are a golden-ratio step apart, which spreads them evenly
+    /// without repeating any.
     fn retry_after(&self, max_retry_after: Micros) -> Micros {
         if max_retry_after <= MIN_RETRY_AFTER {
             return max_retry_after;
--- a/crates/sites/src/detection.rs
+++ b/crates/sites/src/detection.rs
@@ -66,7 +66,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateReason {
     Answers,
-    /// Of nodes, list and launches, two speak for a loss and none against it.
+    /// This and the next two: two of the three kinds of evidence (nodes, list, launches) indicate a loss, and neither the
+    /// list nor the launches contradict it.
     NodesAndLaunches,
     NodesAndList,
     ListAndLaunches,
@@ -103,9 +104,9 @@
 pub struct DetectionTimes {
     pub lost: Micros,
     pub impaired: Micros,
-    /// Until a lost site that answers again is returning.
+    /// For a lost site that answers again, until it counts as returning.
     pub returning: Micros,
-    /// Until a returning site is healthy.
+    /// For a returning site, until it counts as healthy.
     pub healthy: Micros,
     /// A list older than this is no evidence.
     pub max_list_age: Micros,
@@ -148,7 +149,7 @@
     /// What the evidence says, and since when without interruption.
     assessed: (SiteState, Timestamp),
     operator_override: Option<(OperatorOverride, Timestamp)>,
-    /// Its whole load has been opened, as reported by the pacing side.
+    /// The site's whole load is admitted again, as reported through `on_return_complete`.
     is_return_complete: bool,
 }
 
@@ -171,7 +172,7 @@
             (operator_override != OperatorOverride::Clear).then_some((operator_override, now));
     }
 
-    /// Called when the return is complete: all of its load is open.
+    /// Called when the return is complete, so that the site's whole load is admitted.
     pub fn on_return_complete(&mut self) {
         self.is_return_complete = true;
     }
--- a/crates/sites/src/return_ramp.rs
+++ b/crates/sites/src/return_ramp.rs
@@ -86,8 +86,8 @@
         self.return_allowed_at = now + self.backoff;
     }
 
-    /// Starts the return of this node's own site, whose nodes have just started. It needs no wait, as by its own account
-    /// no other site carries its load any more.
+    /// Starts the return of this node's own site, whose nodes have just started. It needs no wait: as far as this node
+    /// knows, no other site carries its load any more.
     pub fn start_cold(&mut self, now: Timestamp) {
         (self.is_lost, self.load_share, self.step_at, self.losses) = (false, FIRST_SHARE, now, 1);
         (self.answered, self.within_goal) = (0.0, 0.0);
--- a/crates/view/src/checksums.rs
+++ b/crates/view/src/checksums.rs
@@ -14,7 +14,8 @@
     BuildHasherDefault::<DefaultHasher>::default().hash_one((name, generation.0, incarnation.0))
 }
 
-/// The number of buckets for so many members: about four members per bucket, and no more buckets than fit a datagram.
+/// The number of buckets for this number of members: about four members per bucket, and no more buckets than fit into a
+/// datagram.
 pub(crate) fn bucket_count(members: usize) -> usize {
     (members / 4).next_power_of_two().clamp(4, 256)
 }
--- a/crates/view/src/config.rs
+++ b/crates/view/src/config.rs
@@ -65,7 +65,7 @@
     pub seeds: Vec<SocketAddr>,
     /// A file with further seeds, one address per line, which is read again periodically.
     pub seeds_file: Option<String>,
-    /// The address under which this node reaches a member, by name, if it differs from the announced one.
+    /// By member name, the address at which this node reaches the member, if it differs from the announced one.
     pub address_overrides: BTreeMap<String, SocketAddr>,
     /// Whether balancing decisions use the node count that the view yields, instead of the configured one.
     pub use_view_share: bool,
--- a/crates/view/src/member.rs
+++ b/crates/view/src/member.rs
@@ -49,7 +49,8 @@
     }
 }
 
-/// The duration of a suspicion, counted from its beginning, with so many members and suspecting nodes.
+/// The duration of a suspicion, counted from its beginning, for this number of members and of nodes that suspect the
+/// member.
 pub(crate) fn suspicion_timeout(probe_interval: Micros, members: usize, suspecters: usize) -> Micros {
     let shortest =
         (SUSPICION_PERIODS_PER_DECADE * (members.max(10) as f64).log10()).max(MIN_SUSPICION_PERIODS);
--- a/crates/view/src/node_info.rs
+++ b/crates/view/src/node_info.rs
@@ -38,6 +38,7 @@
         self <= MemberState::Suspect
     }
 
+    /// The state's name in the answer of `GET /fleet`, which is part of the operators' interface and must not change.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
--- a/crates/view/src/share.rs
+++ b/crates/view/src/share.rs
@@ -46,6 +46,8 @@
 }
 
 impl ShareReason {
+    /// The reason in words. The answer of `GET /fleet` contains these texts, so they are part of the operators' interface
+    /// and must not change.
     pub fn as_str(self) -> &'static str {
         match self {
             ShareReason::Configured => "as the settings have it",
@@ -158,7 +160,8 @@
         }
     }
 
-    /// Decides the share by the rule in the module documentation. `has_recent_answer` is whether another node has answered recently.
+    /// Decides the share by the rule in the module documentation. `has_recent_answer` states whether another node has
+    /// answered recently.
     pub fn decide(
         &mut self,
         now: Timestamp,
--- a/crates/view/src/view/merge.rs
+++ b/crates/view/src/view/merge.rs
@@ -11,8 +11,8 @@
 use yarrowfront::times::Timestamp;
 
 impl View {
-    /// Informs a sender that is not considered alive, at most once per probe interval: only the sender itself can refute
-    /// that.
+    /// Informs a sender that this node does not consider alive, at most once per probe interval: only the sender itself
+    /// can refute that.
     pub(super) fn notify_accused(&mut self, now: Timestamp, datagram: &Datagram) {
         let interval = self.config.timing.probe_interval;
         let Some(member) = self.members.get_mut(&datagram.sender) else { return };
--- a/crates/view/src/view/probe.rs
+++ b/crates/view/src/view/probe.rs
@@ -139,7 +139,7 @@
         retries
     }
 
-    /// Records another node's suspicion, which shortens the timeout. Returns false if it adds nothing.
+    /// Records the suspicion of a further node, which shortens the timeout. Returns false if it adds nothing.
     pub(super) fn confirm_suspicion(&mut self, name: &str, suspecter: &str) -> bool {
         let (interval, members) = (self.config.timing.probe_interval, self.present_count);
         let Some(member) = self.members.get_mut(name) else { return false };
--- a/src/allowance.rs
+++ b/src/allowance.rs
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub(crate) struct RetryAllowance {
     slices: VecDeque<Slice>,
-    /// Until then another process of this node has the use of the spare launches.
+    /// Before this time only another process of this node may use the spare launches.
     no_spare_until: Timestamp,
 }
 
--- a/src/portion.rs
+++ b/src/portion.rs
@@ -8,9 +8,9 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{BuildHasher, BuildHasherDefault};
 
-/// Target share of a backend's time that one node's load takes. With seven nodes per backend, the less busy of a few
-/// backends by own counts is late half as often as a random one of all; fewer backends bring no further gain
-/// (docs/fleet.md).
+/// Target share of a backend's time that one node's load takes. With seven nodes per backend, a launch at the less busy
+/// of a few backends, by the node's own counts, is late half as often as one at a random backend of all. Keeping to even
+/// fewer backends brings no further gain (docs/fleet.md).
 const OWN_LOAD_PER_BACKEND: f64 = 0.1;
 /// Smallest number of nodes per backend, and of backends per node: after the failure of one there is still a choice.
 const MIN_NODES_PER_BACKEND: f64 = 4.0;
