--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -1,5 +1,5 @@
-//! Judges: they see what clients and backends saw, in words of their own, and share no code with what they
-//! judge. Both clocks tell them the same sightings.
+//! Judges check a play from the outside: from what clients, backends and discovery observed. They have types of their own
+//! and share no code with what they judge. The virtual and the real clock report the same observations.
 
 pub mod observation;
 pub mod result;
@@ -15,11 +15,12 @@
 use views::ViewJudge;
 use yarrowfront::times::Moment;
 
-/// All judges.
+/// All judges of a play.
 pub struct Judges {
     pub rules: RuleJudge,
     pub service: ServiceJudge,
     pub views: ViewJudge,
+    /// Where the scenario's time starts on the clock.
     origin: Moment,
 }
 
@@ -30,19 +31,20 @@
         Judges { rules, service, views: ViewJudge::new(scenario, origin), origin }
     }
 
-    /// What it has come to.
-    pub fn result(&self, scenario: &Scenario, of: (&str, &str), seed: u64) -> PlayResult {
-        let mut played = PlayResult::of(scenario, (&self.rules.broken, &self.service), of, seed);
-        let (rules, found) = (&mut played.rules, &self.views.found);
+    /// The result of the play so far; `labels` are the names of the policy and of the clock.
+    pub fn result(&self, scenario: &Scenario, labels: (&str, &str), seed: u64) -> PlayResult {
+        let mut result =
+            PlayResult::from_judges(scenario, (&self.rules.violations, &self.service), labels, seed);
+        let (rules, found) = (&mut result.rules, &self.views.violations);
         (rules.deaths, rules.portions, rules.views) = (found.deaths, found.portions, found.views);
-        let told =
+        let describe =
             |(at, text): &(Moment, String)| format!("{:.3} s: {text}", at.since(self.origin).micros() / 1e6);
-        rules.cases.extend(found.cases.iter().take(rules::CASES).map(told));
-        played
+        rules.cases.extend(found.cases.iter().take(rules::MAX_DESCRIBED_CASES).map(describe));
+        result
     }
 
-    pub fn observe(&mut self, seen: Observation) {
-        self.rules.observe(&seen);
-        self.service.observe(&seen);
+    pub fn observe(&mut self, observation: Observation) {
+        self.rules.observe(&observation);
+        self.service.observe(&observation);
     }
 }
--- a/crates/rehearsal/src/judge/observation.rs
+++ b/crates/rehearsal/src/judge/observation.rs
@@ -1,133 +1,80 @@
-//! What clients and backends saw: the words in which both clocks tell the judges.
+//! What clients, backends and discovery observe during a play. Both clocks report it to the judges in these types.
+//!
+//! An attempt is one request of a client to a node for a command; a launch is one request of a node to a backend.
+//! Work is in microseconds on a core of speed one.
 
 use crate::model::clients::AttemptOutcome;
 use yarrowfront::times::{Moment, Span};
 
+/// The kind of a final answer to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalAnswer {
     Finished,
+    /// Shed by the node: a retry is harmless.
     Rejected,
     Errored,
 }
 
-/// How a command ended for its client, all its tries together.
+/// How a command ended for its client, after all its attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CommandOutcome {
     Finished,
     Rejected,
     Errored,
+    /// No whole answer, or no connection to a node.
     Lost,
     TimedOut,
     ClientLeft,
 }
 
+/// One observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
     /// A client wants a command done.
-    CommandDue {
-        command: u64,
-        profile: u16,
-        at: Moment,
-    },
-    /// A node has a try of it whole, and `until` when the client waits.
-    AttemptReceived {
-        attempt: u64,
-        command: u64,
-        profile: u16,
-        node: usize,
-        at: Moment,
-        until: Moment,
-    },
-    /// The client has gone before its answer.
-    ClientLeft {
-        attempt: u64,
-        at: Moment,
-    },
-    /// A whole final answer; `made_for` is the try that the backend's body names.
-    Answered {
-        attempt: u64,
-        answer: FinalAnswer,
-        made_for: Option<u64>,
-        at: Moment,
-    },
-    /// Its client's connection ended without a whole answer.
-    ConnectionBroken {
-        attempt: u64,
-        at: Moment,
-    },
-    /// No try of the command goes on, and none will start.
-    CommandSettled {
-        command: u64,
-        profile: u16,
-        at: Moment,
-        outcome: CommandOutcome,
-    },
-    /// A node's first byte of a launch.
+    CommandDue { command: u64, profile: u16, at: Moment },
+    /// A node has received an attempt completely. The client waits for its answer until `until`.
+    AttemptReceived { attempt: u64, command: u64, profile: u16, node: usize, at: Moment, until: Moment },
+    /// The client closed its connection before the answer.
+    ClientLeft { attempt: u64, at: Moment },
+    /// The client got a whole final answer; `made_for` is the attempt that the backend's body names.
+    Answered { attempt: u64, answer: FinalAnswer, made_for: Option<u64>, at: Moment },
+    /// The client's connection ended without a whole answer.
+    ConnectionBroken { attempt: u64, at: Moment },
+    /// No attempt of the command is open, and none will start.
+    CommandSettled { command: u64, profile: u16, at: Moment, outcome: CommandOutcome },
+    /// A node has started to send a launch to a backend.
     LaunchStarted {
         node: usize,
         backend: usize,
         attempt: u64,
         at: Moment,
-        /// The time that its client is said to have left, where that was told.
+        /// The remaining time of the client as the node passed it on, if it did.
         announced_time_left: Option<Span>,
     },
-    /// A launch has come whole to a backend's process.
-    LaunchReceived {
-        backend: usize,
-        work: f64,
-        at: Moment,
-    },
-    /// Its work has begun there and may have its effect.
-    WorkStarted {
-        backend: usize,
-        attempt: u64,
-        command: u64,
-        profile: u16,
-        work: f64,
-        at: Moment,
-    },
-    /// The list has written a line to a node.
-    ListEntryDelivered {
-        node: usize,
-        backend: usize,
-        ready: bool,
-        at: Moment,
-    },
-    /// A backend's process has started, cold: the share it can do now, the time to the whole, and the work it
-    /// does in a microsecond then.
-    ColdStart {
-        backend: usize,
-        at: Moment,
-        share: f64,
-        warm: f64,
-        capacity: f64,
-    },
-    BackendCrashed {
-        backend: usize,
-        at: Moment,
-    },
+    /// A backend's process has received a launch completely.
+    LaunchReceived { backend: usize, work: f64, at: Moment },
+    /// A backend has started to execute a command, which may have its effect from now on.
+    WorkStarted { backend: usize, attempt: u64, command: u64, profile: u16, work: f64, at: Moment },
+    /// Discovery has sent a node the state of a backend.
+    ListEntryDelivered { node: usize, backend: usize, ready: bool, at: Moment },
+    /// A backend's process has started cold. It has the share `share` of its capacity now and all of it after `warm`
+    /// microseconds; `capacity` is the work that it does per microsecond then.
+    ColdStart { backend: usize, at: Moment, share: f64, warm: f64, capacity: f64 },
+    /// A cold backend has crashed from too much work.
+    BackendCrashed { backend: usize, at: Moment },
+    /// A backend has received a probe.
     ProbeReceived,
-    /// A node's process has been killed or restarted: what it had taken is excused.
-    NodeKilled {
-        node: usize,
-        at: Moment,
-    },
-    /// A node's process that was stopped goes on, and its clients with it.
-    NodeResumed {
-        node: usize,
-    },
-    /// A node has a new process, which knows nothing of what the one before was told.
-    NodeStarted {
-        node: usize,
-    },
-    /// A node's process has ended though nobody asked it to, or did not end when asked.
-    NodeCrashed {
-        node: usize,
-        at: Moment,
-    },
+    /// A node's process was killed or paused by the rehearsal, so that the attempts it had received need no answer.
+    NodeKilled { node: usize, at: Moment },
+    /// A node's paused process runs again, and clients use it again.
+    NodeResumed { node: usize },
+    /// A node has a new process, which does not know what discovery told the one before.
+    NodeStarted { node: usize },
+    /// A node's process has ended without being asked to, or did not end when asked.
+    NodeCrashed { node: usize, at: Moment },
 }
 
-/// A command ends as its last try did.
+/// A command ends as its last attempt did.
 impl From<AttemptOutcome> for CommandOutcome {
     fn from(last: AttemptOutcome) -> CommandOutcome {
         match last {
--- a/crates/rehearsal/src/judge/rules.rs
+++ b/crates/rehearsal/src/judge/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules, counted from what clients and backends saw.
+//! Counts violations of the four rules for answers, effects, drains and cold backends, and crashes of nodes, from what
+//! clients and backends observed.
 
 use crate::judge::observation::{FinalAnswer, Observation};
 use crate::scenario::{CommandEffect, Scenario, Scope};
@@ -6,35 +7,38 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use yarrowfront::times::{Moment, Span};
 
-/// What broke, with the first cases in words.
+/// The number of violations by rule, and a description of the first ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Broken {
-    /// One whole final answer in time, made for the command.
+pub struct RuleViolations {
+    /// Violations of: each attempt gets one whole final answer in time, and that answer was made for its command.
     pub answers: u64,
-    /// No effect twice, and a turn-back's promise.
+    /// Violations of: no command has its effect twice, and a rejected command has had no effect.
     pub effects: u64,
-    /// Nothing new to a draining or gone backend after the grace.
+    /// Violations of: no launch goes to a draining or gone backend after the drain grace.
     pub drains: u64,
-    /// A cold backend is not pushed over.
+    /// Violations of: a cold backend is not sent so much work that it would crash.
     pub pushes: u64,
+    /// Nodes that ended without being asked to, or did not end when asked.
     pub crashes: u64,
-    /// Of the nodes' views: members called dead that could be reached, portions of more than one, and views that do not
-    /// agree or go back.
+    /// Members that a node called dead although it could reach them.
     #[serde(default)]
     pub deaths: u64,
+    /// Times at which the nodes' shares of the load added up to more than one.
     #[serde(default)]
     pub portions: u64,
+    /// Views of the membership that did not agree in time, or went back to an older state of a member.
     #[serde(default)]
     pub views: u64,
+    /// Descriptions of the first violations, with their time.
     pub cases: Vec<String>,
 }
 
-impl Broken {
+impl RuleViolations {
     pub fn any(&self) -> bool {
         self.count() > 0
     }
 
-    /// All that broke, whichever rule it was.
+    /// All violations, whichever the rule.
     pub fn count(&self) -> u64 {
         self.answers
             + self.effects
@@ -47,52 +51,61 @@
     }
 }
 
-/// Cases told in words; the rest is only counted.
-pub const CASES: usize = 12;
-/// A launch may begin so long after its client has left, and a backend may be told so much more time than its client has;
-/// and what both trips take.
-const LEFT_SLACK: Span = Span::millis(100);
-const TOLD_SLACK: Span = Span::millis(150);
-const TRIPS: Span = Span::millis(50);
-/// An answer may come so much after its time: what a timer and a trip take.
-const SLACK: Span = Span::millis(50);
+/// How many violations are described; the others are only counted.
+pub const MAX_DESCRIBED_CASES: usize = 12;
+/// A launch may still start this long after its client has left.
+const LAUNCH_AFTER_LEAVE_TOLERANCE: Span = Span::millis(100);
+/// A backend may be told of this much more time than its client has left.
+const ANNOUNCED_TIME_TOLERANCE: Span = Span::millis(150);
+/// Added to both tolerances: what the two network trips, from the client and to the backend, take.
+const TRIPS_ALLOWANCE: Span = Span::millis(50);
+/// An answer may come this long after its deadline, which is what a timer and a network trip take.
+const LATE_ANSWER_TOLERANCE: Span = Span::millis(50);
 
-struct Open {
+/// An attempt that a node has received and not answered.
+struct OpenAttempt {
     command: u64,
     profile: u16,
     node: usize,
-    until: Moment,
+    deadline: Moment,
 }
 
-/// A cold backend, and the work that came to it of late.
-struct Cold {
-    started: Moment,
-    share: f64,
-    warm: f64,
+/// A backend in its warm-up, and the work that it received within the last window.
+struct ColdBackend {
+    started_at: Moment,
+    /// The share of its capacity that it has at its start.
+    initial_share: f64,
+    /// The length of the warm-up in microseconds.
+    warm_up_us: f64,
+    /// Work per microsecond when it is warm.
     capacity: f64,
-    came: VecDeque<(Moment, f64)>,
-    sum: f64,
+    /// When each launch came, and its work.
+    received: VecDeque<(Moment, f64)>,
+    received_work_us: f64,
 }
 
+/// Judges the rules from the observations of a play.
 pub struct RuleJudge {
     origin: Moment,
+    /// Effect and scope of the idempotency keys, by profile.
     effects: Vec<(CommandEffect, Scope)>,
-    grace: Span,
-    multiple: f64,
-    window: Span,
-    open: HashMap<u64, Open>,
-    /// Final answers given to tries that are not open any more: a second one is one too many.
-    closed: HashMap<u64, Moment>,
-    /// Tries whose clients have left.
-    left: HashMap<u64, Moment>,
-    /// Effects had by commands that may have one only, and by which try.
-    ran: HashMap<u64, Vec<u64>>,
-    /// Since when a node knows that a backend takes nothing new.
-    unready: BTreeMap<(usize, usize), Moment>,
-    cold: BTreeMap<usize, Cold>,
-    /// Nodes that were killed or stopped: whatever their clients still send there is taken by nobody.
-    dead: BTreeSet<usize>,
-    pub broken: Broken,
+    drain_grace: Span,
+    /// A cold backend may be sent this multiple of what it can do within the window.
+    cold_budget_multiple: f64,
+    cold_budget_window: Span,
+    open: HashMap<u64, OpenAttempt>,
+    /// Attempts that had a final answer, and when: a second answer to one of them is a violation.
+    answered_at: HashMap<u64, Moment>,
+    /// Attempts whose clients have left, and when.
+    left_at: HashMap<u64, Moment>,
+    /// The attempts whose work was started, by command. Only for commands that may take effect only once.
+    executions: HashMap<u64, Vec<u64>>,
+    /// Since when a node knows that a backend takes nothing new, by node and backend.
+    not_ready_since: BTreeMap<(usize, usize), Moment>,
+    cold: BTreeMap<usize, ColdBackend>,
+    /// Nodes that were killed or paused. Whatever clients still send there is received by no process.
+    dead_nodes: BTreeSet<usize>,
+    pub violations: RuleViolations,
 }
 
 impl RuleJudge {
@@ -100,109 +113,122 @@
         RuleJudge {
             origin,
             effects: scenario.profiles.iter().map(|p| (p.effect, p.scope)).collect(),
-            grace: scenario.allow.drain_grace.span(),
-            multiple: scenario.allow.push_over,
-            window: scenario.allow.push_span.span(),
+            drain_grace: scenario.allow.drain_grace.span(),
+            cold_budget_multiple: scenario.allow.push_over,
+            cold_budget_window: scenario.allow.push_span.span(),
             open: HashMap::new(),
-            closed: HashMap::new(),
-            left: HashMap::new(),
-            ran: HashMap::new(),
-            unready: BTreeMap::new(),
+            answered_at: HashMap::new(),
+            left_at: HashMap::new(),
+            executions: HashMap::new(),
+            not_ready_since: BTreeMap::new(),
             cold: BTreeMap::new(),
-            dead: BTreeSet::new(),
-            broken: Broken::default(),
+            dead_nodes: BTreeSet::new(),
+            violations: RuleViolations::default(),
         }
     }
 
-    fn case(&mut self, at: Moment, text: String) {
-        if self.broken.cases.len() < CASES {
-            self.broken.cases.push(format!("{:.3} s: {text}", at.since(self.origin).micros() / 1e6));
+    fn record_case(&mut self, at: Moment, text: String) {
+        if self.violations.cases.len() < MAX_DESCRIBED_CASES {
+            self.violations.cases.push(format!("{:.3} s: {text}", at.since(self.origin).micros() / 1e6));
         }
     }
 
-    pub fn observe(&mut self, seen: &Observation) {
-        match *seen {
-            Observation::AttemptReceived { node, .. } if self.dead.contains(&node) => {}
+    pub fn observe(&mut self, observation: &Observation) {
+        match *observation {
+            Observation::AttemptReceived { node, .. } if self.dead_nodes.contains(&node) => {}
             Observation::AttemptReceived { attempt, command, profile, node, until, .. } => {
-                // Its client may have turned to another node.
-                self.left.remove(&attempt);
-                self.open.insert(attempt, Open { command, profile, node, until });
+                // Its client may have left another node before, to send the attempt to this one.
+                self.left_at.remove(&attempt);
+                self.open.insert(attempt, OpenAttempt { command, profile, node, deadline: until });
             }
             Observation::ClientLeft { attempt, at } => {
                 self.open.remove(&attempt);
-                self.left.insert(attempt, at);
+                self.left_at.insert(attempt, at);
             }
             Observation::Answered { attempt, answer, made_for, at } => {
-                self.answered(attempt, answer, made_for, at)
+                self.check_answer(attempt, answer, made_for, at)
             }
             Observation::ConnectionBroken { attempt, at } => {
                 if let Some(open) = self.open.remove(&attempt) {
-                    self.broken.answers += 1;
-                    self.case(
+                    self.violations.answers += 1;
+                    self.record_case(
                         at,
-                        format!("command {}: its connection ended without an answer", open.command),
+                        format!("command {}: the client's connection ended without an answer", open.command),
                     );
                 }
             }
             Observation::WorkStarted { backend, attempt, command, profile, at, .. } => {
                 let effect = self.effects[usize::from(profile)].0;
                 if effect != CommandEffect::Repeatable {
-                    let ran = self.ran.entry(command).or_default();
-                    ran.push(attempt);
-                    if ran.len() > 1 {
-                        let times = ran.len();
-                        self.broken.effects += 1;
-                        self.case(
+                    let executions = self.executions.entry(command).or_default();
+                    executions.push(attempt);
+                    if executions.len() > 1 {
+                        let times = executions.len();
+                        self.violations.effects += 1;
+                        self.record_case(
                             at,
-                            format!("command {command}: run {times} times, now by backend {backend}"),
+                            format!("command {command}: executed {times} times, the last time by backend {backend}"),
                         );
                     }
                 }
             }
             Observation::ListEntryDelivered { node, backend, ready, at } => {
                 if ready {
-                    self.unready.remove(&(node, backend));
+                    self.not_ready_since.remove(&(node, backend));
                 } else {
-                    self.unready.entry((node, backend)).or_insert(at);
+                    self.not_ready_since.entry((node, backend)).or_insert(at);
                 }
             }
             Observation::LaunchStarted { node, backend, at, attempt, announced_time_left } => {
-                self.launched(attempt, announced_time_left, at);
-                let told = self.unready.get(&(node, backend)).copied();
-                if let Some(told) = told.filter(|told| at > *told + self.grace) {
-                    let late = at.since(told).micros() / 1e3;
-                    self.broken.drains += 1;
-                    self.case(
+                self.check_launch(attempt, announced_time_left, at);
+                let since = self.not_ready_since.get(&(node, backend)).copied();
+                if let Some(since) = since.filter(|since| at > *since + self.drain_grace) {
+                    let late = at.since(since).micros() / 1e3;
+                    self.violations.drains += 1;
+                    self.record_case(
                         at,
                         format!(
                             "node {node}: launched to backend {backend} {late:.0} ms after it \
-                                           was told that it takes nothing"
+                                           was told that the backend is not ready"
                         ),
                     );
                 }
             }
             Observation::ColdStart { backend, at, share, warm, capacity } => {
-                let came = VecDeque::new();
-                self.cold.insert(backend, Cold { started: at, share, warm, capacity, came, sum: 0.0 });
+                let received = VecDeque::new();
+                self.cold.insert(
+                    backend,
+                    ColdBackend {
+                        started_at: at,
+                        initial_share: share,
+                        warm_up_us: warm,
+                        capacity,
+                        received,
+                        received_work_us: 0.0,
+                    },
+                );
             }
-            Observation::LaunchReceived { backend, work, at } => self.reached(backend, work, at),
+            Observation::LaunchReceived { backend, work, at } => self.check_cold_budget(backend, work, at),
             Observation::BackendCrashed { backend, at } => {
-                self.broken.pushes += 1;
-                self.case(at, format!("backend {backend} was cold and fell over"));
+                self.violations.pushes += 1;
+                self.record_case(at, format!("backend {backend} crashed from too much work while cold"));
             }
             Observation::NodeKilled { node, .. } => {
                 self.open.retain(|_, open| open.node != node);
-                self.dead.insert(node);
+                self.dead_nodes.insert(node);
             }
-            Observation::NodeResumed { node } => drop(self.dead.remove(&node)),
+            Observation::NodeResumed { node } => drop(self.dead_nodes.remove(&node)),
             Observation::NodeStarted { node } => {
-                self.unready.retain(|(n, _), _| *n != node);
-                self.dead.remove(&node);
+                self.not_ready_since.retain(|(n, _), _| *n != node);
+                self.dead_nodes.remove(&node);
             }
             Observation::NodeCrashed { node, at } => {
                 self.open.retain(|_, open| open.node != node);
-                self.broken.crashes += 1;
-                self.case(at, format!("node {node} ended by itself, or did not when it was told to"));
+                self.violations.crashes += 1;
+                self.record_case(
+                    at,
+                    format!("node {node} ended without being asked to, or did not end when asked"),
+                );
             }
             Observation::CommandDue { .. }
             | Observation::CommandSettled { .. }
@@ -210,95 +236,110 @@
         }
     }
 
-    fn launched(&mut self, attempt: u64, announced_time_left: Option<Span>, at: Moment) {
-        if let Some(left) = self.left.get(&attempt).filter(|left| at > **left + LEFT_SLACK + TRIPS) {
-            let late = at.since(*left).micros() / 1e3;
-            self.broken.answers += 1;
-            self.case(at, format!("try {attempt}: launched {late:.0} ms after its client had left"));
+    fn check_launch(&mut self, attempt: u64, announced_time_left: Option<Span>, at: Moment) {
+        if let Some(left_at) = self
+            .left_at
+            .get(&attempt)
+            .filter(|left_at| at > **left_at + LAUNCH_AFTER_LEAVE_TOLERANCE + TRIPS_ALLOWANCE)
+        {
+            let late = at.since(*left_at).micros() / 1e3;
+            self.violations.answers += 1;
+            self.record_case(
+                at,
+                format!("attempt {attempt}: launched {late:.0} ms after its client had left"),
+            );
         }
         let Some(open) = self.open.get(&attempt) else { return };
-        let (Some(told), left) = (announced_time_left, open.until.since(at)) else { return };
-        if told > Span(left.0 + TOLD_SLACK.0 + TRIPS.0) {
-            let (told, left) = (told.micros() / 1e3, left.micros() / 1e3);
-            self.broken.answers += 1;
-            self.case(
+        let (Some(announced), left) = (announced_time_left, open.deadline.since(at)) else { return };
+        if announced > Span(left.0 + ANNOUNCED_TIME_TOLERANCE.0 + TRIPS_ALLOWANCE.0) {
+            let (announced, left) = (announced.micros() / 1e3, left.micros() / 1e3);
+            self.violations.answers += 1;
+            self.record_case(
                 at,
-                format!("try {attempt}: a backend was told {told:.0} ms, its client has {left:.0} ms"),
+                format!("attempt {attempt}: a backend was told of {announced:.0} ms left, its client has {left:.0} ms"),
             );
         }
     }
 
-    fn answered(&mut self, attempt: u64, what: FinalAnswer, made_for: Option<u64>, at: Moment) {
+    fn check_answer(&mut self, attempt: u64, answer: FinalAnswer, made_for: Option<u64>, at: Moment) {
         let Some(open) = self.open.remove(&attempt) else {
-            if self.closed.contains_key(&attempt) {
-                self.broken.answers += 1;
-                self.case(at, format!("try {attempt}: a second final answer"));
+            if self.answered_at.contains_key(&attempt) {
+                self.violations.answers += 1;
+                self.record_case(at, format!("attempt {attempt}: a second final answer"));
             }
             return;
         };
-        self.closed.insert(attempt, at);
+        self.answered_at.insert(attempt, at);
         let command = open.command;
-        if at > open.until + SLACK {
-            self.broken.answers += 1;
-            let late = at.since(open.until).micros() / 1e3;
-            self.case(at, format!("command {command}: answered {late:.0} ms after its time"));
+        if at > open.deadline + LATE_ANSWER_TOLERANCE {
+            self.violations.answers += 1;
+            let late = at.since(open.deadline).micros() / 1e3;
+            self.record_case(at, format!("command {command}: answered {late:.0} ms after its deadline"));
         }
-        if what == FinalAnswer::Finished && made_for != Some(attempt) {
-            self.broken.answers += 1;
-            self.case(at, format!("command {command}: finished by an answer that was made for another"));
+        if answer == FinalAnswer::Finished && made_for != Some(attempt) {
+            self.violations.answers += 1;
+            self.record_case(
+                at,
+                format!("command {command}: finished with an answer that was made for another attempt"),
+            );
         }
-        // A turn-back says that trying again is harmless.
+        // A rejection promises that a retry is harmless.
         let (effect, scope) = self.effects[usize::from(open.profile)];
-        let bound = match effect {
+        let must_not_have_run = match effect {
             CommandEffect::Repeatable => false,
             CommandEffect::Tagged => scope != Scope::All,
             CommandEffect::OnceOnly => true,
         };
-        if what == FinalAnswer::Rejected && bound && self.ran.contains_key(&command) {
-            self.broken.effects += 1;
-            self.case(at, format!("command {command}: turned back though it had run"));
+        if answer == FinalAnswer::Rejected && must_not_have_run && self.executions.contains_key(&command) {
+            self.violations.effects += 1;
+            self.record_case(at, format!("command {command}: rejected although it had been executed"));
         }
     }
 
-    /// The work that reaches a cold backend within any window, against what it can do at that time.
-    fn reached(&mut self, backend: usize, work: f64, at: Moment) {
-        let (multiple, window) = (self.multiple, self.window);
+    /// Checks the work that a cold backend received within the window against what it can do at that time.
+    fn check_cold_budget(&mut self, backend: usize, work: f64, at: Moment) {
+        let (multiple, window) = (self.cold_budget_multiple, self.cold_budget_window);
         let Some(cold) = self.cold.get_mut(&backend) else { return };
-        let age = at.since(cold.started).micros();
-        if age >= cold.warm {
+        let age = at.since(cold.started_at).micros();
+        if age >= cold.warm_up_us {
             self.cold.remove(&backend);
             return;
         }
-        cold.came.push_back((at, work));
-        cold.sum += work;
-        while cold.came.front().is_some_and(|(came, _)| at.since(*came) >= window) {
-            cold.sum -= cold.came.pop_front().map_or(0.0, |(_, work)| work);
+        cold.received.push_back((at, work));
+        cold.received_work_us += work;
+        while cold.received.front().is_some_and(|(received, _)| at.since(*received) >= window) {
+            cold.received_work_us -= cold.received.pop_front().map_or(0.0, |(_, work)| work);
         }
-        let now = cold.capacity * (cold.share + (1.0 - cold.share) * age / cold.warm);
-        let budget = multiple * now * window.micros();
-        // Chance is allowed for: the largest few of what came, and a tenth.
-        let largest = cold.came.iter().map(|(_, w)| *w).fold(0.0, f64::max);
-        let (sum, bound) = (cold.sum, 1.1 * budget + 3.0 * largest);
-        if sum > bound {
-            // Once for a backend's start, or one push would count for every command that follows.
+        let capacity_now =
+            cold.capacity * (cold.initial_share + (1.0 - cold.initial_share) * age / cold.warm_up_us);
+        let budget = multiple * capacity_now * window.micros();
+        // Random variation is allowed for: a tenth of the budget, and three commands as large as the largest received one.
+        let largest = cold.received.iter().map(|(_, w)| *w).fold(0.0, f64::max);
+        let (received, limit) = (cold.received_work_us, 1.1 * budget + 3.0 * largest);
+        if received > limit {
+            // Counted once per start of a backend; otherwise one overload would count for every command that follows.
             self.cold.remove(&backend);
-            self.broken.pushes += 1;
-            let (sum, budget) = (sum / 1e3, budget / 1e3);
-            self.case(
+            self.violations.pushes += 1;
+            let (received, budget) = (received / 1e3, budget / 1e3);
+            self.record_case(
                 at,
-                format!("backend {backend} was cold: {sum:.0} ms of work came, {budget:.0} are borne"),
+                format!("backend {backend} was cold: it received {received:.0} ms of work, its budget is {budget:.0} ms"),
             );
         }
     }
 
-    /// What is still open when all is over has never been answered.
+    /// Ends the play: attempts that are still open after their deadline were never answered.
     pub fn finish(&mut self, at: Moment) {
-        let mut left: Vec<u64> =
-            self.open.values().filter(|o| at > o.until + SLACK).map(|o| o.command).collect();
-        left.sort_unstable();
-        for command in left {
-            self.broken.answers += 1;
-            self.case(at, format!("command {command}: never answered"));
+        let mut unanswered: Vec<u64> = self
+            .open
+            .values()
+            .filter(|o| at > o.deadline + LATE_ANSWER_TOLERANCE)
+            .map(|o| o.command)
+            .collect();
+        unanswered.sort_unstable();
+        for command in unanswered {
+            self.violations.answers += 1;
+            self.record_case(at, format!("command {command}: never answered"));
         }
         self.open.clear();
     }
--- a/crates/rehearsal/src/judge/views.rs
+++ b/crates/rehearsal/src/judge/views.rs
@@ -1,85 +1,99 @@
-//! What nodes say of each other, against what was done to them: nobody is called dead who could be reached, portions come
-//! to one at most, views go forward only, and some time after the last fault all hold what is so.
+//! Judges the nodes' views of the membership against the faults that were applied: no node calls a member dead that it
+//! could reach, the nodes' shares of the load add up to one at most, views never go back to an older state of a member,
+//! and all nodes agree on the true membership some time after the last fault.
 
 use crate::scenario::Scenario;
 use links::schedule::Fault;
 use std::collections::{BTreeMap, BTreeSet};
 use yarrowfront::times::{Moment, Span};
 
-/// Who is called dead has to have been out of reach within so long: a suspicion takes that, and news its way.
-const LATELY: Span = Span::millis(6000);
-/// Of a hundred datagrams, more than this lost is no way to judge by.
-const LOSSY: u8 = 20;
-/// Portions are told in whole parts, each rounded its way.
-const ROUNDED: f64 = 1e-6;
+/// A member may be called dead if it was unreachable at some time within this span, which covers the time that a suspicion
+/// takes and the time that the news of it takes to spread.
+const UNREACHABLE_WITHIN: Span = Span::millis(6000);
+/// A link that loses more than this percentage of its datagrams counts as blocked.
+const MAX_LOSS_PERCENT: u8 = 20;
+/// Tolerance for the rounding of the sum of the nodes' shares, each of which is one divided by a whole number.
+const SHARE_SUM_TOLERANCE: f64 = 1e-6;
 
-/// What a node tells at its second address.
+/// What a node reports at its admin address.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetReport {
-    /// Whom it holds to be here, itself among them; and dead, in which life.
-    pub here: BTreeSet<String>,
+    /// Members that it considers alive or suspected, itself among them.
+    pub present: BTreeSet<String>,
+    /// Members that it considers dead, with the generation in which they died.
     pub dead: BTreeMap<String, u64>,
-    /// Life and edition of each that it knows.
-    pub lives: BTreeMap<String, (u64, u64)>,
-    /// As one of so many it takes of what all share; its own life.
-    pub of: u64,
-    pub life: u64,
+    /// Generation and incarnation of each member that it knows.
+    pub versions: BTreeMap<String, (u64, u64)>,
+    /// It takes one part in this many of what all nodes share.
+    pub share_divisor: u64,
+    /// Its own generation, which grows with each start of its process.
+    pub generation: u64,
 }
 
 impl FleetReport {
-    /// From the JSON of `GET /fleet`; none where that is something else.
+    /// Reads the JSON of `GET /fleet`; `None` if it is not of that form.
     pub fn from_json(json: &serde_json::Value) -> Option<FleetReport> {
-        let (name, life) = (json["name"].as_str()?.to_owned(), json["life"].as_u64()?);
-        let mut told = FleetReport {
-            life,
-            of: json["portion"]["nodes"].as_u64().unwrap_or(u64::MAX),
+        let (name, generation) = (json["name"].as_str()?.to_owned(), json["life"].as_u64()?);
+        let mut report = FleetReport {
+            generation,
+            share_divisor: json["portion"]["nodes"].as_u64().unwrap_or(u64::MAX),
             ..FleetReport::default()
         };
-        told.here.insert(name);
+        report.present.insert(name);
         for member in json["members"].as_array()? {
-            let (name, life) = (member["name"].as_str()?.to_owned(), member["life"].as_u64()?);
-            told.lives.insert(name.clone(), (life, member["edition"].as_u64()?));
+            let (name, generation) = (member["name"].as_str()?.to_owned(), member["life"].as_u64()?);
+            report.versions.insert(name.clone(), (generation, member["edition"].as_u64()?));
             match member["standing"].as_str()? {
-                "alive" | "suspected" => drop(told.here.insert(name)),
-                "dead" => drop(told.dead.insert(name, life)),
+                "alive" | "suspected" => drop(report.present.insert(name)),
+                "dead" => drop(report.dead.insert(name, generation)),
                 _ => {}
             }
         }
-        Some(told)
+        Some(report)
     }
 }
 
-/// What broke: how often, and in words when and what.
+/// The number of violations of each kind, and when each happened with its description.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
+pub struct ViewViolations {
+    /// Members called dead that could be reached.
     pub deaths: u64,
+    /// Times at which the nodes' shares added up to more than one.
     pub portions: u64,
+    /// Views that went back, or that did not agree in time.
     pub views: u64,
     pub cases: Vec<(Moment, String)>,
 }
 
+/// Judges the views of the nodes of a play.
 pub struct ViewJudge {
     origin: Moment,
-    agree: Option<Span>,
-    nodes: usize,
+    /// Within this time after the last fault all nodes have to agree; `None` if the nodes keep no view.
+    agreement_limit: Option<Span>,
+    node_count: usize,
+    /// Nodes whose process runs.
     up: BTreeSet<usize>,
-    stopped: BTreeSet<usize>,
-    /// Ways between nodes on which nothing, or too little, passes.
-    closed: BTreeSet<(usize, usize)>,
-    /// Since when each two nodes are of one part of the fleet, without a break.
-    together: BTreeMap<(usize, usize), Moment>,
-    last_fault: Moment,
-    agreed: Option<Moment>,
-    last: BTreeMap<usize, FleetReport>,
-    blamed: BTreeSet<(usize, String, u64)>,
-    pub found: Found,
+    /// Nodes whose process is paused.
+    paused: BTreeSet<usize>,
+    /// Directions of links between nodes on which nothing, or too little, passes.
+    blocked: BTreeSet<(usize, usize)>,
+    /// Since when two nodes have been in the same partition of the fleet without a break.
+    connected_since: BTreeMap<(usize, usize), Moment>,
+    last_fault_at: Moment,
+    /// When all nodes agreed after the last fault.
+    agreed_at: Option<Moment>,
+    /// The last report of each node.
+    last_reports: BTreeMap<usize, FleetReport>,
+    /// Deaths already judged: the reporting node, the member, and the generation in which it died.
+    judged_deaths: BTreeSet<(usize, String, u64)>,
+    pub violations: ViewViolations,
 }
 
-fn node(name: &str) -> Option<usize> {
+fn node_index(name: &str) -> Option<usize> {
     name.strip_prefix('n')?.parse().ok()
 }
 
-fn name(node: usize) -> String {
+fn node_name(node: usize) -> String {
     format!("n{node}")
 }
 
@@ -88,155 +102,163 @@
         let nodes = scenario.nodes as usize;
         let mut views = ViewJudge {
             origin,
-            agree: scenario.view.as_ref().map(|view| view.agree.span()),
-            nodes,
+            agreement_limit: scenario.view.as_ref().map(|view| view.agree.span()),
+            node_count: nodes,
             up: (0..nodes).collect(),
-            stopped: BTreeSet::new(),
-            closed: BTreeSet::new(),
-            together: BTreeMap::new(),
-            last_fault: origin,
-            agreed: None,
-            last: BTreeMap::new(),
-            blamed: BTreeSet::new(),
-            found: Found::default(),
+            paused: BTreeSet::new(),
+            blocked: BTreeSet::new(),
+            connected_since: BTreeMap::new(),
+            last_fault_at: origin,
+            agreed_at: None,
+            last_reports: BTreeMap::new(),
+            judged_deaths: BTreeSet::new(),
+            violations: ViewViolations::default(),
         };
-        // From long before the play: all are up and have found each other.
-        views.parts(Moment(0));
+        // All nodes are up and have been connected since long before the play.
+        views.update_partitions(Moment(0));
         views
     }
 
-    fn close(&mut self, one: usize, other: usize) {
-        self.closed.insert((one, other));
+    fn block(&mut self, from: usize, to: usize) {
+        self.blocked.insert((from, to));
     }
 
-    /// What is done to nodes and to the ways between them.
+    /// Takes note of a fault that was applied to nodes or to the links between them.
     pub fn observe_fault(&mut self, at: Moment, fault: &Fault) {
         match fault {
             Fault::Apart(some) => {
-                let some: BTreeSet<usize> = some.iter().filter_map(|name| node(name)).collect();
-                let others: Vec<usize> = (0..self.nodes).filter(|other| !some.contains(other)).collect();
-                for one in some {
+                let side: BTreeSet<usize> = some.iter().filter_map(|name| node_index(name)).collect();
+                let others: Vec<usize> = (0..self.node_count).filter(|other| !side.contains(other)).collect();
+                for one in side {
                     others.iter().for_each(|other| {
-                        self.close(one, *other);
-                        self.close(*other, one);
+                        self.block(one, *other);
+                        self.block(*other, one);
                     });
                 }
             }
             Fault::OneWay(from, to) => {
-                if let (Some(from), Some(to)) = (node(from), node(to)) {
-                    self.close(from, to);
+                if let (Some(from), Some(to)) = (node_index(from), node_index(to)) {
+                    self.block(from, to);
                 }
             }
             Fault::Lossy(one, part) => {
-                if let Some(one) = node(one).filter(|_| *part > LOSSY) {
-                    (0..self.nodes).for_each(|other| self.close(one, other));
+                if let Some(one) = node_index(one).filter(|_| *part > MAX_LOSS_PERCENT) {
+                    (0..self.node_count).for_each(|other| self.block(one, other));
                 }
             }
             Fault::Late(_, _) => {}
-            Fault::Heal => self.closed.clear(),
-            Fault::Kill(one) | Fault::Term(one) => drop(node(one).map(|one| self.up.remove(&one))),
-            Fault::Stop(one) => drop(node(one).map(|one| self.stopped.insert(one))),
-            Fault::Cont(one) => drop(node(one).map(|one| self.stopped.remove(&one))),
-            Fault::Start(one) => drop(node(one).map(|one| self.up.insert(one))),
+            Fault::Heal => self.blocked.clear(),
+            Fault::Kill(one) | Fault::Term(one) => drop(node_index(one).map(|one| self.up.remove(&one))),
+            Fault::Stop(one) => drop(node_index(one).map(|one| self.paused.insert(one))),
+            Fault::Cont(one) => drop(node_index(one).map(|one| self.paused.remove(&one))),
+            Fault::Start(one) => drop(node_index(one).map(|one| self.up.insert(one))),
         }
-        (self.last_fault, self.agreed) = (at, None);
-        self.parts(at);
+        (self.last_fault_at, self.agreed_at) = (at, None);
+        self.update_partitions(at);
     }
 
-    /// Two are together where a chain of nodes reaches from one to the other, both ways at each step.
-    fn parts(&mut self, at: Moment) {
-        let well: Vec<usize> = self.up.difference(&self.stopped).copied().collect();
-        let open = |a: usize, b: usize| !self.closed.contains(&(a, b)) && !self.closed.contains(&(b, a));
-        let mut part: BTreeMap<usize, usize> = well.iter().map(|node| (*node, *node)).collect();
-        for _ in 0..well.len() {
-            for a in &well {
-                for b in &well {
-                    if open(*a, *b) {
-                        let least = part[a].min(part[b]);
-                        part.insert(*a, least);
-                        part.insert(*b, least);
+    /// Updates which nodes are connected: two nodes are if a chain of nodes leads from one to the other whose links pass
+    /// traffic in both directions.
+    fn update_partitions(&mut self, at: Moment) {
+        let running: Vec<usize> = self.up.difference(&self.paused).copied().collect();
+        let passes = |a: usize, b: usize| !self.blocked.contains(&(a, b)) && !self.blocked.contains(&(b, a));
+        let mut partition: BTreeMap<usize, usize> = running.iter().map(|node| (*node, *node)).collect();
+        for _ in 0..running.len() {
+            for a in &running {
+                for b in &running {
+                    if passes(*a, *b) {
+                        let lowest = partition[a].min(partition[b]);
+                        partition.insert(*a, lowest);
+                        partition.insert(*b, lowest);
                     }
                 }
             }
         }
-        for a in 0..self.nodes {
-            for b in 0..self.nodes {
-                match part.get(&a).is_some_and(|of| Some(of) == part.get(&b)) {
-                    true => drop(self.together.entry((a, b)).or_insert(at)),
-                    false => drop(self.together.remove(&(a, b))),
+        for a in 0..self.node_count {
+            for b in 0..self.node_count {
+                match partition.get(&a).is_some_and(|own| Some(own) == partition.get(&b)) {
+                    true => drop(self.connected_since.entry((a, b)).or_insert(at)),
+                    false => drop(self.connected_since.remove(&(a, b))),
                 }
             }
         }
     }
 
-    fn case(&mut self, at: Moment, text: String) {
-        self.found.cases.push((at, text));
+    fn record_case(&mut self, at: Moment, text: String) {
+        self.violations.cases.push((at, text));
     }
 
-    /// What all nodes told at about the same time; nothing of those that did not answer.
-    pub fn observe_reports(&mut self, at: Moment, told: &BTreeMap<usize, FleetReport>) {
-        for (by, view) in told {
-            self.dead(at, *by, view);
-            self.forward(at, *by, view);
+    /// Checks the reports that nodes gave at about the same time. Nodes that did not answer are missing.
+    pub fn observe_reports(&mut self, at: Moment, reports: &BTreeMap<usize, FleetReport>) {
+        for (by, view) in reports {
+            self.check_deaths(at, *by, view);
+            self.check_no_regression(at, *by, view);
         }
-        let sum: f64 = told.values().map(|view| 1.0 / view.of.max(1) as f64).sum();
-        if sum > 1.0 + ROUNDED {
-            self.found.portions += 1;
-            let parts: Vec<String> = told.iter().map(|(by, view)| format!("n{by} 1/{}", view.of)).collect();
-            self.case(at, format!("portions come to {sum:.3}: {}", parts.join(", ")));
+        let sum: f64 = reports.values().map(|view| 1.0 / view.share_divisor.max(1) as f64).sum();
+        if sum > 1.0 + SHARE_SUM_TOLERANCE {
+            self.violations.portions += 1;
+            let shares: Vec<String> =
+                reports.iter().map(|(by, view)| format!("n{by} 1/{}", view.share_divisor)).collect();
+            self.record_case(at, format!("shares add up to {sum:.3}: {}", shares.join(", ")));
         }
-        let truth: BTreeSet<String> = self.up.iter().map(|node| name(*node)).collect();
-        let all = |node: &usize| told.get(node).is_some_and(|view| view.here == truth);
-        if self.agreed.is_none() && self.stopped.is_empty() && self.up.iter().all(all) {
-            self.agreed = Some(at);
+        let truth: BTreeSet<String> = self.up.iter().map(|node| node_name(*node)).collect();
+        let agrees = |node: &usize| reports.get(node).is_some_and(|view| view.present == truth);
+        if self.agreed_at.is_none() && self.paused.is_empty() && self.up.iter().all(agrees) {
+            self.agreed_at = Some(at);
         }
-        self.last.extend(told.iter().map(|(by, view)| (*by, view.clone())));
+        self.last_reports.extend(reports.iter().map(|(by, view)| (*by, view.clone())));
     }
 
-    fn dead(&mut self, at: Moment, by: usize, view: &FleetReport) {
-        for (whom, life) in &view.dead {
-            let Some(other) = node(whom).filter(|other| *other < self.nodes) else { continue };
-            if !self.blamed.insert((by, whom.clone(), *life)) {
+    fn check_deaths(&mut self, at: Moment, by: usize, view: &FleetReport) {
+        for (member, generation) in &view.dead {
+            let Some(other) = node_index(member).filter(|other| *other < self.node_count) else { continue };
+            if !self.judged_deaths.insert((by, member.clone(), *generation)) {
                 continue;
             }
-            let since = self.together.get(&(by, other));
-            if since.is_some_and(|since| at.since(*since) >= LATELY) {
-                self.found.deaths += 1;
-                self.case(at, format!("n{by} calls {whom} dead, which it could reach"));
+            let since = self.connected_since.get(&(by, other));
+            if since.is_some_and(|since| at.since(*since) >= UNREACHABLE_WITHIN) {
+                self.violations.deaths += 1;
+                self.record_case(at, format!("n{by} calls {member} dead although it could reach it"));
             }
         }
     }
 
-    fn forward(&mut self, at: Moment, by: usize, view: &FleetReport) {
-        let Some(before) = self.last.get(&by).filter(|before| before.life == view.life) else { return };
-        let back = |(whom, now): (&String, &(u64, u64))| {
-            before.lives.get(whom).filter(|then| *then > now).map(|then| (whom.clone(), *then, *now))
+    fn check_no_regression(&mut self, at: Moment, by: usize, view: &FleetReport) {
+        let Some(before) = self.last_reports.get(&by).filter(|before| before.generation == view.generation)
+        else {
+            return;
         };
-        if let Some((whom, then, now)) = view.lives.iter().find_map(back) {
-            self.found.views += 1;
-            self.case(at, format!("n{by} goes back with {whom}, from {then:?} to {now:?}"));
+        let regressed = |(member, now): (&String, &(u64, u64))| {
+            before.versions.get(member).filter(|then| *then > now).map(|then| (member.clone(), *then, *now))
+        };
+        if let Some((member, then, now)) = view.versions.iter().find_map(regressed) {
+            self.violations.views += 1;
+            self.record_case(at, format!("n{by} went back on {member}, from {then:?} to {now:?}"));
         }
     }
 
-    /// All is over: whether all came to agree in time.
+    /// Ends the play, and checks whether all nodes agreed in time.
     pub fn finish(&mut self, at: Moment) {
-        let Some(most) = self.agree else { return };
-        let due = self.last_fault + most;
-        let late = match self.agreed {
+        let Some(limit) = self.agreement_limit else { return };
+        let due = self.last_fault_at + limit;
+        let late = match self.agreed_at {
             Some(agreed) => agreed > due,
             None => at >= due,
         };
         if late {
-            self.found.views += 1;
-            let seconds = self.agreed.unwrap_or(at).since(self.last_fault).micros() / 1e6;
-            let held: Vec<String> =
-                self.last.iter().map(|(by, view)| format!("n{by}: {:?}", view.here)).collect();
-            self.case(at, format!("no agreement {seconds:.1} s after the last fault: {}", held.join("; ")));
+            self.violations.views += 1;
+            let seconds = self.agreed_at.unwrap_or(at).since(self.last_fault_at).micros() / 1e6;
+            let views: Vec<String> =
+                self.last_reports.iter().map(|(by, view)| format!("n{by}: {:?}", view.present)).collect();
+            self.record_case(
+                at,
+                format!("no agreement {seconds:.1} s after the last fault: {}", views.join("; ")),
+            );
         }
     }
 
-    /// When all agreed after the last fault, in seconds.
-    pub fn settled(&self) -> Option<f64> {
-        self.agreed.map(|at| at.since(self.last_fault.max(self.origin)).micros() / 1e6)
+    /// How many seconds after the last fault all nodes agreed, if they did.
+    pub fn agreement_seconds(&self) -> Option<f64> {
+        self.agreed_at.map(|at| at.since(self.last_fault_at.max(self.origin)).micros() / 1e6)
     }
 }
--- a/crates/rehearsal/src/paper.rs
+++ b/crates/rehearsal/src/paper.rs
@@ -192,7 +192,7 @@
         Ok(Box::new(Plain { board: board.clone(), node: birth.node, d, first_come, servers, draw }))
     };
     let (_, judges) = virtual_clock::play(&scenario, seed, name, &make, &mut |_| ())?;
-    Ok(judges.service.profiles[0].took.mean() / UNIT.micros())
+    Ok(judges.service.profiles[0].latency_us.mean() / UNIT.micros())
 }
 
 /// What the paper's Table 3 gives for exponential jobs: policy, servers, servers for each dispatcher, load, and
--- a/crates/rehearsal/src/report/charts.rs
+++ b/crates/rehearsal/src/report/charts.rs
@@ -71,8 +71,9 @@
 /// The share of finished answers by time, by profile, on a logarithmic scale of time.
 pub fn latency(scenario: &Scenario, judges: &Judges) -> Result<String, String> {
     let profiles = &judges.service.profiles;
-    let most = profiles.iter().map(|p| p.took.max()).max().unwrap_or(1).max(1000) as f64 / 1e3;
-    let least = profiles.iter().filter(|p| !p.took.is_empty()).map(|p| p.took.min()).min().unwrap_or(1);
+    let most = profiles.iter().map(|p| p.latency_us.max()).max().unwrap_or(1).max(1000) as f64 / 1e3;
+    let least =
+        profiles.iter().filter(|p| !p.latency_us.is_empty()).map(|p| p.latency_us.min()).min().unwrap_or(1);
     let least = (least as f64 / 1e3).clamp(0.1, most / 2.0);
     let mut svg = String::new();
     {
@@ -101,20 +102,21 @@
             .draw()
             .map_err(told)?;
         for (i, (p, named)) in profiles.iter().zip(&scenario.profiles).enumerate() {
-            if p.took.is_empty() {
+            if p.latency_us.is_empty() {
                 continue;
             }
             // As many nines as there are answers to show them.
-            let nines = ((p.took.len() as f64).log10()).min(4.0);
+            let nines = ((p.latency_us.len() as f64).log10()).min(4.0);
             let steps = (0..=200).map(|k| f64::from(k) / 200.0 * nines);
-            let line: Vec<(f64, f64)> =
-                steps.map(|y| (p.took.value_at_quantile(1.0 - 10f64.powf(-y)) as f64 / 1e3, y)).collect();
+            let line: Vec<(f64, f64)> = steps
+                .map(|y| (p.latency_us.value_at_quantile(1.0 - 10f64.powf(-y)) as f64 / 1e3, y))
+                .collect();
             chart
                 .draw_series(LineSeries::new(line, colour(i).stroke_width(2)))
                 .map_err(told)?
                 .label(named.name.clone())
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour(i).stroke_width(2)));
-            let goal = (p.goal / 1e3).clamp(least, most * 1.05);
+            let goal = (p.goal_us / 1e3).clamp(least, most * 1.05);
             let dash = vec![(goal, 0.0), (goal, 4.0)];
             chart.draw_series(DashedLineSeries::new(dash, 4, 4, colour(i).stroke_width(1))).map_err(told)?;
         }
@@ -132,7 +134,7 @@
 
 /// A row a backend, a column a second.
 pub fn backends(judges: &Judges) -> Result<String, String> {
-    let rows = &judges.service.by_backend;
+    let rows = &judges.service.launches_by_backend;
     let seconds = rows.first().map_or(0, Vec::len);
     let most = rows.iter().flatten().max().copied().unwrap_or(0).max(1) as f64;
     let high = (rows.len() as u32 * 14).clamp(60, 900) + 45;
--- a/crates/rehearsal/tests/judges.rs
+++ b/crates/rehearsal/tests/judges.rs
@@ -253,7 +253,7 @@
         let mut rules = rules();
         seen.iter().for_each(|s| rules.observe(s));
         rules.finish(at(10_000));
-        let b = &rules.broken;
+        let b = &rules.violations;
         assert_eq!([b.answers, b.effects, b.drains], wanted, "{what}: {b:?}");
     }
 }
@@ -274,6 +274,6 @@
         for n in 0..count {
             rules.observe(&Observation::LaunchReceived { backend: 1, work, at: Moment(n * apart) });
         }
-        assert_eq!(rules.broken.pushes, wanted, "{what}");
+        assert_eq!(rules.violations.pushes, wanted, "{what}");
     }
 }
