--- a/crates/rehearsal/src/compare.rs
+++ b/crates/rehearsal/src/compare.rs
@@ -78,7 +78,7 @@
             let (own, other) = (of(a), of(b));
             let differences: Vec<f64> = own.iter().zip(&other).map(|(a, b)| b - a).collect();
             let change = Mean::of(&differences);
-            let verdict = match (change.half, change.is_noise()) {
+            let verdict = match (change.half_width, change.is_noise()) {
                 _ if change.mean == 0.0 => Verdict::Same,
                 (None, _) => Verdict::Unknown,
                 (_, true) => Verdict::Same,
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -222,7 +222,7 @@
         policy: group[0].played.policy.clone(),
         seeds: group.len(),
         service: service.mean,
-        service_half: service.half,
+        service_half: service.half_width,
         worst_5s: mean(&|p| p.worst_5s).mean,
         p99_ms: mean(&p99).mean,
         turned_back: mean(&|p| p.turned_back_share).mean,
--- a/crates/rehearsal/src/model/backend.rs
+++ b/crates/rehearsal/src/model/backend.rs
@@ -1,19 +1,19 @@
-//! One backend: cores, a queue, a warm-up, and the ways in which it slows down, stops and falls over.
+//! One backend: cores, a queue, a warm-up, and the ways in which it slows down, stalls and crashes.
 //!
-//! All commands in work on a backend go on at one rate, so that its state is one number, the work done on each
-//! core since its start; a command that began at `b` with work `w` ends when that number reaches `b + w`. The
-//! rate is constant between edges (an arrival, an end, a step of the warm-up, a stall), and `next` is the next
-//! edge: whoever drives it calls `advance` then.
+//! All commands that a backend executes progress at the same rate, so that its state is one number, the work done on
+//! each core since its start. A command that began at `b` with work `w` ends when that number reaches `b + w`. The rate
+//! is constant between changes (an arrival, an end, a step of the warm-up, a stall). `next_change` returns the next
+//! change, and the driver calls `advance` at that time.
 
 use crate::rng::{RngStream, SeededRng};
-use crate::scenario::{BackendKind, Spells, Stops};
+use crate::scenario::{BackendKind, Episodes, Stops};
 use std::collections::{HashMap, VecDeque};
 use yarrowfront::times::{Moment, Span};
 
-/// Whatever a driver calls a launch.
-pub type Key = u64;
+/// The driver's key of a launch.
+pub type LaunchKey = u64;
 
-/// A tag, and within which scope it is remembered for how long.
+/// The idempotency key of a command, the scope whose backends share the memory of it, and how long it is remembered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IdempotencyKey {
     pub scope: u32,
@@ -21,390 +21,423 @@
     pub retention: Span,
 }
 
-/// Which tags have run, by the scope that remembers them.
+/// When each idempotency key was last executed, by scope and key.
 #[derive(Default)]
 pub struct IdempotencyStore(HashMap<(u32, u64), Moment>);
 
 impl IdempotencyStore {
-    /// Whether this is a repeat of what ran within the span. Otherwise it counts as run from now on.
-    fn repeat(&mut self, now: Moment, tag: &IdempotencyKey) -> bool {
-        let seen = self.0.get(&(tag.scope, tag.key)).copied();
-        let repeat = seen.is_some_and(|at| now < at + tag.retention);
+    /// Whether the key was executed within its retention. If not, it counts as executed now.
+    fn is_repeat(&mut self, now: Moment, key: &IdempotencyKey) -> bool {
+        let seen = self.0.get(&(key.scope, key.key)).copied();
+        let repeat = seen.is_some_and(|at| now < at + key.retention);
         if !repeat {
-            self.0.insert((tag.scope, tag.key), now);
+            self.0.insert((key.scope, key.key), now);
         }
         repeat
     }
 }
 
+/// How a backend responds to a command that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
     Accepted,
-    /// Turned away unseen: the queue is full, or it drains.
+    /// Rejected without being executed: the queue is full, or the backend drains.
     Full,
-    /// Answered with an error at once; nothing has run.
+    /// Answered with an error at once; nothing was executed.
     Error,
-    /// It was cold and pushed: it has fallen over, with all that it held.
+    /// The backend was cold and got too much work: it has crashed and lost all its commands.
     Crashed,
+    /// The process does not run.
     Down,
 }
 
-/// What came of a command that a backend has taken.
+/// An event of a command that a backend has accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendEvent {
-    /// Its work has begun: from now on it may have had its effect. Not told for a tag's repeat.
-    WorkStarted(Key, Moment),
-    WorkFinished(Key, Moment),
+    /// Its execution has started, so that it may have had its effect from now on. Not reported for a repeat of an
+    /// idempotency key.
+    WorkStarted(LaunchKey, Moment),
+    WorkFinished(LaunchKey, Moment),
 }
 
-struct Waiting {
-    key: Key,
+/// A command in the queue; its work is in microseconds on a core of speed one.
+struct QueuedCommand {
+    key: LaunchKey,
     work: f64,
-    tag: Option<IdempotencyKey>,
+    idempotency_key: Option<IdempotencyKey>,
 }
 
-struct Running {
-    key: Key,
-    until: f64,
+struct RunningCommand {
+    key: LaunchKey,
+    /// It ends when the work done on each core reaches this.
+    target_done_per_core: f64,
 }
 
-/// A process that is on and off by turns.
-struct Turns {
-    spells: Spells,
-    on: bool,
-    edge: Moment,
+/// Alternation between the normal speed and slow episodes of random length.
+struct SlowPhases {
+    episodes: Episodes,
+    /// Whether an episode is on.
+    is_slow: bool,
+    next_change_at: Moment,
 }
 
-impl Turns {
-    fn new(spells: Spells, now: Moment, draw: &mut SeededRng) -> Turns {
-        Turns { spells, on: false, edge: now + Span(draw.exponential(spells.every.micros()) as u64 + 1) }
+impl SlowPhases {
+    fn new(episodes: Episodes, now: Moment, rng: &mut SeededRng) -> SlowPhases {
+        SlowPhases {
+            episodes,
+            is_slow: false,
+            next_change_at: now + Span(rng.exponential(episodes.every.micros()) as u64 + 1),
+        }
     }
 
-    fn pass(&mut self, now: Moment, draw: &mut SeededRng) {
-        while self.edge <= now {
-            self.on = !self.on;
-            let mean = if self.on { self.spells.length } else { self.spells.every };
-            self.edge = self.edge + Span(draw.exponential(mean.micros()) as u64 + 1);
+    fn advance(&mut self, now: Moment, rng: &mut SeededRng) {
+        while self.next_change_at <= now {
+            self.is_slow = !self.is_slow;
+            let mean = if self.is_slow { self.episodes.length } else { self.episodes.every };
+            self.next_change_at = self.next_change_at + Span(rng.exponential(mean.micros()) as u64 + 1);
         }
     }
 
     fn speed(&self) -> f64 {
-        if self.on {
-            self.spells.speed
+        if self.is_slow {
+            self.episodes.speed
         } else {
             1.0
         }
     }
 }
 
-/// A tag's repeat is answered from memory: that is work too, but little.
-const REPEAT_WORK: f64 = 500.0;
-/// The warm-up goes in so many steps.
-const STEPS: u64 = 50;
+/// Work of a repeated idempotency key, in microseconds. It is small because the answer is remembered.
+const REPEAT_WORK_US: f64 = 500.0;
+/// The warm-up raises the capacity in this many steps.
+const WARM_UP_STEPS: u64 = 50;
 
+/// The state of one backend.
 pub struct Backend {
     pub kind: BackendKind,
     pub zone: u16,
+    /// Backends of one group share the memory of idempotency keys.
     pub group: u16,
+    /// Work per microsecond on each core, when warm and without troubles.
     pub speed: f64,
+    /// Whether its process runs.
     pub is_up: bool,
-    /// Takes nothing new.
-    pub draining: bool,
+    /// Accepts no new commands.
+    pub is_draining: bool,
     /// Cut off from the network.
     pub is_cut_off: bool,
+    /// Whether it accepts commands and never finishes them.
     pub is_hung: bool,
-    /// What a trouble leaves of its speed.
-    pub part: f64,
-    pub errors: f64,
-    pub started: Moment,
-    /// Whether it has been warm for ever: the first ones of a scenario.
-    seasoned: bool,
-    done: f64,
-    at: Moment,
+    /// The factor by which troubles change its speed.
+    pub speed_factor: f64,
+    /// The share of commands that it answers with an error at once.
+    pub error_share: f64,
+    pub started_at: Moment,
+    /// Whether it needs no warm-up: the backends that a scenario starts with.
+    always_warm: bool,
+    /// Work done on each core for commands since the start, in microseconds on a core of speed one.
+    done_per_core: f64,
+    /// The time up to which its state is computed.
+    advanced_to: Moment,
+    /// Work per microsecond on each core at present.
     rate: f64,
-    debt: f64,
-    running: Vec<Running>,
-    waiting: VecDeque<Waiting>,
-    collapsed: bool,
-    stalls: Option<Turns>,
-    neighbours: Option<Turns>,
-    /// Stalls that a trouble brings: until when it stands.
+    /// Work that belongs to no command and is done before that of commands, per core.
+    overhead_per_core: f64,
+    running: Vec<RunningCommand>,
+    queued: VecDeque<QueuedCommand>,
+    /// Whether it is slowed down by the overload that `BackendKind::collapse` describes.
+    is_collapsed: bool,
+    stalls: Option<SlowPhases>,
+    neighbours: Option<SlowPhases>,
+    /// The time at which a stall caused by a trouble ends.
     pub stalled_until: Moment,
-    poured: VecDeque<(Moment, f64)>,
-    budget: (f64, Span),
-    draw: SeededRng,
-    pub took: u64,
+    /// When each command came during the warm-up, and its work.
+    received_while_cold: VecDeque<(Moment, f64)>,
+    /// The multiple of its capacity that it can be sent while cold, and within which span.
+    cold_budget: (f64, Span),
+    rng: SeededRng,
+    pub accepted_count: u64,
 }
 
 impl Backend {
-    /// `budget`: the multiple of its capacity that a cold one can be sent, and within which span.
+    /// `started_at` is `None` for a backend that is warm from the start. `cold_budget` is the multiple of its capacity that
+    /// it can be sent while cold, and the span within which that is counted.
     pub fn new(
         kind: BackendKind,
         (zone, group): (u16, u16),
-        started: Option<Moment>,
+        started_at: Option<Moment>,
         now: Moment,
-        budget: (f64, Span),
+        cold_budget: (f64, Span),
         (seed, number): (u64, u64),
     ) -> Backend {
-        let mut draw = SeededRng::with_index(seed, RngStream::Backends, number);
-        let speed = draw.lognormal(kind.speed, kind.spread);
-        let stalls = kind.stalls.map(|s| Turns::new(s, now, &mut draw));
-        let neighbours = kind.neighbours.map(|s| Turns::new(s, now, &mut draw));
-        let errors = kind.errors;
+        let mut rng = SeededRng::with_index(seed, RngStream::Backends, number);
+        let speed = rng.lognormal(kind.speed, kind.spread);
+        let stalls = kind.stalls.map(|s| SlowPhases::new(s, now, &mut rng));
+        let neighbours = kind.neighbours.map(|s| SlowPhases::new(s, now, &mut rng));
+        let error_share = kind.errors;
         let mut backend = Backend {
             kind,
             zone,
             group,
             speed,
             is_up: true,
-            draining: false,
+            is_draining: false,
             is_cut_off: false,
             is_hung: false,
-            part: 1.0,
-            errors,
-            started: started.unwrap_or_default(),
-            seasoned: started.is_none(),
-            done: 0.0,
-            at: now,
+            speed_factor: 1.0,
+            error_share,
+            started_at: started_at.unwrap_or_default(),
+            always_warm: started_at.is_none(),
+            done_per_core: 0.0,
+            advanced_to: now,
             rate: 0.0,
-            debt: 0.0,
+            overhead_per_core: 0.0,
             running: Vec::new(),
-            waiting: VecDeque::new(),
-            collapsed: false,
+            queued: VecDeque::new(),
+            is_collapsed: false,
             stalls,
             neighbours,
             stalled_until: Moment(0),
-            poured: VecDeque::new(),
-            budget,
-            draw,
-            took: 0,
+            received_while_cold: VecDeque::new(),
+            cold_budget,
+            rng,
+            accepted_count: 0,
         };
-        backend.turn(now);
+        backend.update_rate(now);
         backend
     }
 
+    /// Commands that it executes or has in its queue.
     pub fn held_commands(&self) -> usize {
-        self.running.len() + self.waiting.len()
+        self.running.len() + self.queued.len()
     }
 
     pub fn queued_commands(&self) -> usize {
-        self.waiting.len()
+        self.queued.len()
     }
 
     pub fn cores(&self) -> f64 {
         f64::from(self.kind.cores)
     }
 
-    /// The share of its capacity that its start leaves it.
-    pub fn warmth(&self, now: Moment) -> f64 {
-        if self.seasoned || self.kind.warm.0 == 0 {
+    /// The share of its capacity that it has at this stage of its warm-up; 1 when it is warm.
+    pub fn warm_up_share(&self, now: Moment) -> f64 {
+        if self.always_warm || self.kind.warm.0 == 0 {
             return 1.0;
         }
-        let step = now.since(self.started).0.saturating_mul(STEPS) / self.kind.warm.0;
-        let part = (step as f64 + 0.5) / STEPS as f64;
-        (self.kind.cold + (1.0 - self.kind.cold) * part).min(1.0)
+        let step = now.since(self.started_at).0.saturating_mul(WARM_UP_STEPS) / self.kind.warm.0;
+        let progress = (step as f64 + 0.5) / WARM_UP_STEPS as f64;
+        (self.kind.cold + (1.0 - self.kind.cold) * progress).min(1.0)
     }
 
-    /// Work that it could do in a microsecond, by its start alone.
+    /// Work per microsecond on all cores at this stage of its warm-up, without troubles.
     pub fn capacity(&self, now: Moment) -> f64 {
-        self.cores() * self.speed * self.warmth(now)
+        self.cores() * self.speed * self.warm_up_share(now)
     }
 
-    /// Work that it still has to do, in microseconds on a core of speed one.
-    pub fn ahead(&self) -> f64 {
-        let left: f64 = self.running.iter().map(|r| (r.until - self.done).max(0.0)).sum();
-        left + self.waiting.iter().map(|w| w.work).sum::<f64>() + self.debt
+    /// Work that it still has to do, in microseconds on a core of speed one. Overhead is counted once for all cores.
+    pub fn remaining_work(&self) -> f64 {
+        let left: f64 =
+            self.running.iter().map(|r| (r.target_done_per_core - self.done_per_core).max(0.0)).sum();
+        left + self.queued.iter().map(|c| c.work).sum::<f64>() + self.overhead_per_core
     }
 
-    /// What it does at present on each core.
+    /// Work per microsecond on each core at present.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Whether a cold one would fall over with so much more work.
-    pub fn would_fall(&self, now: Moment, work: f64) -> bool {
-        if self.warmth(now) >= 1.0 || self.kind.falls.0 == 0 {
+    /// Whether it is cold and would crash with this much more work.
+    pub fn would_crash(&self, now: Moment, work: f64) -> bool {
+        if self.warm_up_share(now) >= 1.0 || self.kind.falls.0 == 0 {
             return false;
         }
-        let (multiple, span) = self.budget;
-        let recent: f64 = self.poured.iter().filter(|(at, _)| now.since(*at) < span).map(|(_, w)| w).sum();
-        // Chance is allowed for: three commands as large as this one, and a tenth.
+        let (multiple, span) = self.cold_budget;
+        let recent: f64 =
+            self.received_while_cold.iter().filter(|(at, _)| now.since(*at) < span).map(|(_, w)| w).sum();
+        // Random variation is allowed for: a tenth of the budget, and three commands as large as this one.
         recent + work > 1.1 * multiple * self.capacity(now) * span.micros() + 3.0 * work
     }
 
-    fn turn(&mut self, now: Moment) {
-        for turns in [&mut self.stalls, &mut self.neighbours].into_iter().flatten() {
-            turns.pass(now, &mut self.draw);
+    fn update_rate(&mut self, now: Moment) {
+        for phases in [&mut self.stalls, &mut self.neighbours].into_iter().flatten() {
+            phases.advance(now, &mut self.rng);
         }
         let held = self.held_commands() as f64;
         if let Some(collapse) = self.kind.collapse {
-            let each = held / self.cores();
-            self.collapsed = if self.collapsed { each > collapse.until } else { each >= collapse.at };
+            let held_per_core = held / self.cores();
+            self.is_collapsed =
+                if self.is_collapsed { held_per_core > collapse.until } else { held_per_core >= collapse.at };
         }
-        let crowd = 1.0 - (self.kind.crowding * (held - 2.0 * self.cores()).max(0.0)).min(0.9);
-        let collapse = self.kind.collapse.filter(|_| self.collapsed).map_or(1.0, |c| c.speed);
-        let turns = self.stalls.as_ref().map_or(1.0, Turns::speed)
-            * self.neighbours.as_ref().map_or(1.0, Turns::speed);
-        let stands = self.is_hung || !self.is_up || now < self.stalled_until;
-        let own = self.speed * self.part * self.warmth(now);
-        self.rate = if stands { 0.0 } else { own * crowd * collapse * turns };
+        let crowding_factor = 1.0 - (self.kind.crowding * (held - 2.0 * self.cores()).max(0.0)).min(0.9);
+        let collapse_factor = self.kind.collapse.filter(|_| self.is_collapsed).map_or(1.0, |c| c.speed);
+        let episode_factor = self.stalls.as_ref().map_or(1.0, SlowPhases::speed)
+            * self.neighbours.as_ref().map_or(1.0, SlowPhases::speed);
+        let is_standing = self.is_hung || !self.is_up || now < self.stalled_until;
+        let own_speed = self.speed * self.speed_factor * self.warm_up_share(now);
+        self.rate =
+            if is_standing { 0.0 } else { own_speed * crowding_factor * collapse_factor * episode_factor };
     }
 
-    /// The next moment at which something about it changes by itself. Never for one that does nothing.
+    /// The next time at which its state changes without a call; `None` if it executes nothing.
     pub fn next_change(&self) -> Option<Moment> {
         if self.running.is_empty() || !self.is_up {
             return None;
         }
-        let mut edge = u64::MAX;
+        let mut change = u64::MAX;
         if self.rate > 0.0 {
-            let least = self.running.iter().map(|r| r.until).fold(f64::MAX, f64::min);
-            let left = ((least - self.done + self.debt) / self.rate).ceil().max(0.0);
-            edge = self.at.0 + left as u64;
+            let first_done = self.running.iter().map(|r| r.target_done_per_core).fold(f64::MAX, f64::min);
+            let left =
+                ((first_done - self.done_per_core + self.overhead_per_core) / self.rate).ceil().max(0.0);
+            change = self.advanced_to.0 + left as u64;
         }
-        for turns in [&self.stalls, &self.neighbours].into_iter().flatten() {
-            edge = edge.min(turns.edge.0);
+        for phases in [&self.stalls, &self.neighbours].into_iter().flatten() {
+            change = change.min(phases.next_change_at.0);
         }
-        if self.at < self.stalled_until {
-            edge = edge.min(self.stalled_until.0);
+        if self.advanced_to < self.stalled_until {
+            change = change.min(self.stalled_until.0);
         }
-        if self.warmth(self.at) < 1.0 {
-            let step = (self.kind.warm.0 / STEPS).max(1);
-            let passed = self.at.since(self.started).0 / step + 1;
-            edge = edge.min(self.started.0 + passed * step);
+        if self.warm_up_share(self.advanced_to) < 1.0 {
+            let step = (self.kind.warm.0 / WARM_UP_STEPS).max(1);
+            let next_step = self.advanced_to.since(self.started_at).0 / step + 1;
+            change = change.min(self.started_at.0 + next_step * step);
         }
-        (edge < u64::MAX).then_some(Moment(edge))
+        (change < u64::MAX).then_some(Moment(change))
     }
 
-    /// Lets time pass, and tells what happened meanwhile in its order.
-    pub fn advance(&mut self, now: Moment, memory: &mut IdempotencyStore, told: &mut Vec<BackendEvent>) {
-        while let Some(edge) = self.next_change().filter(|edge| *edge <= now) {
-            self.pass(edge);
-            self.end(edge, memory, told);
-            self.turn(edge);
+    /// Advances its state to `now`, and appends what happened meanwhile to `events` in order.
+    pub fn advance(&mut self, now: Moment, store: &mut IdempotencyStore, events: &mut Vec<BackendEvent>) {
+        while let Some(change) = self.next_change().filter(|change| *change <= now) {
+            self.do_work_until(change);
+            self.finish_done(change, store, events);
+            self.update_rate(change);
         }
-        self.pass(now);
-        self.turn(now);
+        self.do_work_until(now);
+        self.update_rate(now);
     }
 
-    fn pass(&mut self, now: Moment) {
-        let mut step = self.rate * now.since(self.at).micros();
-        self.at = now;
+    fn do_work_until(&mut self, now: Moment) {
+        let mut work_done = self.rate * now.since(self.advanced_to).micros();
+        self.advanced_to = now;
         if self.running.is_empty() {
-            self.debt = (self.debt - step).max(0.0);
+            self.overhead_per_core = (self.overhead_per_core - work_done).max(0.0);
             return;
         }
-        let paid = self.debt.min(step);
-        self.debt -= paid;
-        step -= paid;
-        self.done += step;
+        let overhead_done = self.overhead_per_core.min(work_done);
+        self.overhead_per_core -= overhead_done;
+        work_done -= overhead_done;
+        self.done_per_core += work_done;
     }
 
-    fn end(&mut self, now: Moment, memory: &mut IdempotencyStore, told: &mut Vec<BackendEvent>) {
-        // A thousandth of a microsecond is what rounding leaves.
-        while let Some(i) = self.running.iter().position(|r| r.until <= self.done + 1e-3) {
-            told.push(BackendEvent::WorkFinished(self.running.remove(i).key, now));
+    fn finish_done(&mut self, now: Moment, store: &mut IdempotencyStore, events: &mut Vec<BackendEvent>) {
+        // A thousandth of a microsecond is tolerated for rounding errors.
+        while let Some(i) =
+            self.running.iter().position(|r| r.target_done_per_core <= self.done_per_core + 1e-3)
+        {
+            events.push(BackendEvent::WorkFinished(self.running.remove(i).key, now));
         }
-        self.begin(now, memory, told);
+        self.start_queued(now, store, events);
     }
 
-    fn begin(&mut self, now: Moment, memory: &mut IdempotencyStore, told: &mut Vec<BackendEvent>) {
+    fn start_queued(&mut self, now: Moment, store: &mut IdempotencyStore, events: &mut Vec<BackendEvent>) {
         while self.running.len() < usize::from(self.kind.cores) {
-            let Some(next) = self.waiting.pop_front() else { break };
-            let repeat = next.tag.is_some_and(|tag| memory.repeat(now, &tag));
-            let work = if repeat { next.work.min(REPEAT_WORK) } else { next.work };
-            self.running.push(Running { key: next.key, until: self.done + work });
+            let Some(next) = self.queued.pop_front() else { break };
+            let repeat = next.idempotency_key.is_some_and(|key| store.is_repeat(now, &key));
+            let work = if repeat { next.work.min(REPEAT_WORK_US) } else { next.work };
+            self.running
+                .push(RunningCommand { key: next.key, target_done_per_core: self.done_per_core + work });
             if !repeat {
-                told.push(BackendEvent::WorkStarted(next.key, now));
+                events.push(BackendEvent::WorkStarted(next.key, now));
             }
         }
     }
 
-    /// A command has come whole. Call `advance` first.
+    /// Handles a command that has been received completely. Call `advance` first.
     pub fn arrive(
         &mut self,
         now: Moment,
-        (key, work, tag): (Key, f64, Option<IdempotencyKey>),
-        memory: &mut IdempotencyStore,
-        told: &mut Vec<BackendEvent>,
+        (key, work, idempotency_key): (LaunchKey, f64, Option<IdempotencyKey>),
+        store: &mut IdempotencyStore,
+        events: &mut Vec<BackendEvent>,
     ) -> Reply {
         if !self.is_up {
             return Reply::Down;
         }
-        if self.draining {
+        if self.is_draining {
             return Reply::Full;
         }
-        if self.draw.chance(self.errors) {
+        if self.rng.chance(self.error_share) {
             return Reply::Error;
         }
         let cores = self.cores();
         if self.held_commands() as f64 >= cores + (self.kind.queue * cores).round() {
             return Reply::Full;
         }
-        if self.would_fall(now, work) {
+        if self.would_crash(now, work) {
             return Reply::Crashed;
         }
-        if self.warmth(now) < 1.0 {
-            let span = self.budget.1;
-            while self.poured.front().is_some_and(|(at, _)| now.since(*at) >= span) {
-                self.poured.pop_front();
+        if self.warm_up_share(now) < 1.0 {
+            let span = self.cold_budget.1;
+            while self.received_while_cold.front().is_some_and(|(at, _)| now.since(*at) >= span) {
+                self.received_while_cold.pop_front();
             }
-            self.poured.push_back((now, work));
+            self.received_while_cold.push_back((now, work));
         }
-        self.took += 1;
-        self.waiting.push_back(Waiting { key, work, tag });
-        self.begin(now, memory, told);
-        self.turn(now);
+        self.accepted_count += 1;
+        self.queued.push_back(QueuedCommand { key, work, idempotency_key });
+        self.start_queued(now, store, events);
+        self.update_rate(now);
         Reply::Accepted
     }
 
-    /// Its node has given a command up. Call `advance` first.
+    /// Handles a command that its node has cancelled. Call `advance` first.
     pub fn cancel(
         &mut self,
         now: Moment,
-        key: Key,
-        memory: &mut IdempotencyStore,
-        told: &mut Vec<BackendEvent>,
+        key: LaunchKey,
+        store: &mut IdempotencyStore,
+        events: &mut Vec<BackendEvent>,
     ) {
         if self.kind.stops != Stops::None {
-            self.waiting.retain(|w| w.key != key);
+            self.queued.retain(|c| c.key != key);
         }
         if self.kind.stops == Stops::All {
             self.running.retain(|r| r.key != key);
-            self.begin(now, memory, told);
+            self.start_queued(now, store, events);
         }
-        self.turn(now);
+        self.update_rate(now);
     }
 
-    /// Work that belongs to no command: a probe, a new connection.
+    /// Adds work that belongs to no command, such as a probe or a new connection.
     pub fn add_overhead(&mut self, work: f64) {
-        self.debt += work / self.cores();
+        self.overhead_per_core += work / self.cores();
     }
 
-    /// The process dies: whatever it held is lost.
-    pub fn die(&mut self, now: Moment) {
+    /// Ends the process: all its commands are lost.
+    pub fn kill(&mut self, now: Moment) {
         self.is_up = false;
         self.running.clear();
-        self.waiting.clear();
-        self.debt = 0.0;
-        self.collapsed = false;
-        self.pass(now);
-        self.turn(now);
+        self.queued.clear();
+        self.overhead_per_core = 0.0;
+        self.is_collapsed = false;
+        self.do_work_until(now);
+        self.update_rate(now);
     }
 
-    /// A new process under the old name: cold.
-    pub fn rise(&mut self, now: Moment) {
+    /// Starts a new, cold process under the same name.
+    pub fn restart(&mut self, now: Moment) {
         self.is_up = true;
-        self.draining = false;
+        self.is_draining = false;
         self.is_hung = false;
-        self.seasoned = false;
-        self.started = now;
-        self.poured.clear();
-        self.at = now;
-        self.turn(now);
+        self.always_warm = false;
+        self.started_at = now;
+        self.received_while_cold.clear();
+        self.advanced_to = now;
+        self.update_rate(now);
     }
 
-    /// Reckons its rate anew after one of the public marks was changed. Call `advance` before the change.
-    pub fn changed(&mut self, now: Moment) {
-        self.turn(now);
+    /// Computes its rate again after one of the public fields was changed. Call `advance` before the change.
+    pub fn refresh_rate(&mut self, now: Moment) {
+        self.update_rate(now);
     }
 }
--- a/crates/rehearsal/src/model/clients.rs
+++ b/crates/rehearsal/src/model/clients.rs
@@ -1,48 +1,49 @@
-//! What a client does when a try has ended: whether it tries again, and when.
+//! What a client does after an attempt has ended: whether it retries, and when.
 
 use crate::rng::SeededRng;
 use crate::scenario::{CommandEffect, RetryMode, Scenario};
 use yarrowfront::times::Span;
 
+/// How an attempt ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptOutcome {
     Finished,
-    /// With the come-back time, if one was told.
+    /// The node rejected it, with a `Retry-After` if it gave one.
     Rejected(Option<Span>),
     Errored,
-    /// No whole answer: its connection broke, or nobody took it.
+    /// No whole answer: the connection broke, or nothing took the attempt from it.
     Lost,
-    /// Nobody could have taken it: no connection came up.
+    /// No connection to a node was established, so that no node can have received it.
     NotConnected,
-    /// The client's time for it was over.
+    /// The client's time limit was over.
     TimedOut,
 }
 
-/// After how long the next try starts, if there is one.
+/// The delay before the next attempt, if there is one. `attempts` is the number of attempts so far.
 pub fn retry_delay(
     scenario: &Scenario,
     profile: u16,
-    tries: u32,
-    end: AttemptOutcome,
-    draw: &mut SeededRng,
+    attempts: u32,
+    outcome: AttemptOutcome,
+    rng: &mut SeededRng,
 ) -> Option<Span> {
     let clients = &scenario.clients;
     let effect = scenario.profiles[usize::from(profile)].effect;
-    let harmless = match end {
+    let retry_is_safe = match outcome {
         AttemptOutcome::Finished => return None,
         AttemptOutcome::Rejected(_) | AttemptOutcome::NotConnected => true,
-        // It may have run: only what may be repeated goes out again.
+        // It may have been executed, so that only repeatable commands are retried.
         AttemptOutcome::Errored | AttemptOutcome::Lost | AttemptOutcome::TimedOut => {
             effect == CommandEffect::Repeatable
         }
     };
-    if !harmless || tries > clients.retries || clients.retry_mode == RetryMode::Never {
+    if !retry_is_safe || attempts > clients.retries || clients.retry_mode == RetryMode::Never {
         return None;
     }
-    let wait = clients.wait.span().scaled(0.5 + draw.uniform());
-    Some(match (clients.retry_mode, end) {
+    let delay = clients.wait.span().scaled(0.5 + rng.uniform());
+    Some(match (clients.retry_mode, outcome) {
         (RetryMode::AtOnce, _) => Span(0),
-        (RetryMode::Advised, AttemptOutcome::Rejected(Some(told))) => told,
-        _ => wait,
+        (RetryMode::Advised, AttemptOutcome::Rejected(Some(advised))) => advised,
+        _ => delay,
     })
 }
--- a/crates/rehearsal/src/model/fleet.rs
+++ b/crates/rehearsal/src/model/fleet.rs
@@ -1,4 +1,4 @@
-//! All backends, what the list says of them, and what a trouble's step means for them.
+//! All backends, what discovery's list says of them, and how the steps of troubles change them.
 
 use crate::model::backend::{Backend, IdempotencyStore};
 use crate::model::troubles::Step;
@@ -8,70 +8,78 @@
 use yarrowfront::ids::{BackendId, GroupId, KindId, ZoneId};
 use yarrowfront::times::{Moment, Span};
 
-/// What a step asks of whoever drives the fleet.
+/// Work for the driver of the fleet that results from a step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DriverAction {
-    /// What was on its connections is lost, and new ones are refused.
+    /// Reset all connections to the backend: what was in progress on them is lost.
     ResetConnections(usize),
-    /// The list is to look at it then.
+    /// Call `publish` for the backend at this time.
     Publish(Moment, usize),
+    /// Apply the step at this time.
     ScheduleStep(Moment, Step),
-    /// It has started, cold.
+    /// Report to the judges that the backend has started cold.
     ReportColdStart(usize),
-    /// It may go on at another rate.
+    /// The rate of the backend may have changed, so that its next change has to be scheduled again.
     UpdateNextChange(usize),
 }
 
+/// What happens to an answer on its way from a backend to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AnswerFate {
     Delivered,
-    /// Its connection breaks off.
+    /// Its connection is reset.
     ConnectionBroken,
-    /// It never comes, and its connection stays open.
+    /// It never arrives, and its connection stays open.
     Lost,
 }
 
+/// The backends, discovery's list and the state of the network between nodes and backends.
 pub struct Fleet {
     pub backends: Vec<Backend>,
-    kinds: Vec<u8>,
-    /// Machines that others have replaced: they never come back.
+    /// The kind of each backend, as an index into the scenario's kinds.
+    kind_indices: Vec<u8>,
+    /// Whether another backend has replaced this one, so that it never comes back.
     retired: Vec<bool>,
     pub idempotency_store: IdempotencyStore,
-    /// What the list says: of whom nothing, those are not in it.
+    /// The list's entry of each backend. Backends in the state `Gone` are not in the list.
     pub entries: Vec<Listed>,
-    /// The list's version, and which line each version changed.
+    /// The backend whose entry each version of the list changed; its length is the version.
     pub changes: Vec<usize>,
     pub discovery_is_up: bool,
-    pub resets: f64,
-    pub lost: f64,
+    /// The share of answers whose connection is reset.
+    pub reset_share: f64,
+    /// The share of answers that never arrive.
+    pub answer_loss_share: f64,
+    /// Delay that troubles add to each way between nodes and backends, in microseconds.
     pub extra_delay_us: i64,
     seed: u64,
-    list: crate::scenario::List,
-    budget: (f64, Span),
+    list_settings: crate::scenario::List,
+    /// The multiple of its capacity that a cold backend can be sent, and within which span.
+    cold_budget: (f64, Span),
 }
 
 impl Fleet {
     pub fn new(scenario: &Scenario, seed: u64, now: Moment) -> Fleet {
         let mut fleet = Fleet {
             backends: Vec::new(),
-            kinds: Vec::new(),
+            kind_indices: Vec::new(),
             retired: Vec::new(),
             idempotency_store: IdempotencyStore::default(),
             entries: Vec::new(),
             changes: Vec::new(),
             discovery_is_up: true,
-            resets: scenario.net.resets,
-            lost: 0.0,
+            reset_share: scenario.net.resets,
+            answer_loss_share: 0.0,
             extra_delay_us: 0,
             seed,
-            list: scenario.list.clone(),
-            budget: (scenario.allow.push_over, scenario.allow.push_span.span()),
+            list_settings: scenario.list.clone(),
+            cold_budget: (scenario.allow.push_over, scenario.allow.push_span.span()),
         };
         for (kind, k) in scenario.backends.iter().enumerate() {
             for _ in 0..k.count {
                 let i = fleet.backends.len();
                 let zone = (i % usize::from(scenario.zones)) as u16;
-                // Groups lie across zones, or a lost zone would take a tag's memory along.
+                // Groups span zones; otherwise the loss of a zone would lose the memory of idempotency keys.
                 let group = (i / usize::from(k.group)) as u16;
                 fleet.add(kind, k.clone(), (zone, group), None, now);
                 fleet.publish(i);
@@ -89,8 +97,8 @@
         now: Moment,
     ) {
         let number = self.backends.len() as u64;
-        self.backends.push(Backend::new(k, place, started, now, self.budget, (self.seed, number)));
-        self.kinds.push(kind as u8);
+        self.backends.push(Backend::new(k, place, started, now, self.cold_budget, (self.seed, number)));
+        self.kind_indices.push(kind as u8);
         self.retired.push(false);
         self.entries.push(Listed {
             mark: number,
@@ -108,7 +116,7 @@
         format!("b{i}")
     }
 
-    /// Within which memory a tag sent there is looked up.
+    /// The scope in which an idempotency key is looked up if it is sent to this backend.
     pub fn scope_id(&self, scope: Scope, i: usize) -> u32 {
         let b = &self.backends[i];
         match scope {
@@ -118,102 +126,108 @@
         }
     }
 
-    /// The list looks at a backend: true if there is something new to tell.
+    /// Updates the list's entry of a backend from its state; true if the entry has changed.
     pub fn publish(&mut self, i: usize) -> bool {
         let b = &self.backends[i];
-        let state = match (b.is_up && !b.is_cut_off, b.draining) {
+        let state = match (b.is_up && !b.is_cut_off, b.is_draining) {
             (false, _) => State::Gone,
             (true, true) => State::Draining,
             (true, false) => State::Ready,
         };
-        let said = &mut self.entries[i];
-        let new = (state, b.started);
-        if (said.state, said.started) == new {
+        let entry = &mut self.entries[i];
+        let new = (state, b.started_at);
+        if (entry.state, entry.started) == new {
             return false;
         }
-        (said.state, said.started) = new;
+        (entry.state, entry.started) = new;
         self.changes.push(i);
         true
     }
 
-    /// The lines of all backends that are in the list.
+    /// The entries of all backends that are in the list.
     pub fn snapshot(&self) -> impl Iterator<Item = Listed> + '_ {
         self.entries.iter().filter(|l| l.state != State::Gone).copied()
     }
 
-    /// What becomes of an answer on its way.
-    pub fn draw_answer_fate(&self, draw: &mut SeededRng) -> AnswerFate {
-        match draw.uniform() {
-            x if x < self.resets => AnswerFate::ConnectionBroken,
-            x if x < self.resets + self.lost => AnswerFate::Lost,
+    /// Draws what happens to an answer on its way.
+    pub fn draw_answer_fate(&self, rng: &mut SeededRng) -> AnswerFate {
+        match rng.uniform() {
+            x if x < self.reset_share => AnswerFate::ConnectionBroken,
+            x if x < self.reset_share + self.answer_loss_share => AnswerFate::Lost,
             _ => AnswerFate::Delivered,
         }
     }
 
-    /// What a step does to the backends. The node's and the list's own steps are the driver's.
-    pub fn apply(&mut self, now: Moment, step: Step, asked: &mut Vec<DriverAction>) {
-        let noticed = now + self.list.notice.span();
-        let added = now + self.list.add.span();
+    /// Applies a step to the backends, discovery and the network. Steps of nodes are the driver's.
+    pub fn apply(&mut self, now: Moment, step: Step, actions: &mut Vec<DriverAction>) {
+        let death_listed_at = now + self.list_settings.notice.span();
+        let start_listed_at = now + self.list_settings.add.span();
         match step {
             Step::Drain(i) if self.backends[i].is_up => {
-                self.backends[i].draining = true;
-                asked.push(DriverAction::Publish(now, i));
+                self.backends[i].is_draining = true;
+                actions.push(DriverAction::Publish(now, i));
             }
-            Step::StopDrained(i) if self.backends[i].draining => self.down(now, i, now, asked),
-            Step::Kill(i) if self.backends[i].is_up => self.down(now, i, noticed, asked),
+            Step::StopDrained(i) if self.backends[i].is_draining => self.kill_backend(now, i, now, actions),
+            Step::Kill(i) if self.backends[i].is_up => self.kill_backend(now, i, death_listed_at, actions),
             Step::Restart(i) if !self.backends[i].is_up && !self.retired[i] => {
-                self.backends[i].rise(now);
-                asked.extend([DriverAction::ReportColdStart(i), DriverAction::Publish(added, i)]);
+                self.backends[i].restart(now);
+                actions.extend([DriverAction::ReportColdStart(i), DriverAction::Publish(start_listed_at, i)]);
             }
             Step::Replace(i) if !self.retired[i] => {
                 self.retired[i] = true;
-                let (b, kind) = (&self.backends[i], usize::from(self.kinds[i]));
+                let (b, kind) = (&self.backends[i], usize::from(self.kind_indices[i]));
                 let (k, place) = (b.kind.clone(), (b.zone, b.group));
                 self.add(kind, k, place, Some(now), now);
                 let new = self.backends.len() - 1;
-                asked.extend([DriverAction::ReportColdStart(new), DriverAction::Publish(added, new)]);
+                actions.extend([
+                    DriverAction::ReportColdStart(new),
+                    DriverAction::Publish(start_listed_at, new),
+                ]);
             }
             Step::CutOff(i) => {
                 self.backends[i].is_cut_off = true;
-                asked.push(DriverAction::Publish(noticed, i));
+                actions.push(DriverAction::Publish(death_listed_at, i));
             }
             Step::Reconnect(i) => {
                 self.backends[i].is_cut_off = false;
-                // Connections from before are reset now that something comes back on them.
-                asked.extend([DriverAction::ResetConnections(i), DriverAction::Publish(added, i)]);
+                // Connections from before the cut are reset now that packets arrive again.
+                actions
+                    .extend([DriverAction::ResetConnections(i), DriverAction::Publish(start_listed_at, i)]);
             }
             Step::Stall(i, span) => {
                 let b = &mut self.backends[i];
                 b.stalled_until = b.stalled_until.max(now + span);
             }
             Step::Hang(i, hung) => self.backends[i].is_hung = hung,
-            Step::ScaleSpeed(i, part) => self.backends[i].part *= part,
-            Step::AddErrors(i, more) => {
+            Step::ScaleSpeed(i, factor) => self.backends[i].speed_factor *= factor,
+            Step::AddErrors(i, change) => {
                 let b = &mut self.backends[i];
-                b.errors = (b.errors + more).clamp(0.0, 1.0);
+                b.error_share = (b.error_share + change).clamp(0.0, 1.0);
             }
             Step::DiscoveryDown => self.discovery_is_up = false,
             Step::DiscoveryUp => self.discovery_is_up = true,
-            Step::AddResets(more) => self.resets = (self.resets + more).clamp(0.0, 1.0),
-            Step::AddLostAnswers(more) => self.lost = (self.lost + more).clamp(0.0, 1.0),
-            Step::AddDelay(more) => self.extra_delay_us += more,
+            Step::AddResets(change) => self.reset_share = (self.reset_share + change).clamp(0.0, 1.0),
+            Step::AddLostAnswers(change) => {
+                self.answer_loss_share = (self.answer_loss_share + change).clamp(0.0, 1.0)
+            }
+            Step::AddDelay(change) => self.extra_delay_us += change,
             _ => {}
         }
         if let Step::Stall(i, _) | Step::Hang(i, _) | Step::ScaleSpeed(i, _) = step {
-            self.backends[i].changed(now);
-            asked.push(DriverAction::UpdateNextChange(i));
+            self.backends[i].refresh_rate(now);
+            actions.push(DriverAction::UpdateNextChange(i));
         }
     }
 
-    fn down(&mut self, now: Moment, i: usize, told: Moment, asked: &mut Vec<DriverAction>) {
-        self.backends[i].die(now);
-        asked.extend([DriverAction::ResetConnections(i), DriverAction::Publish(told, i)]);
+    fn kill_backend(&mut self, now: Moment, i: usize, listed_at: Moment, actions: &mut Vec<DriverAction>) {
+        self.backends[i].kill(now);
+        actions.extend([DriverAction::ResetConnections(i), DriverAction::Publish(listed_at, i)]);
     }
 
-    /// It was pushed over while cold.
-    pub fn crash(&mut self, now: Moment, i: usize, asked: &mut Vec<DriverAction>) {
-        let back = now + self.backends[i].kind.falls.span();
-        self.apply(now, Step::Kill(i), asked);
-        asked.push(DriverAction::ScheduleStep(back, Step::Restart(i)));
+    /// A cold backend crashes from too much work; it restarts after the time that its kind states.
+    pub fn crash(&mut self, now: Moment, i: usize, actions: &mut Vec<DriverAction>) {
+        let restart_at = now + self.backends[i].kind.falls.span();
+        self.apply(now, Step::Kill(i), actions);
+        actions.push(DriverAction::ScheduleStep(restart_at, Step::Restart(i)));
     }
 }
--- a/crates/rehearsal/src/model/mod.rs
+++ b/crates/rehearsal/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! The systems that yarrowfront serves, as plain state without I/O and without a clock: every call is told the
-//! time. The virtual clock and the real one drive the same backends, arrivals, clients and troubles.
+//! A model of the systems around yarrowfront: plain state without I/O and without a clock; every call is given the time.
+//! The virtual and the real clock drive the same model of backends, arrivals, clients and troubles.
 
 pub mod arrivals;
 pub mod backend;
--- a/crates/rehearsal/src/model/settings.rs
+++ b/crates/rehearsal/src/model/settings.rs
@@ -1,5 +1,5 @@
-//! The settings that a node is given for a scenario: one text for the module on the virtual clock and for the
-//! node's file on the real one.
+//! The settings that a node is given for a scenario: the same JSON for the balancer module on the virtual clock and for
+//! the node's configuration file on the real one.
 
 use crate::scenario::{CommandEffect, ListMode, Scenario, Scope};
 use serde_json::{json, Value};
@@ -8,9 +8,11 @@
     format!("zone-{zone}")
 }
 
-/// What a load report is called by the settings; the stand-in backends call the fields by their own names.
-pub const REPORT: [&str; 3] = ["outstanding", "backlog", "utilization"];
+/// The names of the fields of a load report in the settings. The simulated backends name the fields differently in their
+/// answers.
+pub const LOAD_REPORT_FIELDS: [&str; 3] = ["outstanding", "backlog", "utilization"];
 
+/// The settings of one node.
 pub fn node_settings(scenario: &Scenario, node: usize) -> Value {
     let zone = node as u16 % scenario.zones;
     let profile = |p: &crate::scenario::Profile| {
@@ -28,7 +30,7 @@
                "group": scope, "memorySpan": p.memory.nanos(), "payoff": p.payoff})
     };
     let allow = &scenario.allow;
-    // What backends state of themselves is the least of any kind: a node cannot tell them apart before.
+    // The guarantees are the lowest of all kinds, because a node does not know beforehand what kind a backend is of.
     let cold = scenario.backends.iter().map(|k| k.cold).fold(1.0, f64::min);
     let warm = scenario.backends.iter().map(|k| k.warm.nanos()).max().unwrap_or_default();
     json!({
@@ -49,7 +51,7 @@
             "maxRetryAfter": allow.come_back.map_or(0, |t| t.nanos()),
             "dialTimeout": scenario.net.dial.nanos(), "connIdle": 30_000_000_000u64
         },
-        "report": if allow.probes { json!({"how": "pull", "names": REPORT}) } else { Value::Null },
+        "report": if allow.probes { json!({"how": "pull", "names": LOAD_REPORT_FIELDS}) } else { Value::Null },
         "penalties": {"probe": allow.probe_price, "crossZone": allow.crossing_price},
         "guarantees": {
             "startCapacity": cold, "warmWithin": warm, "tipMultiple": allow.push_over,
--- a/crates/rehearsal/src/policy.rs
+++ b/crates/rehearsal/src/policy.rs
@@ -212,15 +212,18 @@
                     let full = full || careful && brink;
                     if !b.is_up
                         || b.is_cut_off
-                        || b.draining
+                        || b.is_draining
                         || full
                         || b.rate() <= 0.0
-                        || b.would_fall(now, work)
+                        || b.would_crash(now, work)
                     {
                         continue;
                     }
-                    let wait =
-                        if (b.held_commands() as f64) < b.cores() { 0.0 } else { b.ahead() / b.cores() };
+                    let wait = if (b.held_commands() as f64) < b.cores() {
+                        0.0
+                    } else {
+                        b.remaining_work() / b.cores()
+                    };
                     let took = (wait + work) / b.rate();
                     if took < best.0 {
                         best = (took, Some(i));
--- a/crates/rehearsal/src/report/charts.rs
+++ b/crates/rehearsal/src/report/charts.rs
@@ -37,7 +37,7 @@
             .build_cartesian_2d(0.0..length, 0.0..1.02)
             .map_err(told)?;
         for (i, t) in scenario.troubles.iter().enumerate() {
-            let (from, to) = (t.at.micros() / 1e6, (t.ends().micros() / 1e6).max(t.at.micros() / 1e6 + 0.1));
+            let (from, to) = (t.at.micros() / 1e6, (t.end().micros() / 1e6).max(t.at.micros() / 1e6 + 0.1));
             let shade =
                 Rectangle::new([(from, 0.0), (to.min(length), 1.02)], colour(i + 1).mix(0.16).filled());
             chart.draw_series(std::iter::once(shade)).map_err(told)?;
--- a/crates/rehearsal/src/report/mod.rs
+++ b/crates/rehearsal/src/report/mod.rs
@@ -78,7 +78,7 @@
                     "{} from {:.1} to {:.1} s",
                     t.kind.label(),
                     t.at.micros() / 1e6,
-                    t.ends().micros() / 1e6
+                    t.end().micros() / 1e6
                 )
             })
             .collect();
--- a/crates/rehearsal/src/rng.rs
+++ b/crates/rehearsal/src/rng.rs
@@ -1,11 +1,12 @@
-//! Seeded random numbers: ChaCha, one stream for each purpose, so that what one part draws moves no other.
+//! Seeded random numbers from ChaCha. Each purpose has a stream of its own, so that the numbers drawn for one purpose do
+//! not change those of another.
 
 use crate::scenario::WorkDistribution;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, StandardNormal};
 
-/// What a stream is for. The numbers are part of a seed's meaning: they are never used again.
+/// What a stream is for. The numbers determine what a seed generates, so that they are never reused for another purpose.
 #[derive(Clone, Copy)]
 #[repr(u64)]
 pub enum RngStream {
@@ -17,12 +18,14 @@
     Fleet = 6,
     Search = 7,
     Soak = 8,
-    /// What crosses in a soak's worlds, drawn apart so that the rest of a seed's world stays as it is.
+    /// Troubles that cross in a soak's worlds. They have a stream of their own so that the rest of a seed's world stays the
+    /// same.
     Crossings = 9,
-    /// From here on one for each backend.
+    /// The first of the streams of the backends, one for each.
     Backends = 1 << 32,
 }
 
+/// A random number generator for one stream of a seed.
 pub struct SeededRng(ChaCha8Rng);
 
 impl SeededRng {
@@ -30,13 +33,14 @@
         SeededRng::with_index(seed, stream, 0)
     }
 
-    pub fn with_index(seed: u64, stream: RngStream, number: u64) -> SeededRng {
+    /// The generator of the stream whose number is that of `stream` plus `index`.
+    pub fn with_index(seed: u64, stream: RngStream, index: u64) -> SeededRng {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        rng.set_stream(stream as u64 + number);
+        rng.set_stream(stream as u64 + index);
         SeededRng(rng)
     }
 
-    /// From 0 to under 1.
+    /// A uniform number from 0 up to but excluding 1.
     pub fn uniform(&mut self) -> f64 {
         self.0.random()
     }
@@ -45,11 +49,12 @@
         self.0.random()
     }
 
-    /// From 0 to under `n`, which must be above 0.
+    /// A uniform number from 0 up to but excluding `n`, which must be above 0.
     pub fn below(&mut self, n: usize) -> usize {
         self.0.random_range(0..n)
     }
 
+    /// True with the probability `share`.
     pub fn chance(&mut self, share: f64) -> bool {
         share > 0.0 && self.uniform() < share
     }
@@ -63,16 +68,17 @@
         StandardNormal.sample(&mut self.0)
     }
 
-    /// Lognormal with this mean and coefficient of variation.
+    /// A lognormal number with this mean and coefficient of variation.
     pub fn lognormal(&mut self, mean: f64, spread: f64) -> f64 {
         match LogNormal::from_mean_cv(mean, spread) {
-            Ok(law) if spread > 0.0 => law.sample(&mut self.0),
+            Ok(distribution) if spread > 0.0 => distribution.sample(&mut self.0),
             _ => mean,
         }
     }
 
-    pub fn work(&mut self, law: WorkDistribution, mean: f64, spread: f64) -> f64 {
-        match law {
+    /// The work of a command, at least 1.
+    pub fn work(&mut self, distribution: WorkDistribution, mean: f64, spread: f64) -> f64 {
+        match distribution {
             WorkDistribution::Fixed => mean,
             WorkDistribution::Exponential => self.exponential(mean),
             WorkDistribution::Lognormal => self.lognormal(mean, spread),
@@ -80,8 +86,9 @@
         .max(1.0)
     }
 
-    /// A part of `0..n`, in the order drawn: rounded, at least one where the share is above nothing.
-    pub fn some_of(&mut self, n: usize, share: f64) -> Vec<usize> {
+    /// A random sample of the share `share` of `0..n`, in the order drawn. Its size is rounded, and at least one if the share
+    /// is above 0.
+    pub fn sample_indices(&mut self, n: usize, share: f64) -> Vec<usize> {
         let mut all: Vec<usize> = (0..n).collect();
         let count = if share > 0.0 { ((n as f64 * share).round() as usize).clamp(1.min(n), n) } else { 0 };
         for i in 0..count {
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -315,7 +315,7 @@
 /// Every so often, for so long; both exponential in the mean.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Spells {
+pub struct Episodes {
     pub every: Time,
     pub length: Time,
     /// What is left of the speed meanwhile.
@@ -362,9 +362,9 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub collapse: Option<Collapse>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub stalls: Option<Spells>,
+    pub stalls: Option<Episodes>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub neighbours: Option<Spells>,
+    pub neighbours: Option<Episodes>,
     #[serde(default)]
     pub errors: f64,
     #[serde(default = "waiting")]
@@ -580,7 +580,7 @@
 }
 
 impl Trouble {
-    pub fn ends(&self) -> Time {
+    pub fn end(&self) -> Time {
         Time(self.at.0 + self.length.0)
     }
 }
--- a/crates/rehearsal/src/search.rs
+++ b/crates/rehearsal/src/search.rs
@@ -121,7 +121,7 @@
         let mut draw = SeededRng::with_index(seed, RngStream::Search, job as u64);
         // Which pairs come first is chance, or a small budget would only meet the first kinds.
         let mut order = SeededRng::with_index(seed, RngStream::Search, u64::from(u32::MAX));
-        let shuffled = order.some_of(pairs.len(), 1.0);
+        let shuffled = order.sample_indices(pairs.len(), 1.0);
         let (first, second) = pairs[shuffled[job % pairs.len()]];
         let one = draw_trouble(first, scenario, None, &mut draw);
         let other = draw_trouble(second, scenario, Some(&one), &mut draw);
@@ -190,7 +190,7 @@
             add(&|s| drop(s.backends.remove(i)));
         }
     }
-    let end = scenario.troubles.iter().map(|t| t.ends().0 + 5_000_000).max().unwrap_or(scenario.settle.0 * 2);
+    let end = scenario.troubles.iter().map(|t| t.end().0 + 5_000_000).max().unwrap_or(scenario.settle.0 * 2);
     if end < scenario.length.0 {
         add(&|s| s.length = Time(end));
     }
--- a/crates/rehearsal/src/span.rs
+++ b/crates/rehearsal/src/span.rs
@@ -1,10 +1,10 @@
-//! Times in scenario files: texts with units, such as `"200ms"` or `"1s 500ms"`, kept as whole microseconds.
+//! Durations in scenario files: texts with units, such as `"200ms"` or `"1s 500ms"`, stored as whole microseconds.
 
 use serde::{de, Deserialize, Deserializer, Serialize, Serializer};
 use std::time::Duration;
 use yarrowfront::times::Span;
 
-/// A span of whole microseconds that is written with its unit.
+/// A duration in whole microseconds that is written with its unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
@@ -25,7 +25,7 @@
         self.0 as f64
     }
 
-    /// Nanoseconds, as the node's configuration has them.
+    /// Nanoseconds, the unit of the node's settings.
     pub fn nanos(self) -> u64 {
         self.0 * 1000
     }
@@ -41,12 +41,12 @@
         impl de::Visitor<'_> for Text {
             type Value = Time;
             fn expecting(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-                f.write_str("a time with its unit, such as \"200ms\" or \"5s\"")
+                f.write_str("a duration with its unit, such as \"200ms\" or \"5s\"")
             }
             fn visit_str<E: de::Error>(self, text: &str) -> Result<Time, E> {
                 let time = humantime::parse_duration(text);
-                let time = time.map_err(|e| E::custom(format!("{text:?} is no time: {e}")))?;
-                u64::try_from(time.as_micros()).map(Time).map_err(|_| E::custom("a time is too long"))
+                let time = time.map_err(|e| E::custom(format!("{text:?} is not a duration: {e}")))?;
+                u64::try_from(time.as_micros()).map(Time).map_err(|_| E::custom("the duration is too long"))
             }
         }
         from.deserialize_str(Text)
--- a/crates/rehearsal/tests/model.rs
+++ b/crates/rehearsal/tests/model.rs
@@ -131,27 +131,27 @@
     bench.send(0, 1, 100.0);
     bench.until(50);
     bench.backend.stalled_until = Moment(250_000);
-    bench.backend.changed(Moment(50_000));
+    bench.backend.refresh_rate(Moment(50_000));
     bench.until(400);
     assert_eq!(bench.ends(), [(1, 300)], "stood for 200 ms");
     bench.backend.is_hung = true;
-    bench.backend.changed(Moment(400_000));
+    bench.backend.refresh_rate(Moment(400_000));
     bench.send(400, 2, 10.0);
     bench.until(2000);
     assert_eq!(bench.ends().len(), 1, "hung");
     bench.backend.is_hung = false;
-    bench.backend.part = 0.1;
-    bench.backend.changed(Moment(2_000_000));
+    bench.backend.speed_factor = 0.1;
+    bench.backend.refresh_rate(Moment(2_000_000));
     bench.until(2101);
     assert_eq!(bench.ends()[1], (2, 2100), "at a tenth of its speed");
     bench.send(3000, 3, 10.0);
-    bench.backend.die(Moment(3_001_000));
+    bench.backend.kill(Moment(3_001_000));
     assert_eq!(bench.send(3002, 4, 10.0), Reply::Down);
-    bench.backend.rise(Moment(4_000_000));
+    bench.backend.restart(Moment(4_000_000));
     bench.until(6000);
     assert_eq!(bench.ends().len(), 2, "what it held died with it");
-    assert!(bench.backend.warmth(Moment(4_000_000)) < 0.5, "cold after its start");
-    bench.backend.draining = true;
+    assert!(bench.backend.warm_up_share(Moment(4_000_000)) < 0.5, "cold after its start");
+    bench.backend.is_draining = true;
     assert_eq!(bench.send(6000, 5, 10.0), Reply::Full, "draining");
 }
 
