--- a/crates/rehearsal/src/model/backend.rs
+++ b/crates/rehearsal/src/model/backend.rs
@@ -6,7 +6,7 @@
 //! change, and the driver calls `advance` at that time.
 
 use crate::rng::{RngStream, SeededRng};
-use crate::scenario::{BackendKind, Episodes, Stops};
+use crate::scenario::{BackendKind, CancelEffect, Episodes};
 use std::collections::{HashMap, VecDeque};
 use yarrowfront::times::{Moment, Span};
 
@@ -398,10 +398,10 @@
         store: &mut IdempotencyStore,
         events: &mut Vec<BackendEvent>,
     ) {
-        if self.kind.stops != Stops::None {
+        if self.kind.stops != CancelEffect::None {
             self.queued.retain(|c| c.key != key);
         }
-        if self.kind.stops == Stops::All {
+        if self.kind.stops == CancelEffect::All {
             self.running.retain(|r| r.key != key);
             self.start_queued(now, store, events);
         }
--- a/crates/rehearsal/src/paper.rs
+++ b/crates/rehearsal/src/paper.rs
@@ -4,9 +4,9 @@
 use crate::model::fleet::Fleet;
 use crate::policy::{self, NodeContext, Policy, Task};
 use crate::rng::{RngStream, SeededRng};
-use crate::scenario::{Allow, CommandEffect, Scope};
+use crate::scenario::{Allowances, CommandEffect, Scope};
 use crate::scenario::{
-    BackendKind, Clients, List, Load, LoadShape, Net, Profile, Scenario, Stops, WorkDistribution,
+    BackendKind, CancelEffect, Clients, List, Load, LoadShape, Net, Profile, Scenario, WorkDistribution,
 };
 use crate::span::Time;
 use crate::stats::Mean;
@@ -114,7 +114,7 @@
         stalls: None,
         neighbours: None,
         errors: 0.0,
-        stops: Stops::None,
+        stops: CancelEffect::None,
         falls: Time(0),
         probe_work: Time(0),
         connection_work: Time(0),
@@ -139,7 +139,7 @@
             resets: 0.0,
             dial: Time::millis(200),
         },
-        allow: Allow::default(),
+        allow: Allowances::default(),
         backends: vec![kind],
         profiles: vec![Profile {
             name: "job".into(),
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: what is played. Every fault is told with the file's line and the key.
+//! Scenario files in TOML. Errors name the line of the file and the key.
 
 use crate::span::Time;
 use links::schedule::Schedule;
@@ -6,7 +6,7 @@
 use std::path::Path;
 use toml_edit::{Document, Item};
 
-/// A whole scenario. All times are spans from its start.
+/// A scenario. All times count from its start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -14,11 +14,11 @@
     #[serde(default)]
     pub about: String,
     pub length: Time,
-    /// What comes before it is played but not counted.
-    #[serde(default = "settle")]
+    /// Commands that are due before this time are played but not counted.
+    #[serde(default = "default_settle")]
     pub settle: Time,
     pub nodes: u32,
-    #[serde(default = "one")]
+    #[serde(default = "default_one_u16")]
     pub zones: u16,
     pub load: Load,
     #[serde(default)]
@@ -28,61 +28,67 @@
     #[serde(default)]
     pub net: Net,
     #[serde(default)]
-    pub allow: Allow,
+    pub allow: Allowances,
     pub backends: Vec<BackendKind>,
     pub profiles: Vec<Profile>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub customers: Vec<Customer>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub troubles: Vec<Trouble>,
-    /// The nodes keep a view of each other. On the real clock alone, as are the next two.
+    /// If present, the nodes keep a view of the fleet's membership. Only on the real clock, like the next two keys.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub view: Option<ViewSettings>,
-    /// Faults on the ways between processes, and on nodes' processes.
+    /// Faults on the links between processes and on nodes' processes.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub faults: Vec<FaultAt>,
+    pub faults: Vec<FaultEntry>,
+    /// Additional random faults.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub drawn: Option<Drawn>,
-    /// Hardships of a soak. On the real clock alone.
+    pub drawn: Option<RandomFaults>,
+    /// Stress that a soak adds. Only on the real clock.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stress: Option<Stress>,
-    /// The nodes' plan for the loss of sites, as in their operators' file; the sites are called as zones are, `zone-0` and
-    /// on. On the real clock alone.
+    /// The nodes' plan for the loss of sites, as the TOML text of an operators' file. The sites are named like the zones:
+    /// `zone-0`, `zone-1` and so on. Only on the real clock.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub site_plan: Option<String>,
 }
 
-/// What a soak does to nodes beside troubles and faults on the ways.
+/// What a soak does to nodes in addition to troubles and faults on links.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Stress {
-    /// A planned stop ends in a kill, at the earliest time that there may be one, and clients go on using the open
-    /// connections of the node until then.
+    /// A planned stop ends with a kill at the earliest time that is allowed, and clients use the open connections of the
+    /// node until then.
     pub used_until_kill: bool,
-    /// A planned stop is told in a series of signals, new configurations among them.
+    /// A planned stop is requested by a series of signals, with reloads of the configuration among them.
     pub signal_series: bool,
-    /// Connections to each node on which nobody says anything.
+    /// The number of idle connections to each node on which clients never send anything.
     pub idle_crowd: u32,
-    /// Watches are ended instead of told that a backend drains.
+    /// When a backend starts to drain, discovery ends its watches instead of sending the change.
     pub watches_end: bool,
-    /// What a call for the list takes of discovery's time: it works through calls in turn.
+    /// How long discovery takes to serve a request for the list; it serves one request after the other.
     pub list_turn: Time,
-    /// All nodes, one after the other, are given a configuration that moves discovery, again and again so long after; never
-    /// at 0.
+    /// The interval at which all nodes, one after the other, get a configuration with another address of discovery; 0 means
+    /// never.
     pub discovery_moves_every: Time,
-    /// One in so many of the nodes' socket calls ends short, and of their accepts and dials fails; none at 0.
+    /// One in this many of the nodes' socket calls transfers less than asked for; 0 means none. Likewise, one in this many
+    /// accepts and outgoing connections fails.
     pub short_calls: u32,
     pub failing_accepts: u32,
     pub failing_dials: u32,
 }
 
-/// The times of the nodes' view, and how soon after the last fault all have to agree.
+/// The timing of the nodes' view of the membership.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ViewSettings {
+    /// The interval between probes of other members.
     pub period: Time,
+    /// How long a node waits before it takes over the share of a missing member.
     pub sure: Time,
+    /// How long a node that has lost contact keeps its own share.
     pub release: Time,
+    /// How soon after the last fault all nodes have to agree.
     pub agree: Time,
 }
 
@@ -97,70 +103,75 @@
     }
 }
 
-/// A fault in the words of a schedule: `one-way n0 n1`, `apart n0 n2`, `lossy n3 20`, `late n1 40`, `heal`, `kill n2`,
-/// `term n2`, `stop n0`, `cont n0`, `start n2`. Backends are b0 and on, the others `discovery` and `clients`.
+/// A fault in the text form of a schedule: `one-way n0 n1`, `apart n0 n2`, `lossy n3 20`, `late n1 40`, `heal`, `kill n2`,
+/// `term n2`, `stop n0`, `cont n0`, `start n2`. Nodes are named `n0`, `n1` and so on, backends `b0`, `b1` and so on, and the
+/// other processes `discovery` and `clients`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FaultAt {
+pub struct FaultEntry {
     pub at: Time,
     pub what: String,
 }
 
-/// So many faults more, drawn from the play's seed; the last of them early enough for all to agree.
+/// Random faults, determined by the seed of the play. The last one is early enough for all nodes to agree before the end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Drawn {
+pub struct RandomFaults {
+    /// How many.
     pub faults: usize,
 }
 
-fn settle() -> Time {
+fn default_settle() -> Time {
     Time::seconds(2)
 }
 
-fn one() -> u16 {
+fn default_one_u16() -> u16 {
     1
 }
 
+/// How the rate of commands varies over time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LoadShape {
+    /// Poisson arrivals at a constant rate.
     Poisson,
-    /// Poisson between two rates: bursts of two seconds in the mean, calm of six.
+    /// Poisson arrivals that alternate between two rates: bursts of two seconds and calm of six seconds on average.
     Bursts,
-    /// Poisson at a rate that wanders up and down over the scenario.
+    /// Poisson arrivals at a rate that rises and falls in waves.
     Wandering,
-    /// Evenly apart.
+    /// Arrivals at equal intervals.
     Even,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Commands asked for, as a share of what the warm fleet can do.
+    /// The offered load as a share of the capacity of the warm fleet.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share: Option<f64>,
-    /// The same in commands a second.
+    /// The offered load in commands per second. Either this or `share` is given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub per_s: Option<f64>,
-    #[serde(default = "poisson")]
+    #[serde(default = "default_shape")]
     pub shape: LoadShape,
-    /// How far the rate moves: by this part of itself.
+    /// By which share of itself the rate varies.
     #[serde(default)]
     pub swing: f64,
 }
 
-fn poisson() -> LoadShape {
+fn default_shape() -> LoadShape {
     LoadShape::Poisson
 }
 
+/// Whether and when clients retry.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RetryMode {
     Never,
     AtOnce,
-    /// After `wait`, spread by half.
+    /// After `wait`, with a random variation of half of it in both directions.
     Wait,
-    /// As `Retry-After` says, or after `wait` where it says nothing.
+    /// After the time in `Retry-After`, or like `Wait` if the answer has none.
     Advised,
 }
 
@@ -169,17 +180,18 @@
 pub struct Clients {
     #[serde(rename = "again")]
     pub retry_mode: RetryMode,
-    /// Tries after the first one.
+    /// The maximum number of attempts after the first one.
     pub retries: u32,
     pub wait: Time,
-    /// The share that leaves before its time limit, and when.
+    /// The share of commands whose client leaves before its time limit.
     pub leaving: f64,
+    /// How long after the start of an attempt such a client leaves.
     pub leave_after: Time,
-    /// Whether a repeat says that it is one.
+    /// Whether retries are marked as such.
     pub mark_repeats: bool,
-    /// Guesses at the work: their error as a coefficient of variation; 0 gives none.
+    /// The error of the clients' hints of the work, as a coefficient of variation; with 0 they give no hints.
     pub hints: f64,
-    /// How long the front goes on sending to a node that has died.
+    /// How long commands are still sent to a node that has died.
     pub notice: Time,
 }
 
@@ -198,27 +210,28 @@
     }
 }
 
-/// How nodes come by the list.
+/// How nodes get discovery's list of backends.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ListMode {
-    /// They must ask for it, and follow its changes from then on.
+    /// Nodes have to request the list, and watch its changes from then on.
     Ask,
-    /// It is told to them from their start on.
+    /// Discovery pushes the list to nodes from their start on.
     Watch,
 }
 
+/// Discovery's list of backends.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct List {
     pub mode: ListMode,
-    /// From a backend's death until the list tells of it.
+    /// The time from a backend's death until the list shows it.
     pub notice: Time,
-    /// From its start until the list tells of it.
+    /// The time from a backend's start until the list shows it.
     pub add: Time,
-    /// From a change of the list until a node has it, at most.
+    /// The longest time from a change of the list until a node has it.
     pub trip: Time,
-    /// Within this a node must have asked for the list or watched it.
+    /// A node has to request the list, or be watching it, at least this often.
     pub ask_within: Time,
 }
 
@@ -234,19 +247,21 @@
     }
 }
 
+/// Network latencies and faults.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Net {
-    /// One way, within a zone and between two.
+    /// One-way latency within a zone.
     pub same: Time,
+    /// One-way latency between zones.
     pub cross: Time,
-    /// One way, between a client and its node.
+    /// One-way latency between a client and a node.
     pub client: Time,
-    /// The mean of what comes on top, exponential.
+    /// The mean of the exponential jitter that is added to each latency.
     pub jitter: Time,
-    /// The share of launches whose connection breaks off after the command was written.
+    /// The share of launches whose connection is reset after the command was written.
     pub resets: f64,
-    /// After so long without a connection a launch is given up.
+    /// The connect timeout of a launch.
     pub dial: Time,
 }
 
@@ -263,30 +278,37 @@
     }
 }
 
+/// What the deployment allows to nodes, and which guarantees it demands.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Allow {
+pub struct Allowances {
+    /// The maximum number of launches per command.
     pub launches: u32,
+    /// Whether a command may have several launches in flight.
     pub second_copies: bool,
+    /// Whether nodes may probe backends.
     pub probes: bool,
-    /// The longest come-back time that may be told; none means that it may not be told.
+    /// The longest `Retry-After` that a rejection may give; without it rejections give none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub come_back: Option<Time>,
+    /// The cost of a probe, and of a launch to another zone, in payoff.
     pub probe_price: f64,
     pub crossing_price: f64,
+    /// The setting `surplusPayoff`.
     pub surplus_payoff: f64,
+    /// Launches to a backend may start this long after the node was told that it drains or is gone.
     pub drain_grace: Time,
-    /// Work sent to a cold backend within `push_span` stays under `push_over` times what it can do then.
+    /// The work sent to a cold backend within `push_span` has to stay below `push_over` times what it can do then.
     pub push_over: f64,
     pub push_span: Time,
-    /// The share of commands of each profile that may miss its goal time, where the operators state one.
+    /// The share of the commands of each profile that may miss its goal time, if operators state one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tail_miss: Option<f64>,
 }
 
-impl Default for Allow {
-    fn default() -> Allow {
-        Allow {
+impl Default for Allowances {
+    fn default() -> Allowances {
+        Allowances {
             launches: 3,
             second_copies: true,
             probes: false,
@@ -302,126 +324,143 @@
     }
 }
 
+/// Which commands a backend stops when their node cancels them.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Stops {
-    /// Work goes on whatever its node does.
+pub enum CancelEffect {
+    /// None: cancelled commands are executed all the same.
     None,
-    /// What still waits is dropped when its node gives it up.
+    /// Those that are still in the queue.
     Waiting,
+    /// Those in the queue and those being executed.
     All,
 }
 
-/// Every so often, for so long; both exponential in the mean.
+/// Recurring episodes in which a backend is slow; the times between and in them are exponential.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Episodes {
+    /// The mean time between episodes.
     pub every: Time,
+    /// The mean length of an episode.
     pub length: Time,
-    /// What is left of the speed meanwhile.
+    /// The factor applied to the speed during an episode.
     #[serde(default)]
     pub speed: f64,
 }
 
-/// Under overload a backend slows down, and stays slow until it is mostly idle.
+/// Congestion collapse: a backend under overload slows down, and stays slow until it is mostly idle.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Collapse {
-    /// Commands held per core at which it collapses, what is left of its speed, and at how many it recovers.
+    /// The number of commands per core, queued ones included, at which it collapses.
     pub at: f64,
+    /// The factor applied to its speed meanwhile.
     pub speed: f64,
+    /// The number of commands per core at which it recovers.
     pub until: f64,
 }
 
+/// A number of backends of one kind.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendKind {
+    /// The name of the kind.
     pub kind: String,
     pub count: u32,
-    #[serde(default = "one")]
+    #[serde(default = "default_one_u16")]
     pub cores: u16,
-    #[serde(default = "whole")]
+    /// The mean work per microsecond on each core.
+    #[serde(default = "default_one_f64")]
     pub speed: f64,
-    /// Coefficient of variation of the speed among backends of the kind.
+    /// The coefficient of variation of the speed among backends of the kind.
     #[serde(default)]
     pub spread: f64,
-    /// Commands that may wait, for each core.
-    #[serde(default = "queue")]
+    /// The length of the queue per core, in commands.
+    #[serde(default = "default_queue")]
     pub queue: f64,
-    /// Backends of one group share the memory of tags.
-    #[serde(default = "one")]
+    /// The number of backends in a group. Backends of one group share the memory of idempotency keys.
+    #[serde(default = "default_one_u16")]
     pub group: u16,
-    /// The share of capacity after a start, and the time to the whole.
-    #[serde(default = "cold")]
+    /// The share of its capacity that a backend has at its start.
+    #[serde(default = "default_cold")]
     pub cold: f64,
-    #[serde(default = "warm")]
+    /// The time from its start until it has its whole capacity.
+    #[serde(default = "default_warm")]
     pub warm: Time,
-    /// Speed lost for each command held beyond two a core, as a part.
+    /// The share of the speed that is lost for each command beyond two per core.
     #[serde(default)]
     pub crowding: f64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub collapse: Option<Collapse>,
+    /// Stalls, such as pauses of garbage collection.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stalls: Option<Episodes>,
+    /// Slowdowns by noisy neighbours on the same machine.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub neighbours: Option<Episodes>,
+    /// The share of commands that are answered with an error at once.
     #[serde(default)]
     pub errors: f64,
-    #[serde(default = "waiting")]
-    pub stops: Stops,
-    /// Whether a cold one falls over when it is pushed, and how long it is down then.
-    #[serde(default = "down")]
+    #[serde(default = "default_stops")]
+    pub stops: CancelEffect,
+    /// How long a backend is down after it crashed from too much work while cold; with 0 it never crashes.
+    #[serde(default = "default_down")]
     pub falls: Time,
-    /// What a probe and a new connection cost it.
-    #[serde(default = "probe_work")]
+    /// The work that a probe costs it.
+    #[serde(default = "default_probe_work")]
     pub probe_work: Time,
-    #[serde(default = "probe_work")]
+    /// The work that a new connection costs it.
+    #[serde(default = "default_probe_work")]
     pub connection_work: Time,
-    /// How old a load report may be.
-    #[serde(default = "refresh")]
+    /// The interval at which its load report is refreshed.
+    #[serde(default = "default_refresh")]
     pub refresh: Time,
 }
 
-fn whole() -> f64 {
+fn default_one_f64() -> f64 {
     1.0
 }
 
-fn queue() -> f64 {
+fn default_queue() -> f64 {
     8.0
 }
 
-fn cold() -> f64 {
+fn default_cold() -> f64 {
     0.4
 }
 
-fn warm() -> Time {
+fn default_warm() -> Time {
     Time::seconds(5)
 }
 
-fn waiting() -> Stops {
-    Stops::Waiting
+fn default_stops() -> CancelEffect {
+    CancelEffect::Waiting
 }
 
-fn down() -> Time {
+fn default_down() -> Time {
     Time::seconds(3)
 }
 
-fn probe_work() -> Time {
+fn default_probe_work() -> Time {
     Time(50)
 }
 
-fn refresh() -> Time {
+fn default_refresh() -> Time {
     Time::millis(2)
 }
 
+/// Whether a command may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CommandEffect {
     Repeatable,
+    /// It carries an idempotency key, so that backends of the scope execute it once.
     Tagged,
     OnceOnly,
 }
 
+/// The backends that share the memory of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scope {
@@ -430,6 +469,7 @@
     Group,
 }
 
+/// The distribution of the work of commands.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkDistribution {
@@ -438,81 +478,89 @@
     Lognormal,
 }
 
+/// A class of commands.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Profile {
     pub name: String,
-    /// Its part of the commands, beside those of the others.
-    #[serde(default = "whole")]
+    /// Its part of the commands, relative to the shares of the other profiles.
+    #[serde(default = "default_one_f64")]
     pub share: f64,
     pub effect: CommandEffect,
-    #[serde(default = "all")]
+    #[serde(default = "default_scope")]
     pub scope: Scope,
-    /// How long a backend's scope remembers a tag.
-    #[serde(default = "memory")]
+    /// How long an idempotency key is remembered.
+    #[serde(default = "default_memory")]
     pub memory: Time,
+    /// A command that finishes within this time counts as served.
     pub goal: Time,
+    /// The time after which the client gives up.
     pub limit: Time,
-    #[serde(default = "whole")]
+    /// The value of a command that is served.
+    #[serde(default = "default_one_f64")]
     pub payoff: f64,
-    /// Work in the mean, on a core of speed one.
+    /// The mean work, as time on a core of speed one.
     pub work: Time,
-    #[serde(default = "exponential")]
+    #[serde(default = "default_law")]
     pub law: WorkDistribution,
-    /// Coefficient of variation, for `lognormal`.
-    #[serde(default = "whole")]
+    /// The coefficient of variation of the work, for `lognormal`.
+    #[serde(default = "default_one_f64")]
     pub spread: f64,
 }
 
-fn all() -> Scope {
+fn default_scope() -> Scope {
     Scope::All
 }
 
-fn memory() -> Time {
+fn default_memory() -> Time {
     Time::seconds(10)
 }
 
-fn exponential() -> WorkDistribution {
+fn default_law() -> WorkDistribution {
     WorkDistribution::Exponential
 }
 
+/// A customer whose clients send commands; a tenant in the node's settings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
     pub name: String,
+    /// Its part of the commands, relative to the shares of the other customers.
     pub share: f64,
     pub quota_per_s: f64,
 }
 
+/// What a trouble does. `strength`, `down` and `every` are fields of `Trouble`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TroubleKind {
-    /// Backends drain one after the other and are replaced by new ones, or start anew under their names.
+    /// Backends drain one after the other, and are replaced by new ones or restarted under their names.
     RollingDeploy,
-    /// Backends die at once and come back cold after `down`.
+    /// Backends die at the same time and come back cold after `down`.
     Deaths,
-    /// Nodes are restarted one after the other: by plan, or killed.
+    /// Nodes are stopped as planned and restarted, one after the other.
     NodeRestarts,
+    /// Nodes are killed and restarted, one after the other.
     NodeDeaths,
-    /// A zone's backends are cut off: silent, and back as they were.
+    /// The backends of a zone are cut off from the network. Their processes go on, and the connections come back later.
     ZoneLoss,
-    /// The list answers nothing and its watches end.
+    /// Discovery answers nothing, and its watches end.
     ListOutage,
-    /// Backends stop every `every`, for `down`.
+    /// Backends stall about every `every` for about `down`.
     Stalls,
-    /// Backends take work and answer nothing.
+    /// Backends accept commands and never answer.
     Hangs,
     /// Backends run at `strength` of their speed.
     Slow,
-    /// Backends answer a share `strength` with an error at once.
+    /// Backends answer the share `strength` of commands with an error at once.
     Errors,
-    /// Load times `strength`; of one customer where one is named.
+    /// The load is multiplied by `strength`; only that of `customer` if one is given.
     Burst,
-    /// A share `strength` of the launches breaks off.
+    /// The connections of the share `strength` of the launches are reset.
     Resets,
-    /// A share `strength` of the answers never comes, on connections that stay open.
+    /// The share `strength` of the answers never arrives, while their connections stay open.
     LostAnswers,
-    /// `down` comes on top of each way between nodes and backends.
+    /// `down` is added to each one-way latency between nodes and backends.
     Delay,
 }
 
@@ -534,6 +582,7 @@
         TroubleKind::Delay,
     ];
 
+    /// The kind as text for reports.
     pub fn label(self) -> &'static str {
         match self {
             TroubleKind::RollingDeploy => "rolling deploy",
@@ -554,6 +603,7 @@
     }
 }
 
+/// A trouble that backends, nodes, discovery, the load or the network get into.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
@@ -561,16 +611,16 @@
     pub at: Time,
     #[serde(default)]
     pub length: Time,
-    /// The part of the backends or nodes it meets.
-    #[serde(default = "whole")]
+    /// The share of the backends or nodes that it affects.
+    #[serde(default = "default_one_f64")]
     pub share: f64,
-    #[serde(default = "whole")]
+    #[serde(default = "default_one_f64")]
     pub strength: f64,
-    #[serde(default = "down")]
+    #[serde(default = "default_down")]
     pub down: Time,
-    #[serde(default = "down")]
+    #[serde(default = "default_down")]
     pub every: Time,
-    /// In a deploy: new machines under new names, not new processes under the old.
+    /// In a rolling deploy: backends are replaced by new ones under new names, not by new processes under the old names.
     #[serde(default)]
     pub swap: bool,
     #[serde(default)]
@@ -593,8 +643,8 @@
             length: Time(0),
             share: 1.0,
             strength: 1.0,
-            down: down(),
-            every: down(),
+            down: default_down(),
+            every: default_down(),
             swap: false,
             zone: 0,
             customer: None,
@@ -602,10 +652,10 @@
     }
 }
 
-/// A fault: the path of the key it lies in, and what is wrong there.
-type Fault = (String, String);
+/// An error in a scenario: the path of the key, and what is wrong with its value.
+type Invalid = (String, String);
 
-fn fault<T>(key: impl Into<String>, why: impl Into<String>) -> Result<T, Fault> {
+fn invalid<T>(key: impl Into<String>, why: impl Into<String>) -> Result<T, Invalid> {
     Err((key.into(), why.into()))
 }
 
@@ -617,7 +667,7 @@
         Scenario::parse(&text).map_err(|(line, why)| format!("{name}:{line}: {why}"))
     }
 
-    /// The same from a text. The error is a line, from 1 on, and what is wrong there.
+    /// Reads and checks a text. The error is the line, counted from 1, and what is wrong there.
     pub fn parse(text: &str) -> Result<Scenario, (usize, String)> {
         let line = |at: usize| 1 + text[..at.min(text.len())].matches('\n').count();
         let parsed: Result<Scenario, toml::de::Error> = toml::from_str(text);
@@ -628,154 +678,164 @@
         })?;
         scenario
             .check()
-            .map_err(|(key, why)| (place_of(text, &key).map_or(1, line), format!("{key}: {why}")))?;
+            .map_err(|(key, why)| (key_position(text, &key).map_or(1, line), format!("{key}: {why}")))?;
         Ok(scenario)
     }
 
-    pub fn check(&self) -> Result<(), Fault> {
-        let share = |key: &str, n: f64| match (0.0..=1.0).contains(&n) {
+    /// Checks what the types do not express. The error is the path of a key, and what is wrong there.
+    pub fn check(&self) -> Result<(), Invalid> {
+        let is_share = |key: &str, n: f64| match (0.0..=1.0).contains(&n) {
             true => Ok(()),
-            false => fault(key, format!("{n} is no share from 0 to 1")),
+            false => invalid(key, format!("{n} is not a share from 0 to 1")),
         };
-        let over = |key: &str, n: f64, low: f64, high: f64| match (low..=high).contains(&n) {
+        let in_range = |key: &str, n: f64, min: f64, max: f64| match (min..=max).contains(&n) {
             true => Ok(()),
-            false => fault(key, format!("{n} is not from {low} to {high}")),
+            false => invalid(key, format!("{n} is not from {min} to {max}")),
         };
-        over("length", self.length.micros() / 1e6, 0.1, 7200.0)?;
+        in_range("length", self.length.micros() / 1e6, 0.1, 7200.0)?;
         if self.settle >= self.length {
-            return fault("settle", "nothing is left to count: it is as long as the scenario");
+            return invalid(
+                "settle",
+                "it has to be shorter than the scenario; otherwise no command is counted",
+            );
         }
-        over("nodes", f64::from(self.nodes), 1.0, 2000.0)?;
-        over("zones", f64::from(self.zones), 1.0, 64.0)?;
+        in_range("nodes", f64::from(self.nodes), 1.0, 2000.0)?;
+        in_range("zones", f64::from(self.zones), 1.0, 64.0)?;
         match (self.load.share, self.load.per_s) {
-            (Some(n), None) => over("load.share", n, 0.0, 100.0)?,
-            (None, Some(n)) => over("load.per_s", n, 0.0, 1e6)?,
-            _ => return fault("load", "give either share or per_s"),
+            (Some(n), None) => in_range("load.share", n, 0.0, 100.0)?,
+            (None, Some(n)) => in_range("load.per_s", n, 0.0, 1e6)?,
+            _ => return invalid("load", "give either share or per_s"),
         }
-        share("load.swing", self.load.swing)?;
-        share("clients.leaving", self.clients.leaving)?;
-        over("clients.retries", f64::from(self.clients.retries), 0.0, 100.0)?;
-        over("clients.hints", self.clients.hints, 0.0, 10.0)?;
-        share("net.resets", self.net.resets)?;
-        over("allow.launches", f64::from(self.allow.launches), 1.0, 8.0)?;
-        over("allow.push_over", self.allow.push_over, 0.1, 1000.0)?;
+        is_share("load.swing", self.load.swing)?;
+        is_share("clients.leaving", self.clients.leaving)?;
+        in_range("clients.retries", f64::from(self.clients.retries), 0.0, 100.0)?;
+        in_range("clients.hints", self.clients.hints, 0.0, 10.0)?;
+        is_share("net.resets", self.net.resets)?;
+        in_range("allow.launches", f64::from(self.allow.launches), 1.0, 8.0)?;
+        in_range("allow.push_over", self.allow.push_over, 0.1, 1000.0)?;
         if self.allow.push_span == Time(0) {
-            return fault("allow.push_span", "a span of nothing has no budget");
+            return invalid("allow.push_span", "it must not be 0");
         }
         if let Some(miss) = self.allow.tail_miss {
-            over("allow.tail_miss", miss, 0.0001, 0.5)?;
+            in_range("allow.tail_miss", miss, 0.0001, 0.5)?;
         }
         if self.list.ask_within < Time::millis(500) {
-            return fault("list.ask_within", "no node can ask that often: 500ms at least");
+            return invalid(
+                "list.ask_within",
+                "it has to be at least 500ms, because nodes cannot request the list more often",
+            );
         }
         if self.backends.is_empty() {
-            return fault("backends", "there is none");
+            return invalid("backends", "there are none");
         }
         for (i, kind) in self.backends.iter().enumerate() {
             let key = |name: &str| format!("backends[{i}].{name}");
-            over(&key("count"), f64::from(kind.count), 1.0, 5000.0)?;
-            over(&key("cores"), f64::from(kind.cores), 1.0, 256.0)?;
-            over(&key("speed"), kind.speed, 0.001, 1000.0)?;
-            over(&key("spread"), kind.spread, 0.0, 2.0)?;
-            over(&key("queue"), kind.queue, 0.0, 10_000.0)?;
-            over(&key("group"), f64::from(kind.group), 1.0, 5000.0)?;
-            over(&key("cold"), kind.cold, 0.01, 1.0)?;
-            over(&key("crowding"), kind.crowding, 0.0, 1.0)?;
-            share(&key("errors"), kind.errors)?;
-            for (name, spells) in [("stalls", kind.stalls), ("neighbours", kind.neighbours)] {
-                let Some(spells) = spells else { continue };
-                if spells.every == Time(0) || spells.length == Time(0) {
-                    return fault(key(name), "every and length must be more than nothing");
+            in_range(&key("count"), f64::from(kind.count), 1.0, 5000.0)?;
+            in_range(&key("cores"), f64::from(kind.cores), 1.0, 256.0)?;
+            in_range(&key("speed"), kind.speed, 0.001, 1000.0)?;
+            in_range(&key("spread"), kind.spread, 0.0, 2.0)?;
+            in_range(&key("queue"), kind.queue, 0.0, 10_000.0)?;
+            in_range(&key("group"), f64::from(kind.group), 1.0, 5000.0)?;
+            in_range(&key("cold"), kind.cold, 0.01, 1.0)?;
+            in_range(&key("crowding"), kind.crowding, 0.0, 1.0)?;
+            is_share(&key("errors"), kind.errors)?;
+            for (name, episodes) in [("stalls", kind.stalls), ("neighbours", kind.neighbours)] {
+                let Some(episodes) = episodes else { continue };
+                if episodes.every == Time(0) || episodes.length == Time(0) {
+                    return invalid(key(name), "every and length must be greater than 0");
                 }
-                share(&key(&format!("{name}.speed")), spells.speed)?;
+                is_share(&key(&format!("{name}.speed")), episodes.speed)?;
             }
             if let Some(collapse) = kind.collapse {
-                over(&key("collapse.speed"), collapse.speed, 0.01, 1.0)?;
+                in_range(&key("collapse.speed"), collapse.speed, 0.01, 1.0)?;
                 if collapse.until >= collapse.at {
-                    return fault(key("collapse.until"), "it would never collapse: until is not under at");
+                    return invalid(
+                        key("collapse.until"),
+                        "until has to be less than at; otherwise it recovers as soon as it collapses",
+                    );
                 }
             }
         }
         if self.profiles.is_empty() {
-            return fault("profiles", "there is none");
+            return invalid("profiles", "there are none");
         }
         for (i, profile) in self.profiles.iter().enumerate() {
             let key = |name: &str| format!("profiles[{i}].{name}");
-            over(&key("share"), profile.share, 0.0, 1e6)?;
-            over(&key("payoff"), profile.payoff, 0.0, 1e9)?;
-            over(&key("spread"), profile.spread, 0.0, 20.0)?;
+            in_range(&key("share"), profile.share, 0.0, 1e6)?;
+            in_range(&key("payoff"), profile.payoff, 0.0, 1e9)?;
+            in_range(&key("spread"), profile.spread, 0.0, 20.0)?;
             if profile.work == Time(0) {
-                return fault(key("work"), "a command without work cannot be modelled");
+                return invalid(key("work"), "a command without work is not supported");
             }
             if profile.goal > profile.limit {
-                return fault(key("goal"), "the goal time is past the time limit");
+                return invalid(key("goal"), "the goal time is longer than the time limit");
             }
             if self.profiles[..i].iter().any(|p| p.name == profile.name) {
-                return fault(key("name"), format!("{:?} is there twice", profile.name));
+                return invalid(key("name"), format!("{:?} is given twice", profile.name));
             }
         }
         if self.profiles.iter().map(|p| p.share).sum::<f64>() <= 0.0 {
-            return fault("profiles", "their shares come to nothing");
+            return invalid("profiles", "the sum of their shares is 0");
         }
         for (i, customer) in self.customers.iter().enumerate() {
-            over(&format!("customers[{i}].share"), customer.share, 0.0, 1e6)?;
-            over(&format!("customers[{i}].quota_per_s"), customer.quota_per_s, 0.0, 1e9)?;
+            in_range(&format!("customers[{i}].share"), customer.share, 0.0, 1e6)?;
+            in_range(&format!("customers[{i}].quota_per_s"), customer.quota_per_s, 0.0, 1e9)?;
         }
         for (i, trouble) in self.troubles.iter().enumerate() {
             let key = |name: &str| format!("troubles[{i}].{name}");
             if trouble.at >= self.length {
-                return fault(key("at"), "it starts after the scenario's end");
+                return invalid(key("at"), "it starts after the end of the scenario");
             }
-            share(&key("share"), trouble.share)?;
-            over(&key("strength"), trouble.strength, 0.0, 1000.0)?;
+            is_share(&key("share"), trouble.share)?;
+            in_range(&key("strength"), trouble.strength, 0.0, 1000.0)?;
             if matches!(trouble.kind, TroubleKind::Errors | TroubleKind::Resets | TroubleKind::LostAnswers) {
-                share(&key("strength"), trouble.strength)?;
+                is_share(&key("strength"), trouble.strength)?;
             }
             if trouble.zone >= self.zones {
-                return fault(key("zone"), format!("there are {} zones, counted from 0", self.zones));
+                return invalid(key("zone"), format!("there are {} zones, counted from 0", self.zones));
             }
             if let Some(name) = &trouble.customer {
                 if !self.customers.iter().any(|c| &c.name == name) {
-                    return fault(key("customer"), format!("{name:?} is no customer"));
+                    return invalid(key("customer"), format!("there is no customer {name:?}"));
                 }
             }
             if trouble.kind == TroubleKind::Stalls && trouble.every == Time(0) {
-                return fault(key("every"), "stalls without a pause between them: use hangs");
+                return invalid(key("every"), "stalls need a time between them; use hangs instead");
             }
         }
         self.check_faults()
     }
 
-    /// Whether it takes real processes to play it.
+    /// Whether it can only be played with real processes.
     pub fn needs_processes(&self) -> bool {
         self.view.is_some() || !self.faults.is_empty() || self.drawn.is_some() || self.site_plan.is_some()
     }
 
-    /// All faults on ways and processes, in their order; drawn ones by this seed.
+    /// All faults on links and processes in the order of time. The seed determines the random ones.
     pub fn schedule(&self, seed: u64) -> Result<Schedule, String> {
-        let line = |fault: &FaultAt| format!("{} {}\n", fault.at.0 / 1000, fault.what);
+        let line = |fault: &FaultEntry| format!("{} {}\n", fault.at.0 / 1000, fault.what);
         let mut schedule: Schedule = self.faults.iter().map(line).collect::<String>().parse()?;
         if let Some(drawn) = &self.drawn {
             let names: Vec<String> = (0..self.nodes).map(|node| format!("n{node}")).collect();
             let agree = self.view.as_ref().map_or(Time(0), |view| view.agree);
-            let span = Time(self.length.0.saturating_sub(agree.0 + 1_000_000)).duration();
-            schedule.0.extend(Schedule::draw(seed, &names, drawn.faults, span).0);
+            let fault_period = Time(self.length.0.saturating_sub(agree.0 + 1_000_000)).duration();
+            schedule.0.extend(Schedule::draw(seed, &names, drawn.faults, fault_period).0);
         }
         schedule.0.sort_by_key(|step| step.at);
         Ok(schedule)
     }
 
-    /// The same with these faults alone.
+    /// The same scenario with exactly these faults.
     pub fn with_faults(&self, schedule: &Schedule) -> Scenario {
-        let fault = |step: &links::schedule::Step| FaultAt {
+        let fault = |step: &links::schedule::Step| FaultEntry {
             at: Time::millis(step.at),
             what: step.fault.to_string(),
         };
         Scenario { faults: schedule.0.iter().map(fault).collect(), drawn: None, ..self.clone() }
     }
 
-    fn check_faults(&self) -> Result<(), Fault> {
-        let known = |name: &str| {
+    fn check_faults(&self) -> Result<(), Invalid> {
+        let is_known = |name: &str| {
             let number = |letter: char| name.strip_prefix(letter).and_then(|n| n.parse::<u32>().ok());
             let backends: u32 = self.backends.iter().map(|kind| kind.count).sum();
             number('n').is_some_and(|n| n < self.nodes)
@@ -786,19 +846,19 @@
         for (i, fault) in self.faults.iter().enumerate() {
             let key = |name: &str| format!("faults[{i}].{name}");
             if fault.at >= self.length {
-                return self::fault(key("at"), "it is after the scenario's end");
+                return invalid(key("at"), "it is after the scenario's end");
             }
             let read: Result<Schedule, String> = format!("{} {}", fault.at.0 / 1000, fault.what).parse();
             let Ok(read) = read else {
-                return self::fault(key("what"), format!("{:?} is no fault", fault.what));
+                return invalid(key("what"), format!("{:?} is no fault", fault.what));
             };
             let names: Vec<&String> = read.0.iter().flat_map(|step| step.fault.names()).collect();
-            if let Some(name) = names.iter().find(|name| !known(name)) {
-                return self::fault(key("what"), format!("{name:?} is nobody here"));
+            if let Some(name) = names.iter().find(|name| !is_known(name)) {
+                return invalid(key("what"), format!("{name:?} is nobody here"));
             }
-            let process = |step: &links::schedule::Step| step.fault.of_process();
-            if read.0.iter().any(process) && !names.iter().all(|name| name.starts_with('n')) {
-                return self::fault(key("what"), "only nodes have processes to do that to");
+            let affects_process = |step: &links::schedule::Step| step.fault.of_process();
+            if read.0.iter().any(affects_process) && !names.iter().all(|name| name.starts_with('n')) {
+                return invalid(key("what"), "only nodes have processes that this fault can be applied to");
             }
         }
         if let Some(plan) = &self.site_plan {
@@ -806,48 +866,51 @@
             let mut names = (0..self.zones).map(crate::model::settings::zone_name);
             let missing = names.find(|name| !plan.sites.iter().any(|site| site.name == *name));
             if let Some(name) = missing {
-                return self::fault("site_plan", format!("{name} is not in it"));
+                return invalid("site_plan", format!("it has no site {name}"));
             }
         }
         if let Some(view) = &self.view {
             if view.sure.0 < view.release.0 * 4 {
-                return self::fault("view.sure", "it has to be at least four times release");
+                return invalid("view.sure", "it has to be at least four times release");
             }
             if view.release.0 < view.period.0 * 4 {
-                return self::fault("view.release", "it has to be at least four times period");
+                return invalid("view.release", "it has to be at least four times period");
             }
         }
         if self.drawn.is_some()
             && self.length.0 <= self.view.as_ref().map_or(0, |view| view.agree.0) + 2_000_000
         {
-            return self::fault("drawn", "no time is left for faults before all have to agree");
+            return invalid(
+                "drawn",
+                "the scenario is too short for faults before the time in which all nodes have to agree",
+            );
         }
         Ok(())
     }
 
-    /// Work that the warm fleet does in a microsecond.
+    /// Work per microsecond of the warm fleet.
     pub fn capacity(&self) -> f64 {
         self.backends.iter().map(|k| f64::from(k.count) * f64::from(k.cores) * k.speed).sum()
     }
 
-    /// Mean work of a command, in microseconds on a core of speed one.
+    /// The mean work of a command, in microseconds on a core of speed one.
     pub fn mean_work(&self) -> f64 {
         let shares: f64 = self.profiles.iter().map(|p| p.share).sum();
         self.profiles.iter().map(|p| p.share * p.work.micros()).sum::<f64>() / shares
     }
 
-    /// Commands a second, before bursts and troubles.
+    /// Commands per second, without bursts and troubles.
     pub fn rate(&self) -> f64 {
         let share = self.load.share.map(|share| share * self.capacity() * 1e6 / self.mean_work());
         share.or(self.load.per_s).unwrap_or_default()
     }
 }
 
-/// The dotted path of the key whose value holds this place of the text.
+/// The dotted path of the innermost key whose value contains this position of the text.
 fn key_at(text: &str, at: usize) -> Option<String> {
     let document = Document::parse(text).ok()?;
     let mut best = None;
-    walk(document.as_item(), String::new(), &mut |path, start, end| {
+    visit_items(document.as_item(), String::new(), &mut |path, start, end| {
         if (start..=end).contains(&at) && !path.is_empty() {
             best = Some(path.to_owned());
         }
@@ -855,11 +918,11 @@
     best
 }
 
-/// Where the key of a dotted path stands, or the nearest one above it.
-fn place_of(text: &str, key: &str) -> Option<usize> {
+/// The position of the key with this dotted path, or of the nearest parent that is in the text.
+fn key_position(text: &str, key: &str) -> Option<usize> {
     let document = Document::parse(text).ok()?;
     let (mut best, mut length) = (None, 0);
-    walk(document.as_item(), String::new(), &mut |path, start, _| {
+    visit_items(document.as_item(), String::new(), &mut |path, start, _| {
         let above =
             key.strip_prefix(path).is_some_and(|rest| matches!(rest.chars().next(), None | Some('.' | '[')));
         if above && path.len() > length {
@@ -869,14 +932,14 @@
     best
 }
 
-fn walk(item: &Item, path: String, visit: &mut impl FnMut(&str, usize, usize)) {
+fn visit_items(item: &Item, path: String, visit: &mut impl FnMut(&str, usize, usize)) {
     if let Some(span) = item.span() {
         visit(&path, span.start, span.end);
     }
     let dot = if path.is_empty() { "" } else { "." };
     if let Some(table) = item.as_table_like() {
         for (name, child) in table.iter() {
-            walk(child, format!("{path}{dot}{name}"), visit);
+            visit_items(child, format!("{path}{dot}{name}"), visit);
         }
     } else if let Some(tables) = item.as_array_of_tables() {
         for (i, table) in tables.iter().enumerate() {
@@ -885,7 +948,7 @@
                 visit(&inner, span.start, span.end);
             }
             for (name, child) in table.iter() {
-                walk(child, format!("{inner}.{name}"), visit);
+                visit_items(child, format!("{inner}.{name}"), visit);
             }
         }
     }
