--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -1,4 +1,5 @@
-//! Experiments: scenarios by parameters by policies by seeds on the virtual clock, on all cores.
+//! Experiments play every combination of scenarios, parameter values, policies and seeds on the virtual clock, on all
+//! cores.
 
 use crate::judge::result::PlayResult;
 use crate::policy;
@@ -10,35 +11,38 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// An experiment's file.
+/// The file of an experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Scenario files, as seen from this file.
+    /// Paths of scenario files, relative to this file.
     pub scenarios: Vec<PathBuf>,
-    #[serde(default = "own")]
+    /// Names of policies, from `policy::NAMES`.
+    #[serde(default = "default_policies")]
     pub policies: Vec<String>,
-    #[serde(default = "ten")]
+    /// The number of seeds for each combination.
+    #[serde(default = "default_seeds")]
     pub seeds: u64,
-    #[serde(default = "one")]
+    #[serde(default = "default_first_seed")]
     pub first_seed: u64,
+    /// Keys of the scenarios that are varied.
     #[serde(default)]
     pub parameters: Vec<Parameter>,
 }
 
-fn own() -> Vec<String> {
+fn default_policies() -> Vec<String> {
     vec!["yarrowfront".into()]
 }
 
-fn ten() -> u64 {
+fn default_seeds() -> u64 {
     10
 }
 
-fn one() -> u64 {
+fn default_first_seed() -> u64 {
     1
 }
 
-/// A key of the scenario, such as `load.share` or `backends[0].count`, and what it is set to in turn.
+/// A key of the scenario, such as `load.share` or `backends[0].count`, and the values that it is set to.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Parameter {
@@ -46,16 +50,17 @@
     pub values: Vec<toml::Value>,
 }
 
-/// One run of an experiment.
+/// One play of an experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
+    /// The values of the parameters, by key.
     #[serde(default)]
     pub parameters: BTreeMap<String, String>,
     #[serde(flatten)]
-    pub played: PlayResult,
+    pub result: PlayResult,
 }
 
-/// All runs that differ in nothing but the seed.
+/// The means over all runs that differ only in the seed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Cell {
     pub scenario: String,
@@ -63,19 +68,25 @@
     pub policy: String,
     pub seeds: usize,
     pub service: f64,
+    /// Half the width of the 95% confidence interval of `service`.
     pub service_half: Option<f64>,
     pub worst_5s: f64,
+    /// The 99th percentile of the latency of the slowest profile.
     pub p99_ms: f64,
+    /// The share of attempts that were rejected.
     pub turned_back: f64,
+    /// Launches and probes per command.
     pub launches: f64,
     pub probes: f64,
+    /// The share of the work that contributed to no finished command.
     pub wasted: f64,
+    /// Violations in all runs: answers, effects, drains, pushes, crashes.
     pub broken: [u64; 5],
 }
 
-/// Sets a dotted key, with places of lists in brackets.
-fn set(root: &mut toml::Value, key: &str, value: toml::Value) -> Result<(), String> {
-    let unknown = || format!("{key}: the scenario has no such place");
+/// Sets a key with a dotted path, in which indices of arrays are in brackets.
+fn set_key(root: &mut toml::Value, key: &str, value: toml::Value) -> Result<(), String> {
+    let unknown = || format!("{key}: the scenario has no such key");
     let mut at = root;
     let mut steps = key.split('.').peekable();
     while let Some(step) = steps.next() {
@@ -103,14 +114,16 @@
     Err(unknown())
 }
 
-/// A text for a table's head: a plain string as it stands, anything else as TOML writes it.
-fn words(value: &toml::Value) -> String {
+/// The value as text for tables: a string without quotes, anything else as in TOML.
+fn value_text(value: &toml::Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
 
-type Planned = (Scenario, BTreeMap<String, String>);
+/// A scenario, and the values of the parameters that were set in it.
+type PlannedScenario = (Scenario, BTreeMap<String, String>);
 
 impl Experiment {
+    /// Reads and checks a file. The error names the file, and the line or the key.
     pub fn read(path: &Path) -> Result<Experiment, String> {
         let name = path.display();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
@@ -123,48 +136,48 @@
         read.scenarios = read.scenarios.iter().map(|s| folder.join(s)).collect();
         let counts = [("scenarios", read.scenarios.len()), ("policies", read.policies.len())];
         if let Some((key, _)) = counts.iter().find(|(_, count)| *count == 0) {
-            return Err(format!("{name}: {key}: there is none"));
+            return Err(format!("{name}: {key}: there are none"));
         }
         if read.seeds == 0 {
-            return Err(format!("{name}: seeds: one at least"));
+            return Err(format!("{name}: seeds: it must be at least 1"));
         }
         if let Some(unknown) = read.policies.iter().find(|p| !policy::NAMES.contains(&p.as_str())) {
-            return Err(format!("{name}: policies: {unknown:?} is none of {}", policy::NAMES.join(", ")));
+            return Err(format!("{name}: policies: {unknown:?} is not one of {}", policy::NAMES.join(", ")));
         }
         Ok(read)
     }
 
-    /// Every scenario with every set of values, checked before anything is played.
-    pub fn plan(&self) -> Result<Vec<Planned>, String> {
+    /// Every scenario with every combination of parameter values. All are checked before anything is played.
+    pub fn plan(&self) -> Result<Vec<PlannedScenario>, String> {
         let mut all = Vec::new();
         for path in &self.scenarios {
             let scenario = Scenario::read(path)?;
             let base = toml::Value::try_from(&scenario).map_err(|e| format!("{}: {e}", path.display()))?;
-            let mut sets = vec![(base, BTreeMap::new())];
+            let mut combinations = vec![(base, BTreeMap::new())];
             for parameter in &self.parameters {
                 let mut next = Vec::new();
-                for (base, told) in &sets {
+                for (base, values) in &combinations {
                     for value in &parameter.values {
-                        let (mut base, mut told) = (base.clone(), told.clone());
-                        set(&mut base, &parameter.key, value.clone())?;
-                        told.insert(parameter.key.clone(), words(value));
-                        next.push((base, told));
+                        let (mut base, mut values) = (base.clone(), values.clone());
+                        set_key(&mut base, &parameter.key, value.clone())?;
+                        values.insert(parameter.key.clone(), value_text(value));
+                        next.push((base, values));
                     }
                 }
-                sets = next;
+                combinations = next;
             }
-            for (value, told) in sets {
-                let with = || format!("{} with {told:?}", path.display());
+            for (value, values) in combinations {
+                let place = || format!("{} with {values:?}", path.display());
                 let scenario: Scenario =
-                    value.try_into().map_err(|e: toml::de::Error| format!("{}: {}", with(), e.message()))?;
-                scenario.check().map_err(|(key, why)| format!("{}: {key}: {why}", with()))?;
-                all.push((scenario, told));
+                    value.try_into().map_err(|e: toml::de::Error| format!("{}: {}", place(), e.message()))?;
+                scenario.check().map_err(|(key, why)| format!("{}: {key}: {why}", place()))?;
+                all.push((scenario, values));
             }
         }
         Ok(all)
     }
 
-    /// Plays all. The runs come in the order of the plan, whichever core was done first.
+    /// Plays everything. The runs are in the order of the plan, whichever finished first. `progress` is called after each.
     pub fn run(&self, progress: &(dyn Fn() + Sync)) -> Result<Vec<Run>, String> {
         let plan = self.plan()?;
         let mut jobs = Vec::new();
@@ -175,56 +188,57 @@
                 }
             }
         }
-        let play = |((scenario, told), name, seed): &(&Planned, &String, u64)| {
-            let make = |birth: &policy::NodeContext| policy::create(name, birth);
-            let (played, _) = virtual_clock::play(scenario, *seed, name, &make, &mut |_| ())?;
+        let play = |((scenario, values), name, seed): &(&PlannedScenario, &String, u64)| {
+            let create = |context: &policy::NodeContext| policy::create(name, context);
+            let (result, _) = virtual_clock::play(scenario, *seed, name, &create, &mut |_| ())?;
             progress();
-            Ok(Run { parameters: told.clone(), played })
+            Ok(Run { parameters: values.clone(), result })
         };
         jobs.par_iter().map(play).collect()
     }
 
-    pub fn runs(&self) -> Result<u64, String> {
+    /// The number of runs.
+    pub fn run_count(&self) -> Result<u64, String> {
         Ok(self.plan()?.len() as u64 * self.policies.len() as u64 * self.seeds)
     }
 }
 
-/// Groups runs by all but the seed, in the order in which they first come.
-pub fn cells(runs: &[Run]) -> Vec<(Cell, Vec<&Run>)> {
+/// Groups runs by everything but the seed, in the order of the first run of each group.
+pub fn group_into_cells(runs: &[Run]) -> Vec<(Cell, Vec<&Run>)> {
     let mut groups: Vec<Vec<&Run>> = Vec::new();
     for run in runs {
-        let same = |g: &&mut Vec<&Run>| {
-            let (a, b) = (&g[0].played, &run.played);
+        let is_same = |g: &&mut Vec<&Run>| {
+            let (a, b) = (&g[0].result, &run.result);
             (&a.scenario, &a.policy, &g[0].parameters) == (&b.scenario, &b.policy, &run.parameters)
         };
-        match groups.iter_mut().find(same) {
+        match groups.iter_mut().find(is_same) {
             Some(group) => group.push(run),
             None => groups.push(vec![run]),
         }
     }
-    groups.into_iter().map(|group| (cell(&group), group)).collect()
+    groups.into_iter().map(|group| (summarize(&group), group)).collect()
 }
 
-/// The slowest profile's 99th percentile.
-pub fn p99(played: &PlayResult) -> f64 {
-    played.latency.values().map(|p| p.latency.p99).fold(0.0, f64::max)
+/// The 99th percentile of the latency of the slowest profile, in milliseconds.
+pub fn p99_ms(result: &PlayResult) -> f64 {
+    result.latency.values().map(|p| p.latency.p99).fold(0.0, f64::max)
 }
 
-fn cell(group: &[&Run]) -> Cell {
+fn summarize(group: &[&Run]) -> Cell {
     let mean = |value: &dyn Fn(&PlayResult) -> f64| {
-        Mean::of(&group.iter().map(|r| value(&r.played)).collect::<Vec<_>>())
+        Mean::of(&group.iter().map(|r| value(&r.result)).collect::<Vec<_>>())
     };
     let service = mean(&|p| p.service);
-    let sum = |value: &dyn Fn(&PlayResult) -> u64| group.iter().map(|r| value(&r.played)).sum();
+    let sum = |value: &dyn Fn(&PlayResult) -> u64| group.iter().map(|r| value(&r.result)).sum();
     Cell {
-        scenario: group[0].played.scenario.clone(),
+        scenario: group[0].result.scenario.clone(),
         parameters: group[0].parameters.clone(),
-        policy: group[0].played.policy.clone(),
+        policy: group[0].result.policy.clone(),
         seeds: group.len(),
         service: service.mean,
         service_half: service.half_width,
         worst_5s: mean(&|p| p.worst_5s).mean,
-        p99_ms: mean(&p99).mean,
+        p99_ms: mean(&p99_ms).mean,
         turned_back: mean(&|p| p.turned_back_share).mean,
         launches: mean(&|p| p.launches_per_command).mean,
         probes: mean(&|p| p.probes_per_command).mean,
@@ -239,52 +253,52 @@
     }
 }
 
-/// The cells as comma-separated values, a head line first.
+/// The cells as comma-separated values with a header line.
 pub fn csv(cells: &[Cell]) -> String {
     let keys: Vec<&String> = cells.first().map(|c| c.parameters.keys().collect()).unwrap_or_default();
     let quote = |text: &str| match text.contains([',', '"', '\n']) {
         true => format!("\"{}\"", text.replace('"', "\"\"")),
         false => text.to_owned(),
     };
-    let mut out = String::from("scenario");
+    let mut text = String::from("scenario");
     for key in &keys {
-        out += &format!(",{}", quote(key));
+        text += &format!(",{}", quote(key));
     }
-    out += ",policy,seeds,service,service_half,worst_5s,p99_ms,turned_back,launches,probes,wasted,\
+    text += ",policy,seeds,service,service_half,worst_5s,p99_ms,turned_back,launches,probes,wasted,\
             answers,effects,drains,pushes,crashes\n";
     for c in cells {
-        out += &quote(&c.scenario);
+        text += &quote(&c.scenario);
         for key in &keys {
-            out += &format!(",{}", quote(&c.parameters[*key]));
+            text += &format!(",{}", quote(&c.parameters[*key]));
         }
-        let half = c.service_half.map(|h| format!("{h:.6}")).unwrap_or_default();
+        let half_width = c.service_half.map(|h| format!("{h:.6}")).unwrap_or_default();
         let [answers, effects, drains, pushes, crashes] = c.broken;
-        out += &format!(
-            ",{},{},{:.6},{half},{:.6},{:.3},{:.6},{:.4},{:.4},{:.6},{answers},{effects},{drains},{pushes},{crashes}\n",
+        text += &format!(
+            ",{},{},{:.6},{half_width},{:.6},{:.3},{:.6},{:.4},{:.4},{:.6},{answers},{effects},{drains},{pushes},{crashes}\n",
             c.policy, c.seeds, c.service, c.worst_5s, c.p99_ms, c.turned_back, c.launches, c.probes, c.wasted
         );
     }
-    out
+    text
 }
 
-/// The cells as a table for people.
+/// The cells as a table for reading.
 pub fn table(cells: &[Cell]) -> String {
-    let mut out = String::new();
+    let mut text = String::new();
     for c in cells {
-        let half = c.service_half.map(|h| format!(" ± {h:.4}")).unwrap_or_default();
-        let told: Vec<String> = c.parameters.iter().map(|(k, v)| format!("{k}={v}")).collect();
+        let half_width = c.service_half.map(|h| format!(" ± {h:.4}")).unwrap_or_default();
+        let parameters: Vec<String> = c.parameters.iter().map(|(k, v)| format!("{k}={v}")).collect();
         let broken: u64 = c.broken.iter().sum();
         let rules = if broken == 0 { "kept".into() } else { format!("BROKEN {:?}", c.broken) };
-        out += &format!(
-            "{:<24} {:<24} {:<12} service {:.4}{half:<9} worst 5 s {:.3}  p99 {:>7.1} ms  turned back {:.3}  \
+        text += &format!(
+            "{:<24} {:<24} {:<12} service {:.4}{half_width:<9} worst 5 s {:.3}  p99 {:>7.1} ms  turned back {:.3}  \
              launches {:.2}  rules {rules}\n",
-            c.scenario, told.join(" "), c.policy, c.service, c.worst_5s, c.p99_ms, c.turned_back, c.launches
+            c.scenario, parameters.join(" "), c.policy, c.service, c.worst_5s, c.p99_ms, c.turned_back, c.launches
         );
     }
-    out
+    text
 }
 
-/// Reads one result, or many as lines of JSON.
+/// Reads a file with one result, or with many results as lines of JSON.
 pub fn read_runs(path: &Path) -> Result<Vec<Run>, String> {
     let name = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
@@ -296,7 +310,7 @@
     let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
     let runs: Vec<Run> = lines.map(read).collect::<Result<_, _>>()?;
     if runs.is_empty() {
-        return Err(format!("{name}: there is no result in it"));
+        return Err(format!("{name}: the file has no results"));
     }
     Ok(runs)
 }
--- a/crates/rehearsal/src/program.rs
+++ b/crates/rehearsal/src/program.rs
@@ -1,15 +1,15 @@
-//! Where the node's program is.
+//! Finds the program of the node.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-const NAME: &str = "yarrowfront";
+const NODE_PROGRAM: &str = "yarrowfront";
 
-/// The node beside this program. Started by cargo, it is built first: otherwise an old one would be played, or
-/// none would be there at all.
+/// The path of the node's program, which is in the folder of this program. If this program was started by cargo, the node
+/// is built first; otherwise an outdated node could be played, or none could be there.
 pub fn node_binary() -> Result<PathBuf, String> {
-    let own = std::env::current_exe().map_err(|e| format!("where this program is cannot be told: {e}"))?;
-    // Tests lie in a folder of their own below the programs.
+    let own = std::env::current_exe().map_err(|e| format!("the path of this program is unknown: {e}"))?;
+    // Test programs are in a subfolder of the folder of the programs.
     let folder = own.parent().unwrap_or(Path::new("."));
     let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
     if let Some(cargo) = std::env::var_os("CARGO") {
@@ -19,17 +19,18 @@
         if folder.ends_with("release") {
             build.arg("--release");
         }
-        let built = build.stdin(Stdio::null()).status().map_err(|e| format!("the node's build: {e}"))?;
-        if !built.success() {
-            return Err("the node cannot be built".into());
+        let status =
+            build.stdin(Stdio::null()).status().map_err(|e| format!("the node cannot be built: {e}"))?;
+        if !status.success() {
+            return Err("the build of the node failed".into());
         }
     }
-    let path = folder.join(NAME);
+    let path = folder.join(NODE_PROGRAM);
     match path.is_file() {
         true => Ok(path),
         false => Err(format!(
-            "there is no node beside this program ({}): build it with `cargo build --release`, or name it \
-             with --node",
+            "there is no node program at {}: build it with `cargo build --release`, or give its path with \
+             --node",
             path.display()
         )),
     }
--- a/crates/rehearsal/src/report/mod.rs
+++ b/crates/rehearsal/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! One HTML file that tells of a play: no network is needed to open it.
+//! A report of one play as a single HTML file, which needs no network to be viewed.
 
 mod charts;
 
@@ -18,50 +18,50 @@
 th:first-child{text-align:left}.bad{color:#a3161c;font-weight:600}.good{color:#17603a;font-weight:600}\
 .figure{font-size:2em;margin:.2em 0}.note{color:#5a6472}svg{width:100%;height:auto}";
 
-/// The whole page.
-pub fn html(scenario: &Scenario, played: &PlayResult, judges: &Judges) -> Result<String, String> {
+/// The complete page.
+pub fn html(scenario: &Scenario, result: &PlayResult, judges: &Judges) -> Result<String, String> {
     let mut page = format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>{} - rehearsal</title>\
          <style>{STYLE}</style></head><body>\n<h1>{}</h1>\n<p class=\"note\">{} · {} on the {} clock · seed {} · \
          {} commands</p>\n",
-        escape(&played.scenario),
-        escape(&played.scenario),
+        escape(&result.scenario),
+        escape(&result.scenario),
         escape(&scenario.about),
-        escape(&played.policy),
-        played.clock,
-        played.seed,
-        played.commands
+        escape(&result.policy),
+        result.clock,
+        result.seed,
+        result.commands
     );
-    if let Some(why) = &played.void {
-        page += &format!("<p class=\"bad\">This run is void: {}.</p>\n", escape(why));
+    if let Some(why) = &result.void {
+        page += &format!("<p class=\"bad\">The figures of this run are not valid: {}.</p>\n", escape(why));
     }
     page += &format!(
-        "<p class=\"figure\">service {:.4}</p><p class=\"note\">payoff within the goal time over payoff asked for; \
-         {:.4} in the worst five seconds. {:.1}% of the tries taken were turned back, {:.2} launches and {:.2} \
-         probes a command, {:.1}% of the work was for nobody.</p>\n",
-        played.service,
-        played.worst_5s,
-        100.0 * played.turned_back_share,
-        played.launches_per_command,
-        played.probes_per_command,
-        100.0 * played.wasted_share
+        "<p class=\"figure\">service {:.4}</p><p class=\"note\">payoff within the goal time divided by payoff asked for; \
+         {:.4} in the worst five seconds. {:.1}% of the attempts were rejected, {:.2} launches and {:.2} \
+         probes per command, {:.1}% of the work was wasted.</p>\n",
+        result.service,
+        result.worst_5s,
+        100.0 * result.turned_back_share,
+        result.launches_per_command,
+        result.probes_per_command,
+        100.0 * result.wasted_share
     );
     page += "<h2>Rules</h2>\n<table><tr><th>rule</th><th>broken</th></tr>\n";
-    let r = &played.rules;
-    for (what, count) in [
-        ("one whole final answer in time, made for its command", r.answers),
-        ("no effect twice, and what a turn-back promises", r.effects),
-        ("nothing new to a draining or gone backend after the grace", r.drains),
-        ("a cold backend is not pushed over", r.pushes),
-        ("nodes that ended by themselves or did not stop", r.crashes),
+    let violations = &result.rules;
+    for (rule, count) in [
+        ("one whole final answer in time, made for its command", violations.answers),
+        ("no effect twice, and none of a rejected command", violations.effects),
+        ("no launch to a draining or gone backend after the drain grace", violations.drains),
+        ("a cold backend does not get so much work that it crashes", violations.pushes),
+        ("nodes that ended without being asked to or did not stop", violations.crashes),
     ] {
         let (class, text) = if count == 0 { ("good", "kept".into()) } else { ("bad", count.to_string()) };
-        page += &format!("<tr><td>{what}</td><td class=\"{class}\">{text}</td></tr>\n");
+        page += &format!("<tr><td>{rule}</td><td class=\"{class}\">{text}</td></tr>\n");
     }
     page += "</table>\n";
-    if !r.cases.is_empty() {
-        page += "<p>The first cases:</p><ul>\n";
-        for case in &r.cases {
+    if !violations.cases.is_empty() {
+        page += "<p>The first violations:</p><ul>\n";
+        for case in &violations.cases {
             page += &format!("<li>{}</li>\n", escape(case));
         }
         page += "</ul>\n";
@@ -70,7 +70,7 @@
     page += &charts::timeline(scenario, judges)?;
     if !scenario.troubles.is_empty() {
         page += "<p class=\"note\">Shaded: ";
-        let told: Vec<String> = scenario
+        let troubles: Vec<String> = scenario
             .troubles
             .iter()
             .map(|t| {
@@ -82,14 +82,14 @@
                 )
             })
             .collect();
-        page += &format!("{}.</p>\n", escape(&told.join("; ")));
+        page += &format!("{}.</p>\n", escape(&troubles.join("; ")));
     }
-    page += "<h2>Time to the answer</h2>\n";
+    page += "<h2>Latency</h2>\n";
     page += &charts::latency(scenario, judges)?;
     page += "<table><tr><th>profile</th><th>asked</th><th>in time</th><th>finished</th><th>turned back</th>\
              <th>errored</th><th>lost</th><th>timed out</th><th>left</th><th>p50 ms</th><th>p99 ms</th>\
              <th>p99.9 ms</th></tr>\n";
-    for (name, p) in &played.latency {
+    for (name, p) in &result.latency {
         let l = &p.latency;
         page += &format!(
             "<tr><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}\
@@ -110,10 +110,11 @@
     }
     page += "</table>\n<h2>Launches by backend</h2>\n";
     page += &charts::backends(judges)?;
-    page += "<p class=\"note\">A row a backend, a column a second; the darker the more launches.</p>\n";
-    if !played.processes.is_empty() {
-        page += "<h2>Node processes</h2>\n<table><tr><th>node</th><th>CPU s</th><th>memory at most, MB</th></tr>\n";
-        for p in &played.processes {
+    page += "<p class=\"note\">One row per backend and one column per second; a darker cell means more launches.</p>\n";
+    if !result.processes.is_empty() {
+        page +=
+            "<h2>Node processes</h2>\n<table><tr><th>node</th><th>CPU s</th><th>peak memory, MB</th></tr>\n";
+        for p in &result.processes {
             page +=
                 &format!("<tr><td>{}</td><td>{:.2}</td><td>{:.1}</td></tr>\n", p.node, p.cpu_s, p.memory_mb);
         }
--- a/crates/rehearsal/src/search.rs
+++ b/crates/rehearsal/src/search.rs
@@ -1,4 +1,4 @@
-//! Looks for the pair of overlapping troubles that does worst, and shrinks it to a small scenario.
+//! Searches for the pair of overlapping troubles that costs most service, and shrinks it to a small scenario.
 
 use crate::policy;
 use crate::rng::{RngStream, SeededRng};
@@ -7,76 +7,80 @@
 use crate::virtual_clock;
 use rayon::prelude::*;
 
-/// How a scenario went: what was lost against the policy with sight of all, and rules broken.
+/// The result of a scenario compared with the policy `sighted`, which knows the state of all backends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Loss {
+pub struct ServiceLoss {
+    /// The service of the policy under test.
     pub service: f64,
+    /// The service of the policy `sighted`.
     pub sighted: f64,
-    pub broken: u64,
+    /// Rule violations of the policy under test.
+    pub violations: u64,
 }
 
-impl Loss {
-    /// A broken rule is worse than any loss of service.
-    pub fn weight(&self) -> f64 {
-        (self.sighted - self.service) + if self.broken > 0 { 1.0 } else { 0.0 }
+impl ServiceLoss {
+    /// How bad the scenario is for the policy. A rule violation is worse than any loss of service.
+    pub fn score(&self) -> f64 {
+        (self.sighted - self.service) + if self.violations > 0 { 1.0 } else { 0.0 }
     }
 }
 
-pub fn loss(scenario: &Scenario, seed: u64, name: &str) -> Result<Loss, String> {
+/// Plays the scenario with the named policy and with `sighted`.
+pub fn measure_loss(scenario: &Scenario, seed: u64, name: &str) -> Result<ServiceLoss, String> {
     let play = |name: &str| {
-        let make = |birth: &policy::NodeContext| policy::create(name, birth);
-        virtual_clock::play(scenario, seed, name, &make, &mut |_| ()).map(|(played, _)| played)
+        let create = |context: &policy::NodeContext| policy::create(name, context);
+        virtual_clock::play(scenario, seed, name, &create, &mut |_| ()).map(|(result, _)| result)
     };
     let (own, sighted) = (play(name)?, play("sighted")?);
-    Ok(Loss { service: own.service, sighted: sighted.service, broken: own.rules.count() })
+    Ok(ServiceLoss { service: own.service, sighted: sighted.service, violations: own.rules.count() })
 }
 
 fn draw_trouble(
     kind: TroubleKind,
     scenario: &Scenario,
-    near: Option<&Trouble>,
-    draw: &mut SeededRng,
+    first: Option<&Trouble>,
+    rng: &mut SeededRng,
 ) -> Trouble {
-    let (from, length) = (scenario.settle.0, scenario.length.0);
-    let span = length - from;
-    let long = span / 10 + (draw.uniform() * 0.4 * span as f64) as u64;
-    // The second one starts while the first goes on, or shortly after.
-    let at = match near {
-        None => from + (draw.uniform() * 0.5 * span as f64) as u64,
+    let (start, length) = (scenario.settle.0, scenario.length.0);
+    let span = length - start;
+    let trouble_length = span / 10 + (rng.uniform() * 0.4 * span as f64) as u64;
+    // The second trouble starts while the first lasts, or shortly after it.
+    let at = match first {
+        None => start + (rng.uniform() * 0.5 * span as f64) as u64,
         Some(first) => {
-            (first.at.0 + (draw.uniform() * first.length.0.max(span / 10) as f64) as u64).min(length - 1)
+            (first.at.0 + (rng.uniform() * first.length.0.max(span / 10) as f64) as u64).min(length - 1)
         }
     };
-    let unit = |draw: &mut SeededRng, low: f64, high: f64| {
-        // Two digits are enough, and read better.
-        ((low + (high - low) * draw.uniform()) * 100.0).round() / 100.0
+    let uniform_in = |rng: &mut SeededRng, low: f64, high: f64| {
+        // Two decimal digits are precise enough and easier to read.
+        ((low + (high - low) * rng.uniform()) * 100.0).round() / 100.0
     };
     let share = match kind {
-        TroubleKind::RollingDeploy => unit(draw, 0.5, 1.0),
-        TroubleKind::Deaths | TroubleKind::Hangs => unit(draw, 0.1, 0.5),
-        TroubleKind::NodeRestarts | TroubleKind::NodeDeaths => unit(draw, 0.3, 1.0),
-        _ => unit(draw, 0.2, 1.0),
+        TroubleKind::RollingDeploy => uniform_in(rng, 0.5, 1.0),
+        TroubleKind::Deaths | TroubleKind::Hangs => uniform_in(rng, 0.1, 0.5),
+        TroubleKind::NodeRestarts | TroubleKind::NodeDeaths => uniform_in(rng, 0.3, 1.0),
+        _ => uniform_in(rng, 0.2, 1.0),
     };
     let strength = match kind {
-        TroubleKind::Slow => unit(draw, 0.1, 0.5),
-        TroubleKind::Errors | TroubleKind::Resets | TroubleKind::LostAnswers => unit(draw, 0.05, 0.5),
-        TroubleKind::Burst => unit(draw, 1.3, 4.0),
+        TroubleKind::Slow => uniform_in(rng, 0.1, 0.5),
+        TroubleKind::Errors | TroubleKind::Resets | TroubleKind::LostAnswers => uniform_in(rng, 0.05, 0.5),
+        TroubleKind::Burst => uniform_in(rng, 1.3, 4.0),
         _ => 1.0,
     };
     let millis = |n: f64| Time::millis((n / 10.0).round() as u64 * 10);
     let down = match kind {
-        TroubleKind::Stalls => millis(unit(draw, 100.0, 900.0)),
-        TroubleKind::Delay => Time((unit(draw, 1.0, 20.0) * 1000.0) as u64),
-        TroubleKind::RollingDeploy => millis(unit(draw, 500.0, 2000.0)),
-        _ => millis(unit(draw, 1000.0, 5000.0)),
+        TroubleKind::Stalls => millis(uniform_in(rng, 100.0, 900.0)),
+        TroubleKind::Delay => Time((uniform_in(rng, 1.0, 20.0) * 1000.0) as u64),
+        TroubleKind::RollingDeploy => millis(uniform_in(rng, 500.0, 2000.0)),
+        _ => millis(uniform_in(rng, 1000.0, 5000.0)),
     };
     let round = |n: u64| Time(n / 100_000 * 100_000);
-    let zone = draw.below(usize::from(scenario.zones)) as u16;
-    let (every, swap) = (millis(unit(draw, 500.0, 3000.0)), draw.chance(0.5));
+    let zone = rng.below(usize::from(scenario.zones)) as u16;
+    let (every, swap) = (millis(uniform_in(rng, 500.0, 3000.0)), rng.chance(0.5));
     Trouble {
         kind,
         at: round(at),
-        length: round(long),
+        length: round(trouble_length),
         share,
         strength,
         down,
@@ -87,79 +91,81 @@
     }
 }
 
-fn with(scenario: &Scenario, troubles: Vec<Trouble>) -> Scenario {
+fn with_troubles(scenario: &Scenario, troubles: Vec<Trouble>) -> Scenario {
     Scenario { troubles, ..scenario.clone() }
 }
 
-/// What was tried, and the worst of it.
-pub struct Found {
+/// The worst scenario that was found.
+pub struct SearchResult {
     pub scenario: Scenario,
-    pub loss: Loss,
-    pub tried: usize,
+    pub loss: ServiceLoss,
+    /// How many scenarios were played.
+    pub plays: usize,
 }
 
-/// Plays `budget` pairs of all kinds in turn.
+/// Plays `budget` scenarios with pairs of troubles, going through all pairs of kinds in turn.
 pub fn search(
     scenario: &Scenario,
     seed: u64,
     name: &str,
     budget: usize,
     progress: &(dyn Fn() + Sync),
-) -> Result<Found, String> {
+) -> Result<SearchResult, String> {
     let mut pairs = Vec::new();
     for (i, first) in TroubleKind::ALL.iter().enumerate() {
         for second in &TroubleKind::ALL[i..] {
-            let zones = *first == TroubleKind::ZoneLoss || *second == TroubleKind::ZoneLoss;
-            // With one zone its loss is the loss of everything: nobody can help there.
-            if !zones || scenario.zones > 1 {
+            let loses_zone = *first == TroubleKind::ZoneLoss || *second == TroubleKind::ZoneLoss;
+            // With a single zone, its loss is the loss of all backends, which no policy can mitigate.
+            if !loses_zone || scenario.zones > 1 {
                 pairs.push((*first, *second));
             }
         }
     }
     let jobs: Vec<usize> = (0..budget).collect();
     let play = |&job: &usize| {
-        let mut draw = SeededRng::with_index(seed, RngStream::Search, job as u64);
-        // Which pairs come first is chance, or a small budget would only meet the first kinds.
+        let mut rng = SeededRng::with_index(seed, RngStream::Search, job as u64);
+        // The order of the pairs is random; otherwise a small budget would only cover the first kinds.
         let mut order = SeededRng::with_index(seed, RngStream::Search, u64::from(u32::MAX));
         let shuffled = order.sample_indices(pairs.len(), 1.0);
         let (first, second) = pairs[shuffled[job % pairs.len()]];
-        let one = draw_trouble(first, scenario, None, &mut draw);
-        let other = draw_trouble(second, scenario, Some(&one), &mut draw);
-        let tried = with(scenario, vec![one, other]);
-        let loss = loss(&tried, seed, name)?;
+        let first = draw_trouble(first, scenario, None, &mut rng);
+        let second = draw_trouble(second, scenario, Some(&first), &mut rng);
+        let candidate = with_troubles(scenario, vec![first, second]);
+        let loss = measure_loss(&candidate, seed, name)?;
         progress();
-        Ok((tried, loss))
+        Ok((candidate, loss))
     };
-    let played: Vec<(Scenario, Loss)> = jobs.par_iter().map(play).collect::<Result<_, String>>()?;
-    let worst = played.into_iter().reduce(|a, b| if b.1.weight() > a.1.weight() { b } else { a });
-    let (scenario, loss) = worst.ok_or("a budget of nothing finds nothing")?;
-    Ok(Found { scenario, loss, tried: budget })
+    let played: Vec<(Scenario, ServiceLoss)> = jobs.par_iter().map(play).collect::<Result<_, String>>()?;
+    let worst = played.into_iter().reduce(|a, b| if b.1.score() > a.1.score() { b } else { a });
+    let (scenario, loss) = worst.ok_or("the budget must be at least 1")?;
+    Ok(SearchResult { scenario, loss, plays: budget })
 }
 
-/// Makes it smaller as long as four fifths of the loss stay.
-pub fn shrink(found: &Found, seed: u64, name: &str) -> Result<Found, String> {
-    let least = 0.8 * found.loss.weight();
-    let (mut best, mut tried) = (Found { scenario: found.scenario.clone(), ..*found }, found.tried);
+/// Makes the scenario smaller for as long as at least four fifths of its score remain.
+pub fn shrink(result: &SearchResult, seed: u64, name: &str) -> Result<SearchResult, String> {
+    let min_score = 0.8 * result.loss.score();
+    let (mut best, mut plays) = (SearchResult { scenario: result.scenario.clone(), ..*result }, result.plays);
     loop {
-        let smaller = smaller(&best.scenario);
-        let losses: Vec<Result<Loss, String>> = smaller.par_iter().map(|s| loss(s, seed, name)).collect();
-        tried += smaller.len();
+        let variants = smaller_variants(&best.scenario);
+        let losses: Vec<Result<ServiceLoss, String>> =
+            variants.par_iter().map(|s| measure_loss(s, seed, name)).collect();
+        plays += variants.len();
         let mut next = None;
-        for (scenario, loss) in smaller.into_iter().zip(losses) {
+        for (scenario, loss) in variants.into_iter().zip(losses) {
             let loss = loss?;
-            if loss.weight() >= least {
+            if loss.score() >= min_score {
                 next = Some((scenario, loss));
                 break;
             }
         }
         let Some((scenario, loss)) = next else { break };
-        best = Found { scenario, loss, tried };
+        best = SearchResult { scenario, loss, plays };
     }
-    best.tried = tried;
-    best.scenario.name = format!("{}-worst", found.scenario.name);
+    best.plays = plays;
+    best.scenario.name = format!("{}-worst", result.scenario.name);
     let kinds: Vec<&str> = best.scenario.troubles.iter().map(|t| t.kind.label()).collect();
     best.scenario.about = format!(
-        "Found by search with seed {seed}: {}. Service {:.3}, {:.3} with sight of all.",
+        "Found by search with seed {seed}: {}. Service {:.3}, {:.3} with the policy sighted.",
         kinds.join(" with "),
         best.loss.service,
         best.loss.sighted
@@ -167,14 +173,14 @@
     Ok(best)
 }
 
-/// All that is a step smaller, the largest steps first.
-fn smaller(scenario: &Scenario) -> Vec<Scenario> {
-    let mut all = Vec::new();
+/// All valid scenarios that are one step smaller, the largest steps first.
+fn smaller_variants(scenario: &Scenario) -> Vec<Scenario> {
+    let mut variants = Vec::new();
     let mut add = |change: &dyn Fn(&mut Scenario)| {
-        let mut one = scenario.clone();
-        change(&mut one);
-        if one.check().is_ok() {
-            all.push(one);
+        let mut variant = scenario.clone();
+        change(&mut variant);
+        if variant.check().is_ok() {
+            variants.push(variant);
         }
     };
     for i in 0..scenario.troubles.len() {
@@ -223,5 +229,5 @@
             add(&|s| s.troubles[i].length.0 /= 2);
         }
     }
-    all
+    variants
 }
