--- a/crates/rehearsal/src/event_queue.rs
+++ b/crates/rehearsal/src/event_queue.rs
@@ -1,15 +1,16 @@
-//! What happens next on the virtual clock: a calendar of milliseconds, so that the events which lie seconds ahead
-//! (time limits, mostly never needed) do not slow down those of the moment. Events of one moment come out in the
-//! order in which they went in.
+//! The event queue of the virtual clock: a calendar queue with slots of one millisecond, so that events that are seconds
+//! ahead (time limits, most of which never matter) do not slow down the next ones. Events at the same time are returned
+//! in the order in which they were added.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use yarrowfront::times::Moment;
 
-/// One for each millisecond of four seconds: most time limits lie within.
-const SLOTS: u64 = 4096;
+/// One slot for each millisecond of about four seconds, within which most time limits are.
+const SLOT_COUNT: u64 = 4096;
 
 struct Entry<E> {
+    /// The time in microseconds and the number of the event, which orders events at the same time.
     key: (u64, u64),
     event: E,
 }
@@ -34,68 +35,72 @@
     }
 }
 
-pub struct Agenda<E> {
+/// Events by time.
+pub struct EventQueue<E> {
+    /// The number of events added so far.
     sequence: u64,
-    /// The millisecond whose events are in `near`.
-    slot: u64,
-    near: BinaryHeap<Reverse<Entry<E>>>,
+    /// The millisecond whose events are in `current`. Events for earlier times are in it as well.
+    current_slot: u64,
+    current: BinaryHeap<Reverse<Entry<E>>>,
+    /// The events of the following milliseconds, by millisecond modulo the number of slots.
     slots: Vec<Vec<Entry<E>>>,
-    in_slots: usize,
-    far: BinaryHeap<Reverse<Entry<E>>>,
+    events_in_slots: usize,
+    /// Events that were beyond the last slot when they were added.
+    later: BinaryHeap<Reverse<Entry<E>>>,
 }
 
-fn slot(at: u64) -> u64 {
-    at / 1000
+fn slot_of(at_us: u64) -> u64 {
+    at_us / 1000
 }
 
-impl<E> Agenda<E> {
-    /// Nothing may be put in for a time before this.
-    pub fn new(from: Moment) -> Agenda<E> {
-        Agenda {
+impl<E> EventQueue<E> {
+    /// A queue for events from this time on.
+    pub fn new(from: Moment) -> EventQueue<E> {
+        EventQueue {
             sequence: 0,
-            slot: slot(from.0),
-            near: BinaryHeap::new(),
-            slots: (0..SLOTS).map(|_| Vec::new()).collect(),
-            in_slots: 0,
-            far: BinaryHeap::new(),
+            current_slot: slot_of(from.0),
+            current: BinaryHeap::new(),
+            slots: (0..SLOT_COUNT).map(|_| Vec::new()).collect(),
+            events_in_slots: 0,
+            later: BinaryHeap::new(),
         }
     }
 
-    pub fn put(&mut self, at: Moment, event: E) {
+    pub fn push(&mut self, at: Moment, event: E) {
         self.sequence += 1;
         let entry = Entry { key: (at.0, self.sequence), event };
-        let slot = slot(at.0);
-        if slot <= self.slot {
-            self.near.push(Reverse(entry));
-        } else if slot < self.slot + SLOTS {
-            self.slots[(slot % SLOTS) as usize].push(entry);
-            self.in_slots += 1;
+        let slot = slot_of(at.0);
+        if slot <= self.current_slot {
+            self.current.push(Reverse(entry));
+        } else if slot < self.current_slot + SLOT_COUNT {
+            self.slots[(slot % SLOT_COUNT) as usize].push(entry);
+            self.events_in_slots += 1;
         } else {
-            self.far.push(Reverse(entry));
+            self.later.push(Reverse(entry));
         }
     }
 
-    pub fn take(&mut self) -> Option<(Moment, E)> {
-        while self.near.is_empty() {
-            self.turn()?;
+    pub fn pop(&mut self) -> Option<(Moment, E)> {
+        while self.current.is_empty() {
+            self.advance_slot()?;
         }
-        self.near.pop().map(|Reverse(entry)| (Moment(entry.key.0), entry.event))
+        self.current.pop().map(|Reverse(entry)| (Moment(entry.key.0), entry.event))
     }
 
-    /// Goes on to the next millisecond that holds anything.
-    fn turn(&mut self) -> Option<()> {
-        let far = self.far.peek().map(|Reverse(entry)| slot(entry.key.0));
-        if self.in_slots == 0 {
-            // Straight to what lies far ahead.
-            self.slot = far?;
+    /// Moves on by one millisecond, or to the next one with an event if the slots are empty. `None` if no event is left.
+    fn advance_slot(&mut self) -> Option<()> {
+        let first_later = self.later.peek().map(|Reverse(entry)| slot_of(entry.key.0));
+        if self.events_in_slots == 0 {
+            // Skip to the first event beyond the slots.
+            self.current_slot = first_later?;
         } else {
-            self.slot += 1;
+            self.current_slot += 1;
         }
-        let here = &mut self.slots[(self.slot % SLOTS) as usize];
-        self.in_slots -= here.len();
-        self.near.extend(here.drain(..).map(Reverse));
-        while self.far.peek().is_some_and(|Reverse(entry)| slot(entry.key.0) <= self.slot) {
-            self.near.extend(self.far.pop());
+        let slot_events = &mut self.slots[(self.current_slot % SLOT_COUNT) as usize];
+        self.events_in_slots -= slot_events.len();
+        self.current.extend(slot_events.drain(..).map(Reverse));
+        while self.later.peek().is_some_and(|Reverse(entry)| slot_of(entry.key.0) <= self.current_slot) {
+            self.current.extend(self.later.pop());
         }
         Some(())
     }
--- a/crates/rehearsal/src/paper.rs
+++ b/crates/rehearsal/src/paper.rs
@@ -49,7 +49,7 @@
 
 impl Policy for Plain {
     fn place(&mut self, _: Moment, _: Hand, task: &mut Task, _: &Fleet) -> Say {
-        if task.out() > 0 {
+        if task.in_flight() > 0 {
             return Say::NotYet;
         }
         let (node, first_come) = (self.node, self.first_come);
@@ -67,7 +67,7 @@
     }
 
     fn after(&mut self, _: Moment, _: Hand, task: &mut Task, n: u8, _: Outcome, fleet: &Fleet) -> Say {
-        let server = task.sent[usize::from(n)].backend;
+        let server = task.launches[usize::from(n)].backend;
         let d = self.d;
         let mut board = self.board();
         if fleet.backends[server].held_commands() == 0 && !board.placed[server] {
--- a/crates/rehearsal/src/policy.rs
+++ b/crates/rehearsal/src/policy.rs
@@ -1,4 +1,4 @@
-//! Policies on the virtual clock: yarrowfront's own module, unchanged, and simple ones to compare it with.
+//! Policies on the virtual clock: yarrowfront's own balancer, unchanged, and simple policies to compare it with.
 
 use crate::model::fleet::Fleet;
 use crate::model::settings::node_settings;
@@ -10,30 +10,30 @@
 use yarrowfront::terms::Terms;
 use yarrowfront::times::{Moment, Span};
 
-/// A launch as its node's driver keeps it.
+/// A launch of a command.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
+pub struct SentLaunch {
     pub backend: usize,
     pub fate: Fate,
 }
 
-/// A command in a node's hand.
+/// A command that a node has received and not answered, with its launches.
 pub struct Task {
     pub command: Command,
-    pub sent: Vec<Sent>,
+    pub launches: Vec<SentLaunch>,
 }
 
 impl Task {
-    pub fn out(&self) -> usize {
-        self.sent.iter().filter(|s| s.fate == Fate::Out).count()
+    pub fn in_flight(&self) -> usize {
+        self.launches.iter().filter(|s| s.fate == Fate::Out).count()
     }
 }
 
-/// The module's three questions and what it is told. `fleet` is the true state: only a policy that is allowed
-/// sight of it looks there.
+/// The decisions of a node, and the events that it is informed of. `fleet` is the true state of the backends, which only the
+/// policies `shortest` and `sighted` use.
 pub trait Policy {
     fn place(&mut self, now: Moment, hand: Hand, task: &mut Task, fleet: &Fleet) -> Say;
-    /// `task.sent` has the launch's fate already.
+    /// `task.launches` already has the outcome of the launch.
     fn after(
         &mut self,
         now: Moment,
@@ -50,7 +50,7 @@
     fn errand(&mut self, now: Moment) -> Option<Errand>;
 }
 
-/// A node's start.
+/// What a policy is created from when a node starts.
 pub struct NodeContext<'a> {
     pub scenario: &'a Scenario,
     pub node: usize,
@@ -58,30 +58,33 @@
     pub now: Moment,
 }
 
+/// Creates the policy of a node that starts.
 pub type PolicyFactory<'a> = dyn Fn(&NodeContext) -> Result<Box<dyn Policy>, String> + Sync + 'a;
 
+/// The names of all policies.
 pub const NAMES: [&str; 6] = ["yarrowfront", "random", "round-robin", "less-busy", "shortest", "sighted"];
 
-/// The policy of this name for a node that starts.
-pub fn create(name: &str, birth: &NodeContext) -> Result<Box<dyn Policy>, String> {
-    let pick = match name {
-        "yarrowfront" => return Yarrowfront::new(birth).map(|y| Box::new(y) as Box<dyn Policy>),
-        "random" => Pick::Random,
-        "round-robin" => Pick::RoundRobin,
-        "less-busy" => Pick::LessBusy,
-        "shortest" => Pick::Shortest,
-        "sighted" => Pick::Sighted,
-        _ => return Err(format!("there is no policy {name:?}: one of {}", NAMES.join(", "))),
+/// Creates the policy with this name.
+pub fn create(name: &str, context: &NodeContext) -> Result<Box<dyn Policy>, String> {
+    let strategy = match name {
+        "yarrowfront" => return Yarrowfront::new(context).map(|y| Box::new(y) as Box<dyn Policy>),
+        "random" => Strategy::Random,
+        "round-robin" => Strategy::RoundRobin,
+        "less-busy" => Strategy::LessBusy,
+        "shortest" => Strategy::Shortest,
+        "sighted" => Strategy::Sighted,
+        _ => return Err(format!("there is no policy {name:?}; the policies are {}", NAMES.join(", "))),
     };
-    Ok(Box::new(Simple::new(pick, birth)))
+    Ok(Box::new(SimplePolicy::new(strategy, context)))
 }
 
+/// The balancer that real nodes use.
 pub struct Yarrowfront(Balancer);
 
 impl Yarrowfront {
-    pub fn new(birth: &NodeContext) -> Result<Yarrowfront, String> {
-        let terms = Terms::from_json(node_settings(birth.scenario, birth.node).to_string().as_bytes())?;
-        Ok(Yarrowfront(Balancer::new(terms, birth.seed, birth.now)))
+    pub fn new(context: &NodeContext) -> Result<Yarrowfront, String> {
+        let terms = Terms::from_json(node_settings(context.scenario, context.node).to_string().as_bytes())?;
+        Ok(Yarrowfront(Balancer::new(terms, context.seed, context.now)))
     }
 }
 
@@ -116,100 +119,103 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Pick {
+enum Strategy {
     Random,
     RoundRobin,
-    /// The one of two random ones with fewer own launches out.
+    /// Of two random backends, the one with fewer launches of this node in flight.
     LessBusy,
-    /// The one that would be done first, with sight of every backend's true state; what nobody would finish
-    /// within its goal time is turned back. No real node can know this.
+    /// The backend that would finish the command first according to the true state of all backends, which no real node can
+    /// know. Commands that no backend would finish within the goal time are rejected.
     Shortest,
-    /// The same, which also keeps backends from collapsing and lets in the dearest where not all can be done:
-    /// what a policy that knew everything would reach about.
+    /// Like `Shortest`, but it also keeps backends from collapsing, and admits the commands with the highest payoff for their
+    /// work if not all can be served. This is about the best that a policy with full knowledge can reach.
     Sighted,
 }
 
-/// The part of the goal time from which on the fleet counts as filling up: enough is left for what is dearer.
-const TIGHT: f64 = 0.4;
+/// If the best backend needs more than this share of the remaining goal time, the fleet counts as filling up. Enough is
+/// left then for commands with a higher payoff.
+const TIGHT_SHARE_OF_GOAL_TIME: f64 = 0.4;
 
-/// One that holds nothing, learns nothing and keeps the rules as simply as can be.
-struct Simple {
-    pick: Pick,
-    draw: SeededRng,
-    turn: usize,
+/// A policy that queues nothing, learns nothing and keeps the rules in the simplest way.
+struct SimplePolicy {
+    strategy: Strategy,
+    rng: SeededRng,
+    next_index: usize,
     listed: Vec<Listed>,
     ready: Vec<usize>,
-    out: Vec<u32>,
+    in_flight: Vec<u32>,
     effects: Vec<CommandEffect>,
-    goals: Vec<Span>,
-    works: Vec<f64>,
-    /// Payoff for each microsecond of work, and what a command must bring to be let in at present.
-    density: Vec<f64>,
-    price: f64,
-    most: usize,
-    come_back: Span,
-    follow: bool,
-    follow_at: Moment,
-    ask_within: Span,
+    goal_times: Vec<Span>,
+    mean_work_us: Vec<f64>,
+    /// Payoff per microsecond of work, by profile.
+    payoff_density: Vec<f64>,
+    /// The payoff per microsecond of work that a command needs at present to be admitted while the fleet fills up.
+    min_payoff_density: f64,
+    max_launches: usize,
+    retry_after: Span,
+    needs_list: bool,
+    request_list_at: Moment,
+    list_request_interval: Span,
 }
 
-impl Simple {
-    fn new(pick: Pick, birth: &NodeContext) -> Simple {
-        let scenario = birth.scenario;
-        let draw = SeededRng::new(birth.seed, RngStream::Nodes);
-        Simple {
-            pick,
-            draw,
-            turn: birth.node,
+impl SimplePolicy {
+    fn new(strategy: Strategy, context: &NodeContext) -> SimplePolicy {
+        let scenario = context.scenario;
+        let rng = SeededRng::new(context.seed, RngStream::Nodes);
+        SimplePolicy {
+            strategy,
+            rng,
+            next_index: context.node,
             listed: Vec::new(),
             ready: Vec::new(),
-            out: Vec::new(),
+            in_flight: Vec::new(),
             effects: scenario.profiles.iter().map(|p| p.effect).collect(),
-            goals: scenario.profiles.iter().map(|p| p.goal.span()).collect(),
-            works: scenario.profiles.iter().map(|p| p.work.micros()).collect(),
-            density: scenario.profiles.iter().map(|p| p.payoff / p.work.micros()).collect(),
-            price: 0.0,
-            most: scenario.allow.launches as usize,
-            come_back: scenario.allow.come_back.map_or(Span(0), |t| t.span().scaled(0.2)),
-            follow: true,
-            follow_at: birth.now,
-            ask_within: scenario.list.ask_within.span(),
+            goal_times: scenario.profiles.iter().map(|p| p.goal.span()).collect(),
+            mean_work_us: scenario.profiles.iter().map(|p| p.work.micros()).collect(),
+            payoff_density: scenario.profiles.iter().map(|p| p.payoff / p.work.micros()).collect(),
+            min_payoff_density: 0.0,
+            max_launches: scenario.allow.launches as usize,
+            retry_after: scenario.allow.come_back.map_or(Span(0), |t| t.span().scaled(0.2)),
+            needs_list: true,
+            request_list_at: context.now,
+            list_request_interval: scenario.list.ask_within.span(),
         }
     }
 
     fn choose(&mut self, now: Moment, task: &Task, fleet: &Fleet) -> Option<usize> {
-        let fresh = |b: &usize| !task.sent.iter().any(|s| s.backend == *b);
-        let open: Vec<usize> = self.ready.iter().copied().filter(fresh).collect();
-        if open.is_empty() {
+        let is_untried = |b: &usize| !task.launches.iter().any(|s| s.backend == *b);
+        let candidates: Vec<usize> = self.ready.iter().copied().filter(is_untried).collect();
+        if candidates.is_empty() {
             return None;
         }
-        Some(match self.pick {
-            Pick::Random => open[self.draw.below(open.len())],
-            Pick::RoundRobin => {
-                self.turn += 1;
-                open[self.turn % open.len()]
+        Some(match self.strategy {
+            Strategy::Random => candidates[self.rng.below(candidates.len())],
+            Strategy::RoundRobin => {
+                self.next_index += 1;
+                candidates[self.next_index % candidates.len()]
             }
-            Pick::LessBusy => {
-                let two = [self.draw.below(open.len()), self.draw.below(open.len())].map(|i| open[i]);
-                if self.out[two[1]] < self.out[two[0]] {
+            Strategy::LessBusy => {
+                let two = [self.rng.below(candidates.len()), self.rng.below(candidates.len())]
+                    .map(|i| candidates[i]);
+                if self.in_flight[two[1]] < self.in_flight[two[0]] {
                     two[1]
                 } else {
                     two[0]
                 }
             }
-            Pick::Shortest | Pick::Sighted => {
-                let careful = self.pick == Pick::Sighted;
+            Strategy::Shortest | Strategy::Sighted => {
+                let avoids_overload = self.strategy == Strategy::Sighted;
                 let profile = usize::from(task.command.profile.0);
-                let (work, goal) = (self.works[profile], self.goals[profile]);
-                let start = self.draw.below(open.len());
+                let (work, goal) = (self.mean_work_us[profile], self.goal_times[profile]);
+                let start = self.rng.below(candidates.len());
                 let mut best = (f64::MAX, None);
-                for k in 0..open.len() {
-                    let i = open[(start + k) % open.len()];
+                for k in 0..candidates.len() {
+                    let i = candidates[(start + k) % candidates.len()];
                     let b = &fleet.backends[i];
                     let full = b.held_commands() as f64 >= b.cores() * (1.0 + b.kind.queue);
-                    let brink =
+                    let would_collapse =
                         b.kind.collapse.is_some_and(|c| b.held_commands() as f64 + 1.0 >= c.at * b.cores());
-                    let full = full || careful && brink;
+                    let full = full || avoids_overload && would_collapse;
                     if !b.is_up
                         || b.is_cut_off
                         || b.is_draining
@@ -224,60 +230,61 @@
                     } else {
                         b.remaining_work() / b.cores()
                     };
-                    let took = (wait + work) / b.rate();
-                    if took < best.0 {
-                        best = (took, Some(i));
+                    let finish_in = (wait + work) / b.rate();
+                    if finish_in < best.0 {
+                        best = (finish_in, Some(i));
                     }
                 }
-                let left = (task.command.arrived + goal).since(now).micros();
-                let fits = best.0 <= left;
-                if !careful {
-                    return best.1.filter(|_| fits);
+                let time_left = (task.command.arrived + goal).since(now).micros();
+                let is_in_time = best.0 <= time_left;
+                if !avoids_overload {
+                    return best.1.filter(|_| is_in_time);
                 }
-                // The price rises while the best place leaves little of the goal time, and falls otherwise.
-                let tight = best.0 > TIGHT * left;
-                let (low, high) = (self.density.iter().copied().fold(f64::MAX, f64::min), self.dearest());
-                self.price = match tight {
-                    true => (self.price * 1.05).clamp(0.5 * low, 1.05 * high),
-                    false => self.price * 0.97,
+                // The threshold rises while the best backend leaves little of the goal time, and falls otherwise.
+                let is_tight = best.0 > TIGHT_SHARE_OF_GOAL_TIME * time_left;
+                let (min, max) =
+                    (self.payoff_density.iter().copied().fold(f64::MAX, f64::min), self.max_payoff_density());
+                self.min_payoff_density = match is_tight {
+                    true => (self.min_payoff_density * 1.05).clamp(0.5 * min, 1.05 * max),
+                    false => self.min_payoff_density * 0.97,
                 };
-                let dear = self.density[profile] >= self.price;
-                return best.1.filter(|_| fits && (dear || !tight));
+                let pays_enough = self.payoff_density[profile] >= self.min_payoff_density;
+                return best.1.filter(|_| is_in_time && (pays_enough || !is_tight));
             }
         })
     }
 
-    fn dearest(&self) -> f64 {
-        self.density.iter().copied().fold(0.0, f64::max)
+    fn max_payoff_density(&self) -> f64 {
+        self.payoff_density.iter().copied().fold(0.0, f64::max)
     }
 
-    fn end(&mut self, task: &mut Task) -> Say {
-        if task.out() > 0 {
+    fn give_up(&mut self, task: &mut Task) -> Say {
+        if task.in_flight() > 0 {
             return Say::NotYet;
         }
         task.command.closed = true;
         let effect = self.effects[usize::from(task.command.profile.0)];
-        let harmless =
-            effect == CommandEffect::Repeatable || task.sent.iter().all(|s| s.fate == Fate::NotRun);
-        if harmless {
-            Say::TurnBack(self.come_back)
+        let retry_is_safe =
+            effect == CommandEffect::Repeatable || task.launches.iter().all(|s| s.fate == Fate::NotRun);
+        if retry_is_safe {
+            Say::TurnBack(self.retry_after)
         } else {
             Say::Errored
         }
     }
 }
 
-impl Policy for Simple {
+impl Policy for SimplePolicy {
     fn place(&mut self, now: Moment, _: Hand, task: &mut Task, fleet: &Fleet) -> Say {
-        if task.command.closed || task.out() > 0 {
+        if task.command.closed || task.in_flight() > 0 {
             return Say::NotYet;
         }
         match self.choose(now, task, fleet) {
             Some(i) => {
-                self.out[i] += 1;
+                self.in_flight[i] += 1;
                 Say::Launch(BackendId(i as u32))
             }
-            None => self.end(task),
+            None => self.give_up(task),
         }
     }
 
@@ -290,20 +297,20 @@
         outcome: Outcome,
         fleet: &Fleet,
     ) -> Say {
-        self.out[task.sent[usize::from(n)].backend] -= 1;
+        self.in_flight[task.launches[usize::from(n)].backend] -= 1;
         if task.command.closed || outcome == Outcome::Finished {
             return Say::NotYet;
         }
         let effect = self.effects[usize::from(task.command.profile.0)];
-        let harmless = effect == CommandEffect::Repeatable || outcome.proves_not_run(false);
-        if harmless && task.sent.len() < self.most && now < task.command.ends {
+        let retry_is_safe = effect == CommandEffect::Repeatable || outcome.proves_not_run(false);
+        if retry_is_safe && task.launches.len() < self.max_launches && now < task.command.ends {
             return self.place(now, hand, task, fleet);
         }
-        self.end(task)
+        self.give_up(task)
     }
 
     fn wait(&self, now: Moment, task: Option<&Task>) -> Option<Span> {
-        (task.is_none() && self.follow).then(|| self.follow_at.since(now))
+        (task.is_none() && self.needs_list).then(|| self.request_list_at.since(now))
     }
 
     fn dropped(&mut self, task: &mut Task) {
@@ -313,11 +320,11 @@
     fn list(&mut self, now: Moment, kind: ListKind, lines: &[Listed]) {
         match kind {
             ListKind::Failed | ListKind::Silent => {
-                self.follow = true;
-                self.follow_at = now + Span(self.ask_within.0.min(1_000_000) / 4);
+                self.needs_list = true;
+                self.request_list_at = now + Span(self.list_request_interval.0.min(1_000_000) / 4);
                 return;
             }
-            ListKind::Whole | ListKind::Changes => self.follow = false,
+            ListKind::Whole | ListKind::Changes => self.needs_list = false,
             ListKind::Cached => {}
         }
         if kind != ListKind::Changes {
@@ -328,7 +335,7 @@
                 Some(old) => *old = *line,
                 None => self.listed.push(*line),
             }
-            self.out.resize(self.out.len().max(line.backend.0 as usize + 1), 0);
+            self.in_flight.resize(self.in_flight.len().max(line.backend.0 as usize + 1), 0);
         }
         let ready = self.listed.iter().filter(|l| l.state == State::Ready);
         self.ready = ready.map(|l| l.backend.0 as usize).collect();
@@ -337,8 +344,8 @@
     fn report(&mut self, _: Moment, _: BackendId, _: bool, _: Span, _: &[f32]) {}
 
     fn errand(&mut self, now: Moment) -> Option<Errand> {
-        if self.follow && now >= self.follow_at {
-            self.follow_at = now + self.ask_within.scaled(0.5);
+        if self.needs_list && now >= self.request_list_at {
+            self.request_list_at = now + self.list_request_interval.scaled(0.5);
             return Some(Errand::Follow);
         }
         None
--- a/crates/rehearsal/src/virtual_clock.rs
+++ b/crates/rehearsal/src/virtual_clock.rs
@@ -1,7 +1,7 @@
 //! The virtual clock: discrete events drive policies and model in one process. One thread, one order of events:
 //! the same scenario, policy and seed give the same bytes.
 
-use crate::event_queue::Agenda;
+use crate::event_queue::EventQueue;
 use crate::judge::result::PlayResult;
 use crate::judge::{CommandOutcome, FinalAnswer, Judges, Observation};
 use crate::model::arrivals::{Arrival, Arrivals};
@@ -9,7 +9,7 @@
 use crate::model::clients::{retry_delay, AttemptOutcome};
 use crate::model::fleet::{AnswerFate, DriverAction, Fleet};
 use crate::model::troubles::{timeline, Step};
-use crate::policy::{NodeContext, Policy, PolicyFactory, Sent, Task};
+use crate::policy::{NodeContext, Policy, PolicyFactory, SentLaunch, Task};
 use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{CommandEffect, ListMode, Scenario};
 use slab::Slab;
@@ -216,7 +216,7 @@
     make: &'a PolicyFactory<'a>,
     seed: u64,
     now: Moment,
-    agenda: Agenda<Event>,
+    event_queue: EventQueue<Event>,
     arrivals: Arrivals<'a>,
     next: Option<Arrival>,
     fleet: Fleet,
@@ -265,7 +265,7 @@
             make,
             seed,
             now: ORIGIN,
-            agenda: Agenda::new(ORIGIN),
+            event_queue: EventQueue::new(ORIGIN),
             arrivals,
             next,
             fleet,
@@ -316,7 +316,7 @@
     }
 
     fn at(&mut self, at: Moment, event: Event) {
-        self.agenda.put(at, event);
+        self.event_queue.push(at, event);
     }
 
     fn after(&mut self, span: Span, event: Event) {
@@ -331,7 +331,7 @@
     fn run(&mut self, progress: &mut dyn FnMut(u64)) -> Result<(), String> {
         let end = ORIGIN + self.scenario.length.span() + AFTERMATH;
         let mut second = 0;
-        while let Some((at, event)) = self.agenda.take() {
+        while let Some((at, event)) = self.event_queue.pop() {
             let quiet = self.next.is_none() && self.wants.slab.is_empty() && self.flights.slab.is_empty();
             if at > end || quiet {
                 break;
@@ -571,7 +571,7 @@
             until,
         });
         let held =
-            Held { task: Task { command: own, sent: Vec::new() }, attempt, command, work, armed: None };
+            Held { task: Task { command: own, launches: Vec::new() }, attempt, command, work, armed: None };
         let hand = self.nodes[node].hands.add(held);
         if let Some(t) = self.tries.get(attempt) {
             t.hand = Some(hand);
@@ -613,7 +613,7 @@
     fn settle(&mut self, node: usize, hand: Ref) {
         let n = &mut self.nodes[node];
         let Some(held) = n.hands.get(hand) else { return };
-        if held.task.command.closed && held.task.out() == 0 {
+        if held.task.command.closed && held.task.in_flight() == 0 {
             let attempt = held.attempt;
             n.hands.remove(hand);
             if let Some(t) = self.tries.get(attempt) {
@@ -716,8 +716,8 @@
 
     fn launch(&mut self, node: usize, hand: Ref, backend: usize) {
         let Some(held) = self.nodes[node].hands.get(hand) else { return };
-        held.task.sent.push(Sent { backend, fate: Fate::Out });
-        let (number, until) = (held.task.sent.len() as u8 - 1, held.task.command.ends);
+        held.task.launches.push(SentLaunch { backend, fate: Fate::Out });
+        let (number, until) = (held.task.launches.len() as u8 - 1, held.task.command.ends);
         let (command, profile, work) = (held.command, held.task.command.profile.0, held.work);
         let try_number = u64::from(held.task.command.id.0);
         let p = &self.scenario.profiles[usize::from(profile)];
@@ -916,11 +916,11 @@
     fn outcome(&mut self, node: usize, hand: Ref, number: u8, outcome: Outcome) {
         let n = &mut self.nodes[node];
         let Some(held) = n.hands.get(hand) else { return };
-        if held.task.sent[usize::from(number)].fate != Fate::Out {
+        if held.task.launches[usize::from(number)].fate != Fate::Out {
             return; // it was called off: nobody waits for its answer any more
         }
         let proven = outcome.proves_not_run(false);
-        held.task.sent[usize::from(number)].fate = if proven { Fate::NotRun } else { Fate::MayHaveRun };
+        held.task.launches[usize::from(number)].fate = if proven { Fate::NotRun } else { Fate::MayHaveRun };
         let finishes = outcome == Outcome::Finished && !held.task.command.closed;
         held.task.command.closed |= outcome == Outcome::Finished;
         let say = n.policy.after(self.now, Hand(hand.key), &mut held.task, number, outcome, &self.fleet);
--- a/crates/rehearsal/tests/judges.rs
+++ b/crates/rehearsal/tests/judges.rs
@@ -51,7 +51,7 @@
 
 impl Policy for Faulty {
     fn place(&mut self, _: Moment, _: Hand, task: &mut Task, _: &Fleet) -> Say {
-        if task.out() > 0 || task.command.closed || self.known.is_empty() {
+        if task.in_flight() > 0 || task.command.closed || self.known.is_empty() {
             return Say::NotYet;
         }
         self.turn += 1;
@@ -76,7 +76,7 @@
     ) -> Say {
         match self.fault {
             Fault::Twice if outcome == Outcome::Finished => return Say::Errored,
-            Fault::Again if outcome == Outcome::Finished && task.sent.len() < 2 => {
+            Fault::Again if outcome == Outcome::Finished && task.launches.len() < 2 => {
                 // As if the first answer had been lost.
                 task.command.closed = false;
                 return self.place(now, hand, task, fleet);
@@ -86,7 +86,7 @@
         }
         match outcome {
             Outcome::Finished => Say::NotYet,
-            _ if task.command.closed || task.out() > 0 => Say::NotYet,
+            _ if task.command.closed || task.in_flight() > 0 => Say::NotYet,
             _ => Say::Errored,
         }
     }
