--- a/crates/rehearsal/src/event_queue.rs
+++ b/crates/rehearsal/src/event_queue.rs
@@ -54,7 +54,7 @@
 }
 
 impl<E> EventQueue<E> {
-    /// A queue for events from this time on.
+    /// A queue that starts at the time `from`; no event may be added for an earlier time.
     pub fn new(from: Moment) -> EventQueue<E> {
         EventQueue {
             sequence: 0,
