--- a/crates/rehearsal/src/event_queue.rs
+++ b/crates/rehearsal/src/event_queue.rs
@@ -4,7 +4,7 @@
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 /// One slot for each millisecond of about four seconds, within which most time limits are.
 const SLOT_COUNT: u64 = 4096;
@@ -55,7 +55,7 @@
 
 impl<E> EventQueue<E> {
     /// A queue that starts at the time `from`; no event may be added for an earlier time.
-    pub fn new(from: Moment) -> EventQueue<E> {
+    pub fn new(from: Timestamp) -> EventQueue<E> {
         EventQueue {
             sequence: 0,
             current_slot: slot_of(from.0),
@@ -66,7 +66,7 @@
         }
     }
 
-    pub fn push(&mut self, at: Moment, event: E) {
+    pub fn push(&mut self, at: Timestamp, event: E) {
         self.sequence += 1;
         let entry = Entry { key: (at.0, self.sequence), event };
         let slot = slot_of(at.0);
@@ -80,11 +80,11 @@
         }
     }
 
-    pub fn pop(&mut self) -> Option<(Moment, E)> {
+    pub fn pop(&mut self) -> Option<(Timestamp, E)> {
         while self.current.is_empty() {
             self.advance_slot()?;
         }
-        self.current.pop().map(|Reverse(entry)| (Moment(entry.key.0), entry.event))
+        self.current.pop().map(|Reverse(entry)| (Timestamp(entry.key.0), entry.event))
     }
 
     /// Moves on by one millisecond, or to the next one with an event if the slots are empty. `None` if no event is left.
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -13,7 +13,7 @@
 use rules::RuleJudge;
 use service::ServiceJudge;
 use views::ViewJudge;
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 /// All judges of a play.
 pub struct Judges {
@@ -21,11 +21,11 @@
     pub service: ServiceJudge,
     pub views: ViewJudge,
     /// Where the scenario's time starts on the clock.
-    origin: Moment,
+    origin: Timestamp,
 }
 
 impl Judges {
-    pub fn new(scenario: &Scenario, origin: Moment, backends: usize) -> Judges {
+    pub fn new(scenario: &Scenario, origin: Timestamp, backends: usize) -> Judges {
         let (rules, service) =
             (RuleJudge::new(scenario, origin), ServiceJudge::new(scenario, origin, backends));
         Judges { rules, service, views: ViewJudge::new(scenario, origin), origin }
@@ -37,8 +37,9 @@
             PlayResult::from_judges(scenario, (&self.rules.violations, &self.service), labels, seed);
         let (rules, found) = (&mut result.rules, &self.views.violations);
         (rules.deaths, rules.portions, rules.views) = (found.deaths, found.portions, found.views);
-        let describe =
-            |(at, text): &(Moment, String)| format!("{:.3} s: {text}", at.since(self.origin).micros() / 1e6);
+        let describe = |(at, text): &(Timestamp, String)| {
+            format!("{:.3} s: {text}", at.since(self.origin).as_f64() / 1e6)
+        };
         rules.cases.extend(found.cases.iter().take(rules::MAX_DESCRIBED_CASES).map(describe));
         result
     }
--- a/crates/rehearsal/src/judge/rules.rs
+++ b/crates/rehearsal/src/judge/rules.rs
@@ -5,7 +5,7 @@
 use crate::scenario::{CommandEffect, Scenario, Scope};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// The number of violations by rule, and a description of the first ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -54,25 +54,25 @@
 /// How many violations are described; the others are only counted.
 pub const MAX_DESCRIBED_CASES: usize = 12;
 /// A launch may still start this long after its client has left.
-const LAUNCH_AFTER_LEAVE_TOLERANCE: Span = Span::millis(100);
+const LAUNCH_AFTER_LEAVE_TOLERANCE: Micros = Micros::from_millis(100);
 /// A backend may be told of this much more time than its client has left.
-const ANNOUNCED_TIME_TOLERANCE: Span = Span::millis(150);
+const ANNOUNCED_TIME_TOLERANCE: Micros = Micros::from_millis(150);
 /// Added to both tolerances: what the two network trips, from the client and to the backend, take.
-const TRIPS_ALLOWANCE: Span = Span::millis(50);
+const TRIPS_ALLOWANCE: Micros = Micros::from_millis(50);
 /// An answer may come this long after its deadline, which is what a timer and a network trip take.
-const LATE_ANSWER_TOLERANCE: Span = Span::millis(50);
+const LATE_ANSWER_TOLERANCE: Micros = Micros::from_millis(50);
 
 /// An attempt that a node has received and not answered.
 struct OpenAttempt {
     command: u64,
     profile: u16,
     node: usize,
-    deadline: Moment,
+    deadline: Timestamp,
 }
 
 /// A backend in its warm-up, and the work that it received within the last window.
 struct ColdBackend {
-    started_at: Moment,
+    started_at: Timestamp,
     /// The share of its capacity that it has at its start.
     initial_share: f64,
     /// The length of the warm-up in microseconds.
@@ -80,28 +80,28 @@
     /// Work per microsecond when it is warm.
     capacity: f64,
     /// When each launch came, and its work.
-    received: VecDeque<(Moment, f64)>,
+    received: VecDeque<(Timestamp, f64)>,
     received_work_us: f64,
 }
 
 /// Judges the rules from the observations of a play.
 pub struct RuleJudge {
-    origin: Moment,
+    origin: Timestamp,
     /// Effect and scope of the idempotency keys, by profile.
     effects: Vec<(CommandEffect, Scope)>,
-    drain_grace: Span,
+    drain_grace: Micros,
     /// A cold backend may be sent this multiple of what it can do within the window.
     cold_budget_multiple: f64,
-    cold_budget_window: Span,
+    cold_budget_window: Micros,
     open: HashMap<u64, OpenAttempt>,
     /// Attempts that had a final answer, and when: a second answer to one of them is a violation.
-    answered_at: HashMap<u64, Moment>,
+    answered_at: HashMap<u64, Timestamp>,
     /// Attempts whose clients have left, and when.
-    left_at: HashMap<u64, Moment>,
+    left_at: HashMap<u64, Timestamp>,
     /// The attempts whose work was started, by command. Only for commands that may take effect only once.
     executions: HashMap<u64, Vec<u64>>,
     /// Since when a node knows that a backend takes nothing new, by node and backend.
-    not_ready_since: BTreeMap<(usize, usize), Moment>,
+    not_ready_since: BTreeMap<(usize, usize), Timestamp>,
     cold: BTreeMap<usize, ColdBackend>,
     /// Nodes that were killed or paused. Whatever clients still send there is received by no process.
     dead_nodes: BTreeSet<usize>,
@@ -109,7 +109,7 @@
 }
 
 impl RuleJudge {
-    pub fn new(scenario: &Scenario, origin: Moment) -> RuleJudge {
+    pub fn new(scenario: &Scenario, origin: Timestamp) -> RuleJudge {
         RuleJudge {
             origin,
             effects: scenario.profiles.iter().map(|p| (p.effect, p.scope)).collect(),
@@ -127,9 +127,9 @@
         }
     }
 
-    fn record_case(&mut self, at: Moment, text: String) {
+    fn record_case(&mut self, at: Timestamp, text: String) {
         if self.violations.cases.len() < MAX_DESCRIBED_CASES {
-            self.violations.cases.push(format!("{:.3} s: {text}", at.since(self.origin).micros() / 1e6));
+            self.violations.cases.push(format!("{:.3} s: {text}", at.since(self.origin).as_f64() / 1e6));
         }
     }
 
@@ -183,7 +183,7 @@
                 self.check_launch(attempt, announced_time_left, at);
                 let since = self.not_ready_since.get(&(node, backend)).copied();
                 if let Some(since) = since.filter(|since| at > *since + self.drain_grace) {
-                    let late = at.since(since).micros() / 1e3;
+                    let late = at.since(since).as_f64() / 1e3;
                     self.violations.drains += 1;
                     self.record_case(
                         at,
@@ -236,13 +236,13 @@
         }
     }
 
-    fn check_launch(&mut self, attempt: u64, announced_time_left: Option<Span>, at: Moment) {
+    fn check_launch(&mut self, attempt: u64, announced_time_left: Option<Micros>, at: Timestamp) {
         if let Some(left_at) = self
             .left_at
             .get(&attempt)
             .filter(|left_at| at > **left_at + LAUNCH_AFTER_LEAVE_TOLERANCE + TRIPS_ALLOWANCE)
         {
-            let late = at.since(*left_at).micros() / 1e3;
+            let late = at.since(*left_at).as_f64() / 1e3;
             self.violations.answers += 1;
             self.record_case(
                 at,
@@ -251,8 +251,8 @@
         }
         let Some(open) = self.open.get(&attempt) else { return };
         let (Some(announced), left) = (announced_time_left, open.deadline.since(at)) else { return };
-        if announced > Span(left.0 + ANNOUNCED_TIME_TOLERANCE.0 + TRIPS_ALLOWANCE.0) {
-            let (announced, left) = (announced.micros() / 1e3, left.micros() / 1e3);
+        if announced > Micros(left.0 + ANNOUNCED_TIME_TOLERANCE.0 + TRIPS_ALLOWANCE.0) {
+            let (announced, left) = (announced.as_f64() / 1e3, left.as_f64() / 1e3);
             self.violations.answers += 1;
             self.record_case(
                 at,
@@ -261,7 +261,7 @@
         }
     }
 
-    fn check_answer(&mut self, attempt: u64, answer: FinalAnswer, made_for: Option<u64>, at: Moment) {
+    fn check_answer(&mut self, attempt: u64, answer: FinalAnswer, made_for: Option<u64>, at: Timestamp) {
         let Some(open) = self.open.remove(&attempt) else {
             if self.answered_at.contains_key(&attempt) {
                 self.violations.answers += 1;
@@ -273,7 +273,7 @@
         let command = open.command;
         if at > open.deadline + LATE_ANSWER_TOLERANCE {
             self.violations.answers += 1;
-            let late = at.since(open.deadline).micros() / 1e3;
+            let late = at.since(open.deadline).as_f64() / 1e3;
             self.record_case(at, format!("command {command}: answered {late:.0} ms after its deadline"));
         }
         if answer == FinalAnswer::Finished && made_for != Some(attempt) {
@@ -297,10 +297,10 @@
     }
 
     /// Checks the work that a cold backend received within the window against what it can do at that time.
-    fn check_cold_budget(&mut self, backend: usize, work: f64, at: Moment) {
+    fn check_cold_budget(&mut self, backend: usize, work: f64, at: Timestamp) {
         let (multiple, window) = (self.cold_budget_multiple, self.cold_budget_window);
         let Some(cold) = self.cold.get_mut(&backend) else { return };
-        let age = at.since(cold.started_at).micros();
+        let age = at.since(cold.started_at).as_f64();
         if age >= cold.warm_up_us {
             self.cold.remove(&backend);
             return;
@@ -312,7 +312,7 @@
         }
         let capacity_now =
             cold.capacity * (cold.initial_share + (1.0 - cold.initial_share) * age / cold.warm_up_us);
-        let budget = multiple * capacity_now * window.micros();
+        let budget = multiple * capacity_now * window.as_f64();
         // Random variation is allowed for: a tenth of the budget, and three commands as large as the largest received one.
         let largest = cold.received.iter().map(|(_, w)| *w).fold(0.0, f64::max);
         let (received, limit) = (cold.received_work_us, 1.1 * budget + 3.0 * largest);
@@ -329,7 +329,7 @@
     }
 
     /// Ends the play: attempts that are still open after their deadline were never answered.
-    pub fn finish(&mut self, at: Moment) {
+    pub fn finish(&mut self, at: Timestamp) {
         let mut unanswered: Vec<u64> = self
             .open
             .values()
--- a/crates/rehearsal/src/judge/service.rs
+++ b/crates/rehearsal/src/judge/service.rs
@@ -5,7 +5,7 @@
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 /// Totals of one second of the scenario. Payoff counts in the second in which its command was due.
 #[derive(Clone, Debug, Default)]
@@ -39,7 +39,7 @@
 
 /// A command that has not ended yet.
 struct PendingCommand {
-    due: Moment,
+    due: Timestamp,
     /// Whether it was due after the settle time.
     counted: bool,
     /// Work in microseconds on a core of speed one; 0 until a backend has started it.
@@ -50,9 +50,9 @@
 
 /// Counts what the commands of a play came to.
 pub struct ServiceJudge {
-    origin: Moment,
+    origin: Timestamp,
     /// Commands that are due before this are played but not counted in the profiles.
-    settled_at: Moment,
+    settled_at: Timestamp,
     length_s: usize,
     /// By command.
     pending: HashMap<u64, PendingCommand>,
@@ -79,7 +79,7 @@
 }
 
 impl ServiceJudge {
-    pub fn new(scenario: &Scenario, origin: Moment, backends: usize) -> ServiceJudge {
+    pub fn new(scenario: &Scenario, origin: Timestamp, backends: usize) -> ServiceJudge {
         let profile = |p: &crate::scenario::Profile| ProfileCounts {
             goal_us: p.goal.micros(),
             payoff: p.payoff,
@@ -112,7 +112,7 @@
         }
     }
 
-    fn second_index(&self, at: Moment) -> usize {
+    fn second_index(&self, at: Timestamp) -> usize {
         ((at.since(self.origin).0 / 1_000_000) as usize).min(self.length_s - 1)
     }
 
@@ -160,7 +160,7 @@
                 let latency = at.since(pending.due);
                 if outcome == CommandOutcome::Finished {
                     self.useful_work_us += pending.work_us;
-                    if latency.micros() <= p.goal_us {
+                    if latency.as_f64() <= p.goal_us {
                         self.seconds[second].served += p.payoff;
                     }
                 }
@@ -171,7 +171,7 @@
                     let site_index = node % self.sites.len();
                     let site = &mut self.sites[site_index];
                     site.0 += p.payoff;
-                    site.1 += if outcome == CommandOutcome::Finished && latency.micros() <= p.goal_us {
+                    site.1 += if outcome == CommandOutcome::Finished && latency.as_f64() <= p.goal_us {
                         p.payoff
                     } else {
                         0.0
@@ -180,7 +180,7 @@
                 match outcome {
                     CommandOutcome::Finished => {
                         p.finished += 1;
-                        p.in_time += u64::from(latency.micros() <= p.goal_us);
+                        p.in_time += u64::from(latency.as_f64() <= p.goal_us);
                         p.latency_us.saturating_record(latency.0.max(1));
                     }
                     CommandOutcome::Rejected => p.rejected += 1,
--- a/crates/rehearsal/src/judge/views.rs
+++ b/crates/rehearsal/src/judge/views.rs
@@ -5,11 +5,11 @@
 use crate::scenario::Scenario;
 use links::schedule::Fault;
 use std::collections::{BTreeMap, BTreeSet};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// A member may be called dead if it was unreachable at some time within this span, which covers the time that a suspicion
 /// takes and the time that the news of it takes to spread.
-const UNREACHABLE_WITHIN: Span = Span::millis(6000);
+const UNREACHABLE_WITHIN: Micros = Micros::from_millis(6000);
 /// A link that loses more than this percentage of its datagrams counts as blocked.
 const MAX_LOSS_PERCENT: u8 = 20;
 /// Tolerance for the rounding of the sum of the nodes' shares, each of which is one divided by a whole number.
@@ -62,14 +62,14 @@
     pub portions: u64,
     /// Views that went back, or that did not agree in time.
     pub views: u64,
-    pub cases: Vec<(Moment, String)>,
+    pub cases: Vec<(Timestamp, String)>,
 }
 
 /// Judges the views of the nodes of a play.
 pub struct ViewJudge {
-    origin: Moment,
+    origin: Timestamp,
     /// Within this time after the last fault all nodes have to agree; `None` if the nodes keep no view.
-    agreement_limit: Option<Span>,
+    agreement_limit: Option<Micros>,
     node_count: usize,
     /// Nodes whose process runs.
     up: BTreeSet<usize>,
@@ -78,10 +78,10 @@
     /// Directions of links between nodes on which nothing, or too little, passes.
     blocked: BTreeSet<(usize, usize)>,
     /// Since when two nodes have been in the same partition of the fleet without a break.
-    connected_since: BTreeMap<(usize, usize), Moment>,
-    last_fault_at: Moment,
+    connected_since: BTreeMap<(usize, usize), Timestamp>,
+    last_fault_at: Timestamp,
     /// When all nodes agreed after the last fault.
-    agreed_at: Option<Moment>,
+    agreed_at: Option<Timestamp>,
     /// The last report of each node.
     last_reports: BTreeMap<usize, FleetReport>,
     /// Deaths already judged: the reporting node, the member, and the generation in which it died.
@@ -98,7 +98,7 @@
 }
 
 impl ViewJudge {
-    pub fn new(scenario: &Scenario, origin: Moment) -> ViewJudge {
+    pub fn new(scenario: &Scenario, origin: Timestamp) -> ViewJudge {
         let nodes = scenario.nodes as usize;
         let mut views = ViewJudge {
             origin,
@@ -115,7 +115,7 @@
             violations: ViewViolations::default(),
         };
         // All nodes are up and have been connected since long before the play.
-        views.update_partitions(Moment(0));
+        views.update_partitions(Timestamp(0));
         views
     }
 
@@ -124,9 +124,9 @@
     }
 
     /// Takes note of a fault that was applied to nodes or to the links between them.
-    pub fn observe_fault(&mut self, at: Moment, fault: &Fault) {
+    pub fn observe_fault(&mut self, at: Timestamp, fault: &Fault) {
         match fault {
-            Fault::Apart(some) => {
+            Fault::Partition(some) => {
                 let side: BTreeSet<usize> = some.iter().filter_map(|name| node_index(name)).collect();
                 let others: Vec<usize> = (0..self.node_count).filter(|other| !side.contains(other)).collect();
                 for one in side {
@@ -136,21 +136,21 @@
                     });
                 }
             }
-            Fault::OneWay(from, to) => {
+            Fault::BlockOneWay(from, to) => {
                 if let (Some(from), Some(to)) = (node_index(from), node_index(to)) {
                     self.block(from, to);
                 }
             }
-            Fault::Lossy(one, part) => {
+            Fault::Loss(one, part) => {
                 if let Some(one) = node_index(one).filter(|_| *part > MAX_LOSS_PERCENT) {
                     (0..self.node_count).for_each(|other| self.block(one, other));
                 }
             }
-            Fault::Late(_, _) => {}
+            Fault::Latency(_, _) => {}
             Fault::Heal => self.blocked.clear(),
-            Fault::Kill(one) | Fault::Term(one) => drop(node_index(one).map(|one| self.up.remove(&one))),
-            Fault::Stop(one) => drop(node_index(one).map(|one| self.paused.insert(one))),
-            Fault::Cont(one) => drop(node_index(one).map(|one| self.paused.remove(&one))),
+            Fault::Kill(one) | Fault::Terminate(one) => drop(node_index(one).map(|one| self.up.remove(&one))),
+            Fault::Pause(one) => drop(node_index(one).map(|one| self.paused.insert(one))),
+            Fault::Resume(one) => drop(node_index(one).map(|one| self.paused.remove(&one))),
             Fault::Start(one) => drop(node_index(one).map(|one| self.up.insert(one))),
         }
         (self.last_fault_at, self.agreed_at) = (at, None);
@@ -159,7 +159,7 @@
 
     /// Updates which nodes are connected: two nodes are if a chain of nodes leads from one to the other whose links pass
     /// traffic in both directions.
-    fn update_partitions(&mut self, at: Moment) {
+    fn update_partitions(&mut self, at: Timestamp) {
         let running: Vec<usize> = self.up.difference(&self.paused).copied().collect();
         let passes = |a: usize, b: usize| !self.blocked.contains(&(a, b)) && !self.blocked.contains(&(b, a));
         let mut partition: BTreeMap<usize, usize> = running.iter().map(|node| (*node, *node)).collect();
@@ -184,12 +184,12 @@
         }
     }
 
-    fn record_case(&mut self, at: Moment, text: String) {
+    fn record_case(&mut self, at: Timestamp, text: String) {
         self.violations.cases.push((at, text));
     }
 
     /// Checks the reports that nodes gave at about the same time. Nodes that did not answer are missing.
-    pub fn observe_reports(&mut self, at: Moment, reports: &BTreeMap<usize, FleetReport>) {
+    pub fn observe_reports(&mut self, at: Timestamp, reports: &BTreeMap<usize, FleetReport>) {
         for (by, view) in reports {
             self.check_deaths(at, *by, view);
             self.check_no_regression(at, *by, view);
@@ -209,7 +209,7 @@
         self.last_reports.extend(reports.iter().map(|(by, view)| (*by, view.clone())));
     }
 
-    fn check_deaths(&mut self, at: Moment, by: usize, view: &FleetReport) {
+    fn check_deaths(&mut self, at: Timestamp, by: usize, view: &FleetReport) {
         for (member, generation) in &view.dead {
             let Some(other) = node_index(member).filter(|other| *other < self.node_count) else { continue };
             if !self.judged_deaths.insert((by, member.clone(), *generation)) {
@@ -223,7 +223,7 @@
         }
     }
 
-    fn check_no_regression(&mut self, at: Moment, by: usize, view: &FleetReport) {
+    fn check_no_regression(&mut self, at: Timestamp, by: usize, view: &FleetReport) {
         let Some(before) = self.last_reports.get(&by).filter(|before| before.generation == view.generation)
         else {
             return;
@@ -238,7 +238,7 @@
     }
 
     /// Ends the play, and checks whether all nodes agreed in time.
-    pub fn finish(&mut self, at: Moment) {
+    pub fn finish(&mut self, at: Timestamp) {
         let Some(limit) = self.agreement_limit else { return };
         let due = self.last_fault_at + limit;
         let late = match self.agreed_at {
@@ -247,7 +247,7 @@
         };
         if late {
             self.violations.views += 1;
-            let seconds = self.agreed_at.unwrap_or(at).since(self.last_fault_at).micros() / 1e6;
+            let seconds = self.agreed_at.unwrap_or(at).since(self.last_fault_at).as_f64() / 1e6;
             let views: Vec<String> =
                 self.last_reports.iter().map(|(by, view)| format!("n{by}: {:?}", view.present)).collect();
             self.record_case(
@@ -259,6 +259,6 @@
 
     /// How many seconds after the last fault all nodes agreed, if they did.
     pub fn agreement_seconds(&self) -> Option<f64> {
-        self.agreed_at.map(|at| at.since(self.last_fault_at.max(self.origin)).micros() / 1e6)
+        self.agreed_at.map(|at| at.since(self.last_fault_at.max(self.origin)).as_f64() / 1e6)
     }
 }
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -82,7 +82,7 @@
     Soak {
         /// One seed, or the first and the last as `1..50`, both included.
         #[arg(long)]
-        seeds: soak::Seeds,
+        seeds: soak::SeedRange,
         /// The folder for the nodes' logs, with a subfolder for each seed.
         #[arg(long, value_name = "DIR")]
         logs: Option<PathBuf>,
@@ -215,10 +215,15 @@
                         );
                     }
                     let program = node.map_or_else(program::node_binary, Ok)?;
-                    let means = real::Means { program, logs, arguments: Vec::new(), variables: Vec::new() };
+                    let means = real::NodeProcessOptions {
+                        program,
+                        log_dir: logs,
+                        arguments: Vec::new(),
+                        environment: Vec::new(),
+                    };
                     let outcome = real::play(&scenario, seed, &means, &mut progress)?;
                     if outcome.0.rules.any() && shrink > 0 {
-                        smaller = Some(real::shrink(&scenario, seed, &means, shrink)?);
+                        smaller = Some(real::shrink_faults(&scenario, seed, &means, shrink)?);
                     }
                     outcome
                 }
@@ -295,7 +300,7 @@
             let program = node.map_or_else(program::node_binary, Ok)?;
             let found = soak::run(seeds, &program, logs.as_deref(), &mut |line| println!("{line}"))?;
             println!("{found}");
-            Ok(if found.broken > 0 { VIOLATIONS_EXIT_CODE } else { u8::from(found.not_judged > 0) })
+            Ok(if found.failed > 0 { VIOLATIONS_EXIT_CODE } else { u8::from(found.inconclusive > 0) })
         }
         Command::Paper => {
             print!("{}", rehearsal::paper::tables()?);
--- a/crates/rehearsal/src/model/arrivals.rs
+++ b/crates/rehearsal/src/model/arrivals.rs
@@ -3,14 +3,14 @@
 
 use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{LoadShape, Scenario, TroubleKind};
-use yarrowfront::times::Moment;
+use yarrowfront::times::Timestamp;
 
 /// A command that a client wants done. The client's retries belong to the same command.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// Counted from 0 in the order in which commands are due.
     pub number: u64,
-    pub due: Moment,
+    pub due: Timestamp,
     pub profile: u16,
     pub customer: u32,
     /// Work in microseconds on a core of speed one; the same for every launch.
@@ -165,7 +165,7 @@
         self.number += 1;
         Some(Arrival {
             number: self.number - 1,
-            due: Moment(self.at_us as u64),
+            due: Timestamp(self.at_us as u64),
             profile: profile as u16,
             customer: customer as u32,
             work,
--- a/crates/rehearsal/src/model/backend.rs
+++ b/crates/rehearsal/src/model/backend.rs
@@ -8,7 +8,7 @@
 use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{BackendKind, CancelEffect, Episodes};
 use std::collections::{HashMap, VecDeque};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// The driver's key of a launch.
 pub type LaunchKey = u64;
@@ -18,16 +18,16 @@
 pub struct IdempotencyKey {
     pub scope: u32,
     pub key: u64,
-    pub retention: Span,
+    pub retention: Micros,
 }
 
 /// When each idempotency key was last executed, by scope and key.
 #[derive(Default)]
-pub struct IdempotencyStore(HashMap<(u32, u64), Moment>);
+pub struct IdempotencyStore(HashMap<(u32, u64), Timestamp>);
 
 impl IdempotencyStore {
     /// Whether the key was executed within its retention. If not, it counts as executed now.
-    fn is_repeat(&mut self, now: Moment, key: &IdempotencyKey) -> bool {
+    fn is_repeat(&mut self, now: Timestamp, key: &IdempotencyKey) -> bool {
         let seen = self.0.get(&(key.scope, key.key)).copied();
         let repeat = seen.is_some_and(|at| now < at + key.retention);
         if !repeat {
@@ -56,8 +56,8 @@
 pub enum BackendEvent {
     /// Its execution has started, so that it may have had its effect from now on. Not reported for a repeat of an
     /// idempotency key.
-    WorkStarted(LaunchKey, Moment),
-    WorkFinished(LaunchKey, Moment),
+    WorkStarted(LaunchKey, Timestamp),
+    WorkFinished(LaunchKey, Timestamp),
 }
 
 /// A command in the queue; its work is in microseconds on a core of speed one.
@@ -78,23 +78,23 @@
     episodes: Episodes,
     /// Whether an episode is on.
     is_slow: bool,
-    next_change_at: Moment,
+    next_change_at: Timestamp,
 }
 
 impl SlowPhases {
-    fn new(episodes: Episodes, now: Moment, rng: &mut SeededRng) -> SlowPhases {
+    fn new(episodes: Episodes, now: Timestamp, rng: &mut SeededRng) -> SlowPhases {
         SlowPhases {
             episodes,
             is_slow: false,
-            next_change_at: now + Span(rng.exponential(episodes.every.micros()) as u64 + 1),
+            next_change_at: now + Micros(rng.exponential(episodes.every.micros()) as u64 + 1),
         }
     }
 
-    fn advance(&mut self, now: Moment, rng: &mut SeededRng) {
+    fn advance(&mut self, now: Timestamp, rng: &mut SeededRng) {
         while self.next_change_at <= now {
             self.is_slow = !self.is_slow;
             let mean = if self.is_slow { self.episodes.length } else { self.episodes.every };
-            self.next_change_at = self.next_change_at + Span(rng.exponential(mean.micros()) as u64 + 1);
+            self.next_change_at = self.next_change_at + Micros(rng.exponential(mean.micros()) as u64 + 1);
         }
     }
 
@@ -132,13 +132,13 @@
     pub speed_factor: f64,
     /// The share of commands that it answers with an error at once.
     pub error_share: f64,
-    pub started_at: Moment,
+    pub started_at: Timestamp,
     /// Whether it needs no warm-up: the backends that a scenario starts with.
     always_warm: bool,
     /// Work done on each core for commands since the start, in microseconds on a core of speed one.
     done_per_core: f64,
     /// The time up to which its state is computed.
-    advanced_to: Moment,
+    advanced_to: Timestamp,
     /// Work per microsecond on each core at present.
     rate: f64,
     /// Work that belongs to no command and is done before that of commands, per core.
@@ -150,11 +150,11 @@
     stalls: Option<SlowPhases>,
     neighbours: Option<SlowPhases>,
     /// The time at which a stall caused by a trouble ends.
-    pub stalled_until: Moment,
+    pub stalled_until: Timestamp,
     /// When each command came during the warm-up, and its work.
-    received_while_cold: VecDeque<(Moment, f64)>,
+    received_while_cold: VecDeque<(Timestamp, f64)>,
     /// The multiple of its capacity that it can be sent while cold, and within which span.
-    cold_budget: (f64, Span),
+    cold_budget: (f64, Micros),
     rng: SeededRng,
     pub accepted_count: u64,
 }
@@ -165,9 +165,9 @@
     pub fn new(
         kind: BackendKind,
         (zone, group): (u16, u16),
-        started_at: Option<Moment>,
-        now: Moment,
-        cold_budget: (f64, Span),
+        started_at: Option<Timestamp>,
+        now: Timestamp,
+        cold_budget: (f64, Micros),
         (seed, number): (u64, u64),
     ) -> Backend {
         let mut rng = SeededRng::with_index(seed, RngStream::Backends, number);
@@ -197,7 +197,7 @@
             is_collapsed: false,
             stalls,
             neighbours,
-            stalled_until: Moment(0),
+            stalled_until: Timestamp(0),
             received_while_cold: VecDeque::new(),
             cold_budget,
             rng,
@@ -221,7 +221,7 @@
     }
 
     /// The share of its capacity that it has at this stage of its warm-up; 1 when it is warm.
-    pub fn warm_up_share(&self, now: Moment) -> f64 {
+    pub fn warm_up_share(&self, now: Timestamp) -> f64 {
         if self.always_warm || self.kind.warm.0 == 0 {
             return 1.0;
         }
@@ -231,7 +231,7 @@
     }
 
     /// Work per microsecond on all cores at this stage of its warm-up, without troubles.
-    pub fn capacity(&self, now: Moment) -> f64 {
+    pub fn capacity(&self, now: Timestamp) -> f64 {
         self.cores() * self.speed * self.warm_up_share(now)
     }
 
@@ -248,7 +248,7 @@
     }
 
     /// Whether it is cold and would crash with this much more work.
-    pub fn would_crash(&self, now: Moment, work: f64) -> bool {
+    pub fn would_crash(&self, now: Timestamp, work: f64) -> bool {
         if self.warm_up_share(now) >= 1.0 || self.kind.falls.0 == 0 {
             return false;
         }
@@ -256,10 +256,10 @@
         let recent: f64 =
             self.received_while_cold.iter().filter(|(at, _)| now.since(*at) < span).map(|(_, w)| w).sum();
         // Random variation is allowed for: a tenth of the budget, and three commands as large as this one.
-        recent + work > 1.1 * multiple * self.capacity(now) * span.micros() + 3.0 * work
+        recent + work > 1.1 * multiple * self.capacity(now) * span.as_f64() + 3.0 * work
     }
 
-    fn update_rate(&mut self, now: Moment) {
+    fn update_rate(&mut self, now: Timestamp) {
         for phases in [&mut self.stalls, &mut self.neighbours].into_iter().flatten() {
             phases.advance(now, &mut self.rng);
         }
@@ -280,7 +280,7 @@
     }
 
     /// The next time at which its state changes without a call; `None` if it executes nothing.
-    pub fn next_change(&self) -> Option<Moment> {
+    pub fn next_change(&self) -> Option<Timestamp> {
         if self.running.is_empty() || !self.is_up {
             return None;
         }
@@ -302,11 +302,11 @@
             let next_step = self.advanced_to.since(self.started_at).0 / step + 1;
             change = change.min(self.started_at.0 + next_step * step);
         }
-        (change < u64::MAX).then_some(Moment(change))
+        (change < u64::MAX).then_some(Timestamp(change))
     }
 
     /// Advances its state to `now`, and appends what happened meanwhile to `events` in order.
-    pub fn advance(&mut self, now: Moment, store: &mut IdempotencyStore, events: &mut Vec<BackendEvent>) {
+    pub fn advance(&mut self, now: Timestamp, store: &mut IdempotencyStore, events: &mut Vec<BackendEvent>) {
         while let Some(change) = self.next_change().filter(|change| *change <= now) {
             self.do_work_until(change);
             self.finish_done(change, store, events);
@@ -316,8 +316,8 @@
         self.update_rate(now);
     }
 
-    fn do_work_until(&mut self, now: Moment) {
-        let mut work_done = self.rate * now.since(self.advanced_to).micros();
+    fn do_work_until(&mut self, now: Timestamp) {
+        let mut work_done = self.rate * now.since(self.advanced_to).as_f64();
         self.advanced_to = now;
         if self.running.is_empty() {
             self.overhead_per_core = (self.overhead_per_core - work_done).max(0.0);
@@ -329,7 +329,7 @@
         self.done_per_core += work_done;
     }
 
-    fn finish_done(&mut self, now: Moment, store: &mut IdempotencyStore, events: &mut Vec<BackendEvent>) {
+    fn finish_done(&mut self, now: Timestamp, store: &mut IdempotencyStore, events: &mut Vec<BackendEvent>) {
         // A thousandth of a microsecond is tolerated for rounding errors.
         while let Some(i) =
             self.running.iter().position(|r| r.target_done_per_core <= self.done_per_core + 1e-3)
@@ -339,7 +339,7 @@
         self.start_queued(now, store, events);
     }
 
-    fn start_queued(&mut self, now: Moment, store: &mut IdempotencyStore, events: &mut Vec<BackendEvent>) {
+    fn start_queued(&mut self, now: Timestamp, store: &mut IdempotencyStore, events: &mut Vec<BackendEvent>) {
         while self.running.len() < usize::from(self.kind.cores) {
             let Some(next) = self.queued.pop_front() else { break };
             let repeat = next.idempotency_key.is_some_and(|key| store.is_repeat(now, &key));
@@ -355,7 +355,7 @@
     /// Handles a command that has been received completely. Call `advance` first.
     pub fn arrive(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         (key, work, idempotency_key): (LaunchKey, f64, Option<IdempotencyKey>),
         store: &mut IdempotencyStore,
         events: &mut Vec<BackendEvent>,
@@ -393,7 +393,7 @@
     /// Handles a command that its node has cancelled. Call `advance` first.
     pub fn cancel(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         key: LaunchKey,
         store: &mut IdempotencyStore,
         events: &mut Vec<BackendEvent>,
@@ -414,7 +414,7 @@
     }
 
     /// Ends the process: all its commands are lost.
-    pub fn kill(&mut self, now: Moment) {
+    pub fn kill(&mut self, now: Timestamp) {
         self.is_up = false;
         self.running.clear();
         self.queued.clear();
@@ -425,7 +425,7 @@
     }
 
     /// Starts a new, cold process under the same name.
-    pub fn restart(&mut self, now: Moment) {
+    pub fn restart(&mut self, now: Timestamp) {
         self.is_up = true;
         self.is_draining = false;
         self.is_hung = false;
@@ -437,7 +437,7 @@
     }
 
     /// Computes its rate again after one of the public fields was changed. Call `advance` before the change.
-    pub fn refresh_rate(&mut self, now: Moment) {
+    pub fn refresh_rate(&mut self, now: Timestamp) {
         self.update_rate(now);
     }
 }
--- a/crates/rehearsal/src/model/clients.rs
+++ b/crates/rehearsal/src/model/clients.rs
@@ -2,14 +2,14 @@
 
 use crate::rng::SeededRng;
 use crate::scenario::{CommandEffect, RetryMode, Scenario};
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 /// How an attempt ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptOutcome {
     Finished,
     /// The node rejected it, with a `Retry-After` if it gave one.
-    Rejected(Option<Span>),
+    Rejected(Option<Micros>),
     Errored,
     /// No whole answer: the connection broke, or nothing took the attempt from it.
     Lost,
@@ -26,7 +26,7 @@
     attempts: u32,
     outcome: AttemptOutcome,
     rng: &mut SeededRng,
-) -> Option<Span> {
+) -> Option<Micros> {
     let clients = &scenario.clients;
     let effect = scenario.profiles[usize::from(profile)].effect;
     let retry_is_safe = match outcome {
@@ -42,7 +42,7 @@
     }
     let delay = clients.wait.span().scaled(0.5 + rng.uniform());
     Some(match (clients.retry_mode, outcome) {
-        (RetryMode::AtOnce, _) => Span(0),
+        (RetryMode::AtOnce, _) => Micros(0),
         (RetryMode::Advised, AttemptOutcome::Rejected(Some(advised))) => advised,
         _ => delay,
     })
--- a/crates/rehearsal/src/model/fleet.rs
+++ b/crates/rehearsal/src/model/fleet.rs
@@ -4,9 +4,9 @@
 use crate::model::troubles::Step;
 use crate::rng::SeededRng;
 use crate::scenario::{Scenario, Scope};
-use yarrowfront::decide::{Listed, State};
-use yarrowfront::ids::{BackendId, GroupId, KindId, ZoneId};
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::decide::{BackendState, ListEntry};
+use yarrowfront::ids::{BackendId, BackendTypeId, GroupId, ZoneId};
+use yarrowfront::times::{Micros, Timestamp};
 
 /// Work for the driver of the fleet that results from a step.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -14,9 +14,9 @@
     /// Reset all connections to the backend: what was in progress on them is lost.
     ResetConnections(usize),
     /// Call `publish` for the backend at this time.
-    Publish(Moment, usize),
+    Publish(Timestamp, usize),
     /// Apply the step at this time.
-    ScheduleStep(Moment, Step),
+    ScheduleStep(Timestamp, Step),
     /// Report to the judges that the backend has started cold.
     ReportColdStart(usize),
     /// The rate of the backend may have changed, so that its next change has to be scheduled again.
@@ -42,7 +42,7 @@
     retired: Vec<bool>,
     pub idempotency_store: IdempotencyStore,
     /// The list's entry of each backend. Backends in the state `Gone` are not in the list.
-    pub entries: Vec<Listed>,
+    pub entries: Vec<ListEntry>,
     /// The backend whose entry each version of the list changed; its length is the version.
     pub changes: Vec<usize>,
     pub discovery_is_up: bool,
@@ -55,11 +55,11 @@
     seed: u64,
     list_settings: crate::scenario::List,
     /// The multiple of its capacity that a cold backend can be sent, and within which span.
-    cold_budget: (f64, Span),
+    cold_budget: (f64, Micros),
 }
 
 impl Fleet {
-    pub fn new(scenario: &Scenario, seed: u64, now: Moment) -> Fleet {
+    pub fn new(scenario: &Scenario, seed: u64, now: Timestamp) -> Fleet {
         let mut fleet = Fleet {
             backends: Vec::new(),
             kind_indices: Vec::new(),
@@ -93,22 +93,22 @@
         kind: usize,
         k: crate::scenario::BackendKind,
         place: (u16, u16),
-        started: Option<Moment>,
-        now: Moment,
+        started: Option<Timestamp>,
+        now: Timestamp,
     ) {
         let number = self.backends.len() as u64;
         self.backends.push(Backend::new(k, place, started, now, self.cold_budget, (self.seed, number)));
         self.kind_indices.push(kind as u8);
         self.retired.push(false);
-        self.entries.push(Listed {
-            mark: number,
-            size: 1.0,
+        self.entries.push(ListEntry {
+            name_hash: number,
+            weight: 1.0,
             backend: BackendId(number as u32),
             zone: ZoneId(place.0),
-            kind: KindId(kind as u8),
+            backend_type: BackendTypeId(kind as u8),
             group: GroupId(place.1),
-            state: State::Gone,
-            started: started.unwrap_or_default(),
+            state: BackendState::Gone,
+            started_at: started.unwrap_or_default(),
         });
     }
 
@@ -130,23 +130,23 @@
     pub fn publish(&mut self, i: usize) -> bool {
         let b = &self.backends[i];
         let state = match (b.is_up && !b.is_cut_off, b.is_draining) {
-            (false, _) => State::Gone,
-            (true, true) => State::Draining,
-            (true, false) => State::Ready,
+            (false, _) => BackendState::Gone,
+            (true, true) => BackendState::Draining,
+            (true, false) => BackendState::Ready,
         };
         let entry = &mut self.entries[i];
         let new = (state, b.started_at);
-        if (entry.state, entry.started) == new {
+        if (entry.state, entry.started_at) == new {
             return false;
         }
-        (entry.state, entry.started) = new;
+        (entry.state, entry.started_at) = new;
         self.changes.push(i);
         true
     }
 
     /// The entries of all backends that are in the list.
-    pub fn snapshot(&self) -> impl Iterator<Item = Listed> + '_ {
-        self.entries.iter().filter(|l| l.state != State::Gone).copied()
+    pub fn snapshot(&self) -> impl Iterator<Item = ListEntry> + '_ {
+        self.entries.iter().filter(|l| l.state != BackendState::Gone).copied()
     }
 
     /// Draws what happens to an answer on its way.
@@ -159,7 +159,7 @@
     }
 
     /// Applies a step to the backends, discovery and the network. Steps of nodes are the driver's.
-    pub fn apply(&mut self, now: Moment, step: Step, actions: &mut Vec<DriverAction>) {
+    pub fn apply(&mut self, now: Timestamp, step: Step, actions: &mut Vec<DriverAction>) {
         let death_listed_at = now + self.list_settings.notice.span();
         let start_listed_at = now + self.list_settings.add.span();
         match step {
@@ -219,13 +219,19 @@
         }
     }
 
-    fn kill_backend(&mut self, now: Moment, i: usize, listed_at: Moment, actions: &mut Vec<DriverAction>) {
+    fn kill_backend(
+        &mut self,
+        now: Timestamp,
+        i: usize,
+        listed_at: Timestamp,
+        actions: &mut Vec<DriverAction>,
+    ) {
         self.backends[i].kill(now);
         actions.extend([DriverAction::ResetConnections(i), DriverAction::Publish(listed_at, i)]);
     }
 
     /// A cold backend crashes from too much work; it restarts after the time that its kind states.
-    pub fn crash(&mut self, now: Moment, i: usize, actions: &mut Vec<DriverAction>) {
+    pub fn crash(&mut self, now: Timestamp, i: usize, actions: &mut Vec<DriverAction>) {
         let restart_at = now + self.backends[i].kind.falls.span();
         self.apply(now, Step::Kill(i), actions);
         actions.push(DriverAction::ScheduleStep(restart_at, Step::Restart(i)));
--- a/crates/rehearsal/src/model/troubles.rs
+++ b/crates/rehearsal/src/model/troubles.rs
@@ -4,7 +4,7 @@
 use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{Scenario, TroubleKind};
 use crate::span::Time;
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 /// One change to a backend or a node (by index), to discovery or to the network.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -21,7 +21,7 @@
     CutOff(usize),
     Reconnect(usize),
     /// The backend does nothing for this long.
-    Stall(usize, Span),
+    Stall(usize, Micros),
     /// The backend hangs, or goes on.
     Hang(usize, bool),
     /// The backend's speed is multiplied by this factor.
@@ -102,7 +102,7 @@
                     let mut next = at.0 + rng.exponential(trouble.every.micros()) as u64;
                     while next < end.0 {
                         let length = rng.exponential(trouble.down.micros()) as u64 + 1;
-                        add(Time(next), Step::Stall(b, Span(length)));
+                        add(Time(next), Step::Stall(b, Micros(length)));
                         next += length + rng.exponential(trouble.every.micros()) as u64;
                     }
                 }
--- a/crates/rehearsal/src/policy.rs
+++ b/crates/rehearsal/src/policy.rs
@@ -4,17 +4,17 @@
 use crate::model::settings::node_settings;
 use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{CommandEffect, Scenario};
-use yarrowfront::command::{Command, Fate, Outcome};
-use yarrowfront::decide::{Balancer, Errand, ListKind, Listed, Say, State};
-use yarrowfront::ids::{BackendId, Hand};
-use yarrowfront::terms::Terms;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::command::{Command, LaunchState, Outcome};
+use yarrowfront::decide::{Action, BackendState, Balancer, Decision, ListEntry, ListUpdateKind};
+use yarrowfront::ids::{BackendId, CommandHandle};
+use yarrowfront::settings::Settings;
+use yarrowfront::times::{Micros, Timestamp};
 
 /// A launch of a command.
 #[derive(Clone, Copy, Debug)]
 pub struct SentLaunch {
     pub backend: usize,
-    pub fate: Fate,
+    pub fate: LaunchState,
 }
 
 /// A command that a node has received and not answered, with its launches.
@@ -25,29 +25,29 @@
 
 impl Task {
     pub fn in_flight(&self) -> usize {
-        self.launches.iter().filter(|s| s.fate == Fate::Out).count()
+        self.launches.iter().filter(|s| s.fate == LaunchState::InFlight).count()
     }
 }
 
 /// The decisions of a node, and the events that it is informed of. `fleet` is the true state of the backends, which only the
 /// policies `shortest` and `sighted` use.
 pub trait Policy {
-    fn place(&mut self, now: Moment, hand: Hand, task: &mut Task, fleet: &Fleet) -> Say;
+    fn place(&mut self, now: Timestamp, hand: CommandHandle, task: &mut Task, fleet: &Fleet) -> Decision;
     /// `task.launches` already has the outcome of the launch.
     fn after(
         &mut self,
-        now: Moment,
-        hand: Hand,
+        now: Timestamp,
+        hand: CommandHandle,
         task: &mut Task,
         launch: u8,
         outcome: Outcome,
         fleet: &Fleet,
-    ) -> Say;
-    fn wait(&self, now: Moment, task: Option<&Task>) -> Option<Span>;
+    ) -> Decision;
+    fn wait(&self, now: Timestamp, task: Option<&Task>) -> Option<Micros>;
     fn dropped(&mut self, task: &mut Task);
-    fn list(&mut self, now: Moment, kind: ListKind, lines: &[Listed]);
-    fn report(&mut self, now: Moment, at: BackendId, found: bool, trip: Span, values: &[f32]);
-    fn errand(&mut self, now: Moment) -> Option<Errand>;
+    fn list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]);
+    fn report(&mut self, now: Timestamp, at: BackendId, found: bool, trip: Micros, values: &[f32]);
+    fn errand(&mut self, now: Timestamp) -> Option<Action>;
 }
 
 /// What a policy is created from when a node starts.
@@ -55,7 +55,7 @@
     pub scenario: &'a Scenario,
     pub node: usize,
     pub seed: u64,
-    pub now: Moment,
+    pub now: Timestamp,
 }
 
 /// Creates the policy of a node that starts.
@@ -83,38 +83,47 @@
 
 impl Yarrowfront {
     pub fn new(context: &NodeContext) -> Result<Yarrowfront, String> {
-        let terms = Terms::from_json(node_settings(context.scenario, context.node).to_string().as_bytes())?;
-        Ok(Yarrowfront(Balancer::new(terms, context.seed, context.now)))
+        let settings =
+            Settings::from_json(node_settings(context.scenario, context.node).to_string().as_bytes())?;
+        Ok(Yarrowfront(Balancer::new(settings, context.seed, context.now)))
     }
 }
 
 impl Policy for Yarrowfront {
-    fn place(&mut self, now: Moment, hand: Hand, task: &mut Task, _: &Fleet) -> Say {
-        self.0.place(now, hand, &mut task.command)
+    fn place(&mut self, now: Timestamp, hand: CommandHandle, task: &mut Task, _: &Fleet) -> Decision {
+        self.0.decide(now, hand, &mut task.command)
     }
 
-    fn after(&mut self, now: Moment, hand: Hand, task: &mut Task, n: u8, outcome: Outcome, _: &Fleet) -> Say {
-        self.0.after(now, hand, &mut task.command, n, outcome)
+    fn after(
+        &mut self,
+        now: Timestamp,
+        hand: CommandHandle,
+        task: &mut Task,
+        n: u8,
+        outcome: Outcome,
+        _: &Fleet,
+    ) -> Decision {
+        self.0.on_launch_outcome(now, hand, &mut task.command, n, outcome)
     }
 
-    fn wait(&self, now: Moment, task: Option<&Task>) -> Option<Span> {
-        self.0.wait(now, task.map(|t| &t.command))
+    fn wait(&self, now: Timestamp, task: Option<&Task>) -> Option<Micros> {
+        self.0.wakeup_delay(now, task.map(|t| &t.command))
     }
 
     fn dropped(&mut self, task: &mut Task) {
-        self.0.dropped(&mut task.command);
+        self.0.on_client_gone(&mut task.command);
     }
 
-    fn list(&mut self, now: Moment, kind: ListKind, lines: &[Listed]) {
-        self.0.list(now, kind, lines.iter().copied());
+    fn list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]) {
+        self.0.apply_list(now, kind, lines.iter().copied());
     }
 
-    fn report(&mut self, now: Moment, at: BackendId, found: bool, trip: Span, values: &[f32]) {
-        self.0.report(now, at, found, Some(trip), values);
+    fn report(&mut self, now: Timestamp, at: BackendId, found: bool, trip: Micros, values: &[f32]) {
+        self.0.on_load_report(now, at, found, Some(trip), values);
     }
 
-    fn errand(&mut self, now: Moment) -> Option<Errand> {
-        self.0.errand(now)
+    fn errand(&mut self, now: Timestamp) -> Option<Action> {
+        self.0.next_action(now)
     }
 }
 
@@ -141,21 +150,21 @@
     strategy: Strategy,
     rng: SeededRng,
     next_index: usize,
-    listed: Vec<Listed>,
+    listed: Vec<ListEntry>,
     ready: Vec<usize>,
     in_flight: Vec<u32>,
     effects: Vec<CommandEffect>,
-    goal_times: Vec<Span>,
+    goal_times: Vec<Micros>,
     mean_work_us: Vec<f64>,
     /// Payoff per microsecond of work, by profile.
     payoff_density: Vec<f64>,
     /// The payoff per microsecond of work that a command needs at present to be admitted while the fleet fills up.
     min_payoff_density: f64,
     max_launches: usize,
-    retry_after: Span,
+    retry_after: Micros,
     needs_list: bool,
-    request_list_at: Moment,
-    list_request_interval: Span,
+    request_list_at: Timestamp,
+    list_request_interval: Micros,
 }
 
 impl SimplePolicy {
@@ -175,14 +184,14 @@
             payoff_density: scenario.profiles.iter().map(|p| p.payoff / p.work.micros()).collect(),
             min_payoff_density: 0.0,
             max_launches: scenario.allow.launches as usize,
-            retry_after: scenario.allow.come_back.map_or(Span(0), |t| t.span().scaled(0.2)),
+            retry_after: scenario.allow.come_back.map_or(Micros(0), |t| t.span().scaled(0.2)),
             needs_list: true,
             request_list_at: context.now,
             list_request_interval: scenario.list.ask_within.span(),
         }
     }
 
-    fn choose(&mut self, now: Moment, task: &Task, fleet: &Fleet) -> Option<usize> {
+    fn choose(&mut self, now: Timestamp, task: &Task, fleet: &Fleet) -> Option<usize> {
         let is_untried = |b: &usize| !task.launches.iter().any(|s| s.backend == *b);
         let candidates: Vec<usize> = self.ready.iter().copied().filter(is_untried).collect();
         if candidates.is_empty() {
@@ -235,7 +244,7 @@
                         best = (finish_in, Some(i));
                     }
                 }
-                let time_left = (task.command.arrived + goal).since(now).micros();
+                let time_left = (task.command.arrived_at + goal).since(now).as_f64();
                 let is_in_time = best.0 <= time_left;
                 if !avoids_overload {
                     return best.1.filter(|_| is_in_time);
@@ -258,31 +267,31 @@
         self.payoff_density.iter().copied().fold(0.0, f64::max)
     }
 
-    fn give_up(&mut self, task: &mut Task) -> Say {
+    fn give_up(&mut self, task: &mut Task) -> Decision {
         if task.in_flight() > 0 {
-            return Say::NotYet;
+            return Decision::Wait;
         }
-        task.command.closed = true;
+        task.command.is_closed = true;
         let effect = self.effects[usize::from(task.command.profile.0)];
-        let retry_is_safe =
-            effect == CommandEffect::Repeatable || task.launches.iter().all(|s| s.fate == Fate::NotRun);
+        let retry_is_safe = effect == CommandEffect::Repeatable
+            || task.launches.iter().all(|s| s.fate == LaunchState::NotRun);
         if retry_is_safe {
-            Say::TurnBack(self.retry_after)
+            Decision::Reject(self.retry_after)
         } else {
-            Say::Errored
+            Decision::Fail
         }
     }
 }
 
 impl Policy for SimplePolicy {
-    fn place(&mut self, now: Moment, _: Hand, task: &mut Task, fleet: &Fleet) -> Say {
-        if task.command.closed || task.in_flight() > 0 {
-            return Say::NotYet;
+    fn place(&mut self, now: Timestamp, _: CommandHandle, task: &mut Task, fleet: &Fleet) -> Decision {
+        if task.command.is_closed || task.in_flight() > 0 {
+            return Decision::Wait;
         }
         match self.choose(now, task, fleet) {
             Some(i) => {
                 self.in_flight[i] += 1;
-                Say::Launch(BackendId(i as u32))
+                Decision::Launch(BackendId(i as u32))
             }
             None => self.give_up(task),
         }
@@ -290,44 +299,44 @@
 
     fn after(
         &mut self,
-        now: Moment,
-        hand: Hand,
+        now: Timestamp,
+        hand: CommandHandle,
         task: &mut Task,
         n: u8,
         outcome: Outcome,
         fleet: &Fleet,
-    ) -> Say {
+    ) -> Decision {
         self.in_flight[task.launches[usize::from(n)].backend] -= 1;
-        if task.command.closed || outcome == Outcome::Finished {
-            return Say::NotYet;
+        if task.command.is_closed || outcome == Outcome::Finished {
+            return Decision::Wait;
         }
         let effect = self.effects[usize::from(task.command.profile.0)];
         let retry_is_safe = effect == CommandEffect::Repeatable || outcome.proves_not_run(false);
-        if retry_is_safe && task.launches.len() < self.max_launches && now < task.command.ends {
+        if retry_is_safe && task.launches.len() < self.max_launches && now < task.command.deadline {
             return self.place(now, hand, task, fleet);
         }
         self.give_up(task)
     }
 
-    fn wait(&self, now: Moment, task: Option<&Task>) -> Option<Span> {
+    fn wait(&self, now: Timestamp, task: Option<&Task>) -> Option<Micros> {
         (task.is_none() && self.needs_list).then(|| self.request_list_at.since(now))
     }
 
     fn dropped(&mut self, task: &mut Task) {
-        task.command.closed = true;
+        task.command.is_closed = true;
     }
 
-    fn list(&mut self, now: Moment, kind: ListKind, lines: &[Listed]) {
+    fn list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]) {
         match kind {
-            ListKind::Failed | ListKind::Silent => {
+            ListUpdateKind::Failed | ListUpdateKind::Silent => {
                 self.needs_list = true;
-                self.request_list_at = now + Span(self.list_request_interval.0.min(1_000_000) / 4);
+                self.request_list_at = now + Micros(self.list_request_interval.0.min(1_000_000) / 4);
                 return;
             }
-            ListKind::Whole | ListKind::Changes => self.needs_list = false,
-            ListKind::Cached => {}
+            ListUpdateKind::Snapshot | ListUpdateKind::Delta => self.needs_list = false,
+            ListUpdateKind::Cached => {}
         }
-        if kind != ListKind::Changes {
+        if kind != ListUpdateKind::Delta {
             self.listed.clear();
         }
         for line in lines {
@@ -337,16 +346,16 @@
             }
             self.in_flight.resize(self.in_flight.len().max(line.backend.0 as usize + 1), 0);
         }
-        let ready = self.listed.iter().filter(|l| l.state == State::Ready);
+        let ready = self.listed.iter().filter(|l| l.state == BackendState::Ready);
         self.ready = ready.map(|l| l.backend.0 as usize).collect();
     }
 
-    fn report(&mut self, _: Moment, _: BackendId, _: bool, _: Span, _: &[f32]) {}
+    fn report(&mut self, _: Timestamp, _: BackendId, _: bool, _: Micros, _: &[f32]) {}
 
-    fn errand(&mut self, now: Moment) -> Option<Errand> {
+    fn errand(&mut self, now: Timestamp) -> Option<Action> {
         if self.needs_list && now >= self.request_list_at {
             self.request_list_at = now + self.list_request_interval.scaled(0.5);
-            return Some(Errand::Follow);
+            return Some(Action::RequestList);
         }
         None
     }
--- a/crates/rehearsal/src/real/backends.rs
+++ b/crates/rehearsal/src/real/backends.rs
@@ -16,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
-use yarrowfront::times::Span;
+use yarrowfront::times::Micros;
 
 type Answer = Result<Response<Full<Bytes>>, &'static str>;
 
@@ -146,7 +146,8 @@
         return Ok(plain(StatusCode::BAD_REQUEST, "no client has sent this"));
     };
     let announced_time_left = request.headers().get("x-time-left-ms").and_then(|v| v.to_str().ok());
-    let announced_time_left = announced_time_left.and_then(|millis| millis.parse().ok()).map(Span::millis);
+    let announced_time_left =
+        announced_time_left.and_then(|millis| millis.parse().ok()).map(Micros::from_millis);
     stage.see(Observation::LaunchStarted {
         node: sent.node,
         backend: i,
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -819,16 +819,16 @@
             let names: Vec<String> = (0..self.nodes).map(|node| format!("n{node}")).collect();
             let agree = self.view.as_ref().map_or(Time(0), |view| view.agree);
             let fault_period = Time(self.length.0.saturating_sub(agree.0 + 1_000_000)).duration();
-            schedule.0.extend(Schedule::draw(seed, &names, drawn.faults, fault_period).0);
+            schedule.0.extend(Schedule::generate(seed, &names, drawn.faults, fault_period).0);
         }
-        schedule.0.sort_by_key(|step| step.at);
+        schedule.0.sort_by_key(|step| step.at_ms);
         Ok(schedule)
     }
 
     /// The same scenario with exactly these faults.
     pub fn with_faults(&self, schedule: &Schedule) -> Scenario {
-        let fault = |step: &links::schedule::Step| FaultEntry {
-            at: Time::millis(step.at),
+        let fault = |step: &links::schedule::ScheduledFault| FaultEntry {
+            at: Time::millis(step.at_ms),
             what: step.fault.to_string(),
         };
         Scenario { faults: schedule.0.iter().map(fault).collect(), drawn: None, ..self.clone() }
@@ -852,11 +852,11 @@
             let Ok(read) = read else {
                 return invalid(key("what"), format!("{:?} is no fault", fault.what));
             };
-            let names: Vec<&String> = read.0.iter().flat_map(|step| step.fault.names()).collect();
+            let names: Vec<&String> = read.0.iter().flat_map(|step| step.fault.targets()).collect();
             if let Some(name) = names.iter().find(|name| !is_known(name)) {
                 return invalid(key("what"), format!("{name:?} is nobody here"));
             }
-            let affects_process = |step: &links::schedule::Step| step.fault.of_process();
+            let affects_process = |step: &links::schedule::ScheduledFault| step.fault.is_process_fault();
             if read.0.iter().any(affects_process) && !names.iter().all(|name| name.starts_with('n')) {
                 return invalid(key("what"), "only nodes have processes that this fault can be applied to");
             }
