--- a/crates/rehearsal/src/paper.rs
+++ b/crates/rehearsal/src/paper.rs
@@ -2,7 +2,7 @@
 //! servers, against the figures of its Table 3.
 
 use crate::model::fleet::Fleet;
-use crate::policy::{self, NodeContext, Policy, Task};
+use crate::policy::{self, ActiveCommand, NodeContext, Policy};
 use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{Allowances, CommandEffect, Scope};
 use crate::scenario::{
@@ -48,8 +48,8 @@
 }
 
 impl Policy for Plain {
-    fn place(&mut self, _: Timestamp, _: CommandHandle, task: &mut Task, _: &Fleet) -> Decision {
-        if task.in_flight() > 0 {
+    fn decide(&mut self, _: Timestamp, _: CommandHandle, active: &mut ActiveCommand, _: &Fleet) -> Decision {
+        if active.in_flight() > 0 {
             return Decision::Wait;
         }
         let (node, first_come) = (self.node, self.first_come);
@@ -66,16 +66,16 @@
         Decision::Launch(BackendId(server as u32))
     }
 
-    fn after(
+    fn on_launch_outcome(
         &mut self,
         _: Timestamp,
         _: CommandHandle,
-        task: &mut Task,
+        active: &mut ActiveCommand,
         n: u8,
         _: Outcome,
         fleet: &Fleet,
     ) -> Decision {
-        let server = task.launches[usize::from(n)].backend;
+        let server = active.launches[usize::from(n)].backend;
         let d = self.d;
         let mut board = self.board();
         if fleet.backends[server].held_commands() == 0 && !board.placed[server] {
@@ -88,19 +88,19 @@
         Decision::Wait
     }
 
-    fn wait(&self, _: Timestamp, _: Option<&Task>) -> Option<Micros> {
+    fn wakeup_delay(&self, _: Timestamp, _: Option<&ActiveCommand>) -> Option<Micros> {
         None
     }
 
-    fn dropped(&mut self, task: &mut Task) {
-        task.command.is_closed = true;
+    fn on_client_gone(&mut self, active: &mut ActiveCommand) {
+        active.command.is_closed = true;
     }
 
-    fn list(&mut self, _: Timestamp, _: ListUpdateKind, _: &[ListEntry]) {}
+    fn apply_list(&mut self, _: Timestamp, _: ListUpdateKind, _: &[ListEntry]) {}
 
-    fn report(&mut self, _: Timestamp, _: BackendId, _: bool, _: Micros, _: &[f32]) {}
+    fn on_load_report(&mut self, _: Timestamp, _: BackendId, _: bool, _: Micros, _: &[f32]) {}
 
-    fn errand(&mut self, _: Timestamp) -> Option<Action> {
+    fn next_action(&mut self, _: Timestamp) -> Option<Action> {
         None
     }
 }
--- a/crates/rehearsal/src/policy.rs
+++ b/crates/rehearsal/src/policy.rs
@@ -14,40 +14,46 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SentLaunch {
     pub backend: usize,
-    pub fate: LaunchState,
+    pub state: LaunchState,
 }
 
 /// A command that a node has received and not answered, with its launches.
-pub struct Task {
+pub struct ActiveCommand {
     pub command: Command,
     pub launches: Vec<SentLaunch>,
 }
 
-impl Task {
+impl ActiveCommand {
     pub fn in_flight(&self) -> usize {
-        self.launches.iter().filter(|s| s.fate == LaunchState::InFlight).count()
+        self.launches.iter().filter(|s| s.state == LaunchState::InFlight).count()
     }
 }
 
 /// The decisions of a node, and the events that it is informed of. `fleet` is the true state of the backends, which only the
 /// policies `shortest` and `sighted` use.
 pub trait Policy {
-    fn place(&mut self, now: Timestamp, hand: CommandHandle, task: &mut Task, fleet: &Fleet) -> Decision;
+    fn decide(
+        &mut self,
+        now: Timestamp,
+        hand: CommandHandle,
+        active: &mut ActiveCommand,
+        fleet: &Fleet,
+    ) -> Decision;
     /// `task.launches` already has the outcome of the launch.
-    fn after(
+    fn on_launch_outcome(
         &mut self,
         now: Timestamp,
         hand: CommandHandle,
-        task: &mut Task,
+        active: &mut ActiveCommand,
         launch: u8,
         outcome: Outcome,
         fleet: &Fleet,
     ) -> Decision;
-    fn wait(&self, now: Timestamp, task: Option<&Task>) -> Option<Micros>;
-    fn dropped(&mut self, task: &mut Task);
-    fn list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]);
-    fn report(&mut self, now: Timestamp, at: BackendId, found: bool, trip: Micros, values: &[f32]);
-    fn errand(&mut self, now: Timestamp) -> Option<Action>;
+    fn wakeup_delay(&self, now: Timestamp, active: Option<&ActiveCommand>) -> Option<Micros>;
+    fn on_client_gone(&mut self, active: &mut ActiveCommand);
+    fn apply_list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]);
+    fn on_load_report(&mut self, now: Timestamp, at: BackendId, found: bool, trip: Micros, values: &[f32]);
+    fn next_action(&mut self, now: Timestamp) -> Option<Action>;
 }
 
 /// What a policy is created from when a node starts.
@@ -90,39 +96,45 @@
 }
 
 impl Policy for Yarrowfront {
-    fn place(&mut self, now: Timestamp, hand: CommandHandle, task: &mut Task, _: &Fleet) -> Decision {
-        self.0.decide(now, hand, &mut task.command)
+    fn decide(
+        &mut self,
+        now: Timestamp,
+        hand: CommandHandle,
+        active: &mut ActiveCommand,
+        _: &Fleet,
+    ) -> Decision {
+        self.0.decide(now, hand, &mut active.command)
     }
 
-    fn after(
+    fn on_launch_outcome(
         &mut self,
         now: Timestamp,
         hand: CommandHandle,
-        task: &mut Task,
+        active: &mut ActiveCommand,
         n: u8,
         outcome: Outcome,
         _: &Fleet,
     ) -> Decision {
-        self.0.on_launch_outcome(now, hand, &mut task.command, n, outcome)
+        self.0.on_launch_outcome(now, hand, &mut active.command, n, outcome)
     }
 
-    fn wait(&self, now: Timestamp, task: Option<&Task>) -> Option<Micros> {
-        self.0.wakeup_delay(now, task.map(|t| &t.command))
+    fn wakeup_delay(&self, now: Timestamp, active: Option<&ActiveCommand>) -> Option<Micros> {
+        self.0.wakeup_delay(now, active.map(|t| &t.command))
     }
 
-    fn dropped(&mut self, task: &mut Task) {
-        self.0.on_client_gone(&mut task.command);
+    fn on_client_gone(&mut self, active: &mut ActiveCommand) {
+        self.0.on_client_gone(&mut active.command);
     }
 
-    fn list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]) {
+    fn apply_list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]) {
         self.0.apply_list(now, kind, lines.iter().copied());
     }
 
-    fn report(&mut self, now: Timestamp, at: BackendId, found: bool, trip: Micros, values: &[f32]) {
+    fn on_load_report(&mut self, now: Timestamp, at: BackendId, found: bool, trip: Micros, values: &[f32]) {
         self.0.on_load_report(now, at, found, Some(trip), values);
     }
 
-    fn errand(&mut self, now: Timestamp) -> Option<Action> {
+    fn next_action(&mut self, now: Timestamp) -> Option<Action> {
         self.0.next_action(now)
     }
 }
@@ -191,8 +203,8 @@
         }
     }
 
-    fn choose(&mut self, now: Timestamp, task: &Task, fleet: &Fleet) -> Option<usize> {
-        let is_untried = |b: &usize| !task.launches.iter().any(|s| s.backend == *b);
+    fn choose(&mut self, now: Timestamp, active: &ActiveCommand, fleet: &Fleet) -> Option<usize> {
+        let is_untried = |b: &usize| !active.launches.iter().any(|s| s.backend == *b);
         let candidates: Vec<usize> = self.ready.iter().copied().filter(is_untried).collect();
         if candidates.is_empty() {
             return None;
@@ -214,7 +226,7 @@
             }
             Strategy::Shortest | Strategy::Sighted => {
                 let avoids_overload = self.strategy == Strategy::Sighted;
-                let profile = usize::from(task.command.profile.0);
+                let profile = usize::from(active.command.profile.0);
                 let (work, goal) = (self.mean_work_us[profile], self.goal_times[profile]);
                 let start = self.rng.below(candidates.len());
                 let mut best = (f64::MAX, None);
@@ -244,7 +256,7 @@
                         best = (finish_in, Some(i));
                     }
                 }
-                let time_left = (task.command.arrived_at + goal).since(now).as_f64();
+                let time_left = (active.command.arrived_at + goal).since(now).as_f64();
                 let is_in_time = best.0 <= time_left;
                 if !avoids_overload {
                     return best.1.filter(|_| is_in_time);
@@ -267,14 +279,14 @@
         self.payoff_density.iter().copied().fold(0.0, f64::max)
     }
 
-    fn give_up(&mut self, task: &mut Task) -> Decision {
-        if task.in_flight() > 0 {
+    fn give_up(&mut self, active: &mut ActiveCommand) -> Decision {
+        if active.in_flight() > 0 {
             return Decision::Wait;
         }
-        task.command.is_closed = true;
-        let effect = self.effects[usize::from(task.command.profile.0)];
+        active.command.is_closed = true;
+        let effect = self.effects[usize::from(active.command.profile.0)];
         let retry_is_safe = effect == CommandEffect::Repeatable
-            || task.launches.iter().all(|s| s.fate == LaunchState::NotRun);
+            || active.launches.iter().all(|s| s.state == LaunchState::NotRun);
         if retry_is_safe {
             Decision::Reject(self.retry_after)
         } else {
@@ -284,49 +296,55 @@
 }
 
 impl Policy for SimplePolicy {
-    fn place(&mut self, now: Timestamp, _: CommandHandle, task: &mut Task, fleet: &Fleet) -> Decision {
-        if task.command.is_closed || task.in_flight() > 0 {
+    fn decide(
+        &mut self,
+        now: Timestamp,
+        _: CommandHandle,
+        active: &mut ActiveCommand,
+        fleet: &Fleet,
+    ) -> Decision {
+        if active.command.is_closed || active.in_flight() > 0 {
             return Decision::Wait;
         }
-        match self.choose(now, task, fleet) {
+        match self.choose(now, active, fleet) {
             Some(i) => {
                 self.in_flight[i] += 1;
                 Decision::Launch(BackendId(i as u32))
             }
-            None => self.give_up(task),
+            None => self.give_up(active),
         }
     }
 
-    fn after(
+    fn on_launch_outcome(
         &mut self,
         now: Timestamp,
         hand: CommandHandle,
-        task: &mut Task,
+        active: &mut ActiveCommand,
         n: u8,
         outcome: Outcome,
         fleet: &Fleet,
     ) -> Decision {
-        self.in_flight[task.launches[usize::from(n)].backend] -= 1;
-        if task.command.is_closed || outcome == Outcome::Finished {
+        self.in_flight[active.launches[usize::from(n)].backend] -= 1;
+        if active.command.is_closed || outcome == Outcome::Finished {
             return Decision::Wait;
         }
-        let effect = self.effects[usize::from(task.command.profile.0)];
+        let effect = self.effects[usize::from(active.command.profile.0)];
         let retry_is_safe = effect == CommandEffect::Repeatable || outcome.proves_not_run(false);
-        if retry_is_safe && task.launches.len() < self.max_launches && now < task.command.deadline {
-            return self.place(now, hand, task, fleet);
+        if retry_is_safe && active.launches.len() < self.max_launches && now < active.command.deadline {
+            return self.decide(now, hand, active, fleet);
         }
-        self.give_up(task)
+        self.give_up(active)
     }
 
-    fn wait(&self, now: Timestamp, task: Option<&Task>) -> Option<Micros> {
-        (task.is_none() && self.needs_list).then(|| self.request_list_at.since(now))
+    fn wakeup_delay(&self, now: Timestamp, active: Option<&ActiveCommand>) -> Option<Micros> {
+        (active.is_none() && self.needs_list).then(|| self.request_list_at.since(now))
     }
 
-    fn dropped(&mut self, task: &mut Task) {
-        task.command.is_closed = true;
+    fn on_client_gone(&mut self, active: &mut ActiveCommand) {
+        active.command.is_closed = true;
     }
 
-    fn list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]) {
+    fn apply_list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]) {
         match kind {
             ListUpdateKind::Failed | ListUpdateKind::Silent => {
                 self.needs_list = true;
@@ -350,9 +368,9 @@
         self.ready = ready.map(|l| l.backend.0 as usize).collect();
     }
 
-    fn report(&mut self, _: Timestamp, _: BackendId, _: bool, _: Micros, _: &[f32]) {}
+    fn on_load_report(&mut self, _: Timestamp, _: BackendId, _: bool, _: Micros, _: &[f32]) {}
 
-    fn errand(&mut self, now: Timestamp) -> Option<Action> {
+    fn next_action(&mut self, now: Timestamp) -> Option<Action> {
         if self.needs_list && now >= self.request_list_at {
             self.request_list_at = now + self.list_request_interval.scaled(0.5);
             return Some(Action::RequestList);
--- a/crates/rehearsal/src/virtual_clock.rs
+++ b/crates/rehearsal/src/virtual_clock.rs
@@ -1,5 +1,5 @@
-//! The virtual clock: discrete events drive policies and model in one process. One thread, one order of events:
-//! the same scenario, policy and seed give the same bytes.
+//! The virtual clock: a discrete-event simulation of policies and model in one process. It has one thread and a fixed order
+//! of events, so that the same scenario, policy and seed give the same result, byte for byte.
 
 use crate::event_queue::EventQueue;
 use crate::judge::result::PlayResult;
@@ -9,7 +9,7 @@
 use crate::model::clients::{retry_delay, AttemptOutcome};
 use crate::model::fleet::{AnswerFate, DriverAction, Fleet};
 use crate::model::troubles::{timeline, Step};
-use crate::policy::{NodeContext, Policy, PolicyFactory, SentLaunch, Task};
+use crate::policy::{ActiveCommand, NodeContext, Policy, PolicyFactory, SentLaunch};
 use crate::rng::{RngStream, SeededRng};
 use crate::scenario::{CommandEffect, ListMode, Scenario};
 use slab::Slab;
@@ -18,126 +18,139 @@
 use yarrowfront::ids::{BackendId, CommandHandle, CommandId, ProfileId};
 use yarrowfront::times::{Micros, Timestamp};
 
-/// Where a scenario's time starts on the clock: moment 0 means "long ago" to the module.
+/// Where a scenario's time starts on the clock. It is not 0 because the balancer takes the time 0 as long ago.
 pub const ORIGIN: Timestamp = Timestamp(1_000_000_000);
-/// A client waits so much longer than it said: an answer on its way still counts.
-const PATIENCE: Micros = Micros::from_millis(60);
-/// After the last arrival so much may pass until all has ended.
-const AFTERMATH: Micros = Micros::from_millis(40_000);
-/// A node waits so long for a probe.
-const PROBE_WAIT: Micros = Micros::from_millis(50);
-/// How soon a client sees that its node's process has died.
-const RESET: Micros = Micros::from_millis(1);
-
-/// A place in a slab, and whose it was: a later owner of the place is not met by old events.
+/// A client waits this long beyond its time limit, because an answer that is on its way still counts.
+const ANSWER_GRACE: Micros = Micros::from_millis(60);
+/// The simulation ends this long after the scenario's length even if commands have not ended.
+const MAX_RUN_OUT: Micros = Micros::from_millis(40_000);
+/// How long a node waits for the answer to a probe.
+const PROBE_TIMEOUT: Micros = Micros::from_millis(50);
+/// How long it takes until a client sees that its node's process has died.
+const RESET_LATENCY: Micros = Micros::from_millis(1);
+
+/// A slot of an arena and the id of the value in it, so that old events do not reach a later value in the same slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Ref {
-    key: u32,
+struct Handle {
+    slot: u32,
     id: u32,
 }
 
-/// A slab whose places know their owners.
+/// A slab whose values have ids that are never reused.
 struct Arena<T> {
     slab: Slab<(u32, T)>,
-    next: u32,
+    last_id: u32,
 }
 
 impl<T> Arena<T> {
     fn new() -> Arena<T> {
-        Arena { slab: Slab::new(), next: 0 }
+        Arena { slab: Slab::new(), last_id: 0 }
     }
 
-    fn add(&mut self, value: T) -> Ref {
-        self.next += 1;
-        Ref { key: self.slab.insert((self.next, value)) as u32, id: self.next }
+    fn add(&mut self, value: T) -> Handle {
+        self.last_id += 1;
+        Handle { slot: self.slab.insert((self.last_id, value)) as u32, id: self.last_id }
     }
 
-    fn get(&mut self, at: Ref) -> Option<&mut T> {
-        self.slab.get_mut(at.key as usize).filter(|(id, _)| *id == at.id).map(|(_, value)| value)
+    fn get(&mut self, at: Handle) -> Option<&mut T> {
+        self.slab.get_mut(at.slot as usize).filter(|(id, _)| *id == at.id).map(|(_, value)| value)
     }
 
-    fn remove(&mut self, at: Ref) -> Option<T> {
+    fn remove(&mut self, at: Handle) -> Option<T> {
         self.get(at)?;
-        Some(self.slab.remove(at.key as usize).1)
+        Some(self.slab.remove(at.slot as usize).1)
     }
 
-    fn refs(&self) -> Vec<Ref> {
-        self.slab.iter().map(|(key, (id, _))| Ref { key: key as u32, id: *id }).collect()
+    fn handles(&self) -> Vec<Handle> {
+        self.slab.iter().map(|(slot, (id, _))| Handle { slot: slot as u32, id: *id }).collect()
     }
 }
 
+/// An event; each happens at the time for which it was scheduled.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Due,
-    /// A client starts a try.
-    Start(Ref),
-    AtNode(Ref),
-    Answer {
-        attempt: Ref,
+    /// The next command is due.
+    CommandDue,
+    /// A client starts an attempt of a command.
+    StartAttempt(Handle),
+    AttemptAtNode(Handle),
+    AnswerAtClient {
+        attempt_handle: Handle,
         number: u64,
-        what: u8,
-        come_back: Option<u64>,
+        answer: u8,
+        retry_after_us: Option<u64>,
     },
-    /// The client goes: it leaves early, or its time is over.
-    Leave(Ref),
-    Over(Ref),
-    GoneAtNode(Ref),
-    Lost(Ref),
-    Timer {
+    /// The client leaves before its time limit.
+    ClientLeaves(Handle),
+    /// The client's time limit is over.
+    AttemptTimeout(Handle),
+    /// The node sees that the client has closed its connection.
+    ClientGoneAtNode(Handle),
+    /// The client sees that its connection to the node is lost.
+    ConnectionLost(Handle),
+    /// A timer of a node: for one of its commands, or for its own actions.
+    NodeTimer {
         node: u32,
-        life: u32,
-        hand: Option<Ref>,
+        generation: u32,
+        held_handle: Option<Handle>,
     },
-    AtBackend(Ref),
-    Backend {
+    LaunchAtBackend(Handle),
+    /// A backend's state changes; ignored if its timer was set again since.
+    BackendChange {
         backend: u32,
-        turn: u32,
+        timer_id: u32,
     },
-    Back {
-        flight: Ref,
+    OutcomeAtNode {
+        launch_handle: Handle,
         outcome: u8,
     },
-    FlightOver(Ref),
-    ProbeAt {
+    /// The time limit of a launch's command is over.
+    LaunchDeadline(Handle),
+    ProbeAtBackend {
         node: u32,
-        life: u32,
+        generation: u32,
         backend: u32,
         sent: u64,
     },
-    ProbeBack {
+    ProbeResultAtNode {
         node: u32,
-        life: u32,
+        generation: u32,
         backend: u32,
         sent: u64,
         report: Option<(u32, u32)>,
     },
-    Ask {
+    /// A node's request for the list reaches discovery.
+    ListRequest {
         node: u32,
-        life: u32,
+        generation: u32,
     },
-    Whole {
+    ListSnapshot {
         node: u32,
-        life: u32,
+        generation: u32,
     },
-    Line {
+    /// A changed entry of the list reaches a node.
+    ListChange {
         node: u32,
-        life: u32,
+        generation: u32,
         backend: u32,
     },
     ListFailed {
         node: u32,
-        life: u32,
+        generation: u32,
     },
-    Publish(u32),
-    /// The front sees that a node's process is dead.
-    Notice {
+    /// Discovery updates its entry of a backend.
+    PublishBackend(u32),
+    /// Clients are no longer sent to a dead node.
+    NodeDeathNoticed {
         node: u32,
-        life: u32,
+        generation: u32,
     },
-    Step(u32),
+    /// A step of a trouble, as an index into `Simulation::trouble_steps`.
+    TroubleStep(u32),
 }
 
-const FINALS: [FinalAnswer; 3] = [FinalAnswer::Finished, FinalAnswer::Rejected, FinalAnswer::Errored];
+/// Answers and outcomes are stored in events as indices into these arrays.
+const FINAL_ANSWERS: [FinalAnswer; 3] = [FinalAnswer::Finished, FinalAnswer::Rejected, FinalAnswer::Errored];
 const OUTCOMES: [Outcome; 6] = [
     Outcome::Finished,
     Outcome::Errored,
@@ -147,421 +160,476 @@
     Outcome::TimedOut,
 ];
 
-fn code<T: PartialEq>(all: &[T], one: T) -> u8 {
+fn index_of<T: PartialEq>(all: &[T], one: T) -> u8 {
     all.iter().position(|o| *o == one).unwrap_or_default() as u8
 }
 
-struct Want {
-    wanted: Arrival,
-    tries: u32,
+/// A command that its client has not given up and that has not ended.
+struct PendingCommand {
+    arrival: Arrival,
+    attempts: u32,
 }
 
-struct Try {
-    want: Ref,
+/// A client's request to a node for a command.
+struct Attempt {
+    command_handle: Handle,
     node: usize,
-    life: u32,
+    generation: u32,
     number: u64,
-    until: Timestamp,
-    /// Its place in the node's hand while it is there.
-    hand: Option<Ref>,
-    /// Whether its client still waits.
-    open: bool,
+    deadline: Timestamp,
+    /// The command that the node holds for it, for as long as it does.
+    held_handle: Option<Handle>,
+    /// Whether the client still waits for the answer.
+    is_open: bool,
 }
 
-/// One launch on its way, from both ends.
-struct Flight {
-    attempt: u64,
+/// A launch of a command to a backend, until both the node and the backend are done with it.
+struct Launch {
+    attempt_number: u64,
     command: u64,
     profile: u16,
     work: f64,
-    tag: Option<(u64, Micros)>,
+    idempotency_key: Option<(u64, Micros)>,
     node: usize,
-    life: u32,
-    hand: Ref,
-    number: u8,
+    generation: u32,
+    held_handle: Handle,
+    launch_index: u8,
     backend: usize,
-    sent: Timestamp,
-    /// On a new connection.
-    new: bool,
-    answer: AnswerFate,
-    node_done: bool,
-    backend_done: bool,
+    sent_at: Timestamp,
+    /// Whether it opens a new connection.
+    is_new_connection: bool,
+    answer_fate: AnswerFate,
+    is_done_at_node: bool,
+    is_done_at_backend: bool,
 }
 
-struct Held {
-    task: Task,
-    attempt: Ref,
-    /// Kept here too: its client may have gone and want nothing any more.
+/// A command that a node holds.
+struct HeldCommand {
+    active: ActiveCommand,
+    attempt_handle: Handle,
+    /// The number of the command. It is stored here as well because the client may have given the command up.
     command: u64,
     work: f64,
-    armed: Option<Timestamp>,
+    timer_at: Option<Timestamp>,
 }
 
+/// A node's process and its place in the fleet.
 struct Node {
     policy: Box<dyn Policy>,
     zone: u16,
-    up: bool,
-    life: u32,
-    hands: Arena<Held>,
-    armed: Option<Timestamp>,
-    /// Idle connections by backend.
-    idle: Vec<u16>,
-    follows: bool,
-    told_until: Timestamp,
-    lives: u32,
+    is_up: bool,
+    /// Counts the starts of its process, so that events for an earlier process are ignored.
+    generation: u32,
+    held_commands: Arena<HeldCommand>,
+    timer_at: Option<Timestamp>,
+    /// The number of idle connections by backend.
+    idle_connections: Vec<u16>,
+    watches_list: bool,
+    /// The arrival time of the last change that discovery has sent.
+    list_sent_until: Timestamp,
+    next_generation: u32,
 }
 
-struct World<'a> {
+/// The whole state of a play.
+struct Simulation<'a> {
     scenario: &'a Scenario,
-    make: &'a PolicyFactory<'a>,
+    policy_factory: &'a PolicyFactory<'a>,
     seed: u64,
     now: Timestamp,
     event_queue: EventQueue<Event>,
     arrivals: Arrivals<'a>,
-    next: Option<Arrival>,
+    next_arrival: Option<Arrival>,
     fleet: Fleet,
-    turns: Vec<(u32, Option<Timestamp>)>,
-    reports: Vec<(Timestamp, u32, u32)>,
-    steps: Vec<Step>,
+    /// For each backend, the id and the time of its timer.
+    backend_timers: Vec<(u32, Option<Timestamp>)>,
+    /// For each backend, the time of its load report, and the held and the queued commands in it.
+    load_reports: Vec<(Timestamp, u32, u32)>,
+    trouble_steps: Vec<Step>,
     nodes: Vec<Node>,
-    /// Those that the front sends to.
-    front: Vec<usize>,
-    wants: Arena<Want>,
-    tries: Arena<Try>,
-    flights: Arena<Flight>,
-    tried: u64,
-    network: SeededRng,
-    clients: SeededRng,
+    /// The nodes that clients are sent to.
+    nodes_in_rotation: Vec<usize>,
+    commands: Arena<PendingCommand>,
+    attempts: Arena<Attempt>,
+    launches: Arena<Launch>,
+    attempt_count: u64,
+    network_rng: SeededRng,
+    client_rng: SeededRng,
     judges: Judges,
-    told: Vec<BackendEvent>,
-    asked: Vec<DriverAction>,
+    /// Buffers that are reused between events.
+    backend_events: Vec<BackendEvent>,
+    actions: Vec<DriverAction>,
 }
 
-/// Plays a scenario with the policies that `make` gives to its nodes. `progress` is told of each second.
+/// Plays a scenario with the policies that `policy_factory` creates for its nodes; `name` is the policy's name in the
+/// result. `progress` is called with each second that begins.
 pub fn play(
     scenario: &Scenario,
     seed: u64,
     name: &str,
-    make: &PolicyFactory,
+    policy_factory: &PolicyFactory,
     progress: &mut dyn FnMut(u64),
 ) -> Result<(PlayResult, Judges), String> {
     if scenario.needs_processes() {
-        return Err("view, faults and drawn are played around processes: --clock real".to_owned());
+        return Err("scenarios with view, faults, drawn or site_plan need real processes: use --clock real"
+            .to_owned());
     }
-    let mut world = World::new(scenario, seed, make)?;
-    world.run(progress)?;
-    let played = world.judges.result(scenario, (name, "virtual"), seed);
-    Ok((played, world.judges))
+    let mut simulation = Simulation::new(scenario, seed, policy_factory)?;
+    simulation.run(progress)?;
+    let result = simulation.judges.result(scenario, (name, "virtual"), seed);
+    Ok((result, simulation.judges))
 }
 
-impl<'a> World<'a> {
-    fn new(scenario: &'a Scenario, seed: u64, make: &'a PolicyFactory<'a>) -> Result<World<'a>, String> {
+impl<'a> Simulation<'a> {
+    fn new(
+        scenario: &'a Scenario,
+        seed: u64,
+        policy_factory: &'a PolicyFactory<'a>,
+    ) -> Result<Simulation<'a>, String> {
         let fleet = Fleet::new(scenario, seed, ORIGIN);
         let count = fleet.backends.len();
         let mut arrivals = Arrivals::new(scenario, seed);
-        let next = arrivals.next();
-        let mut world = World {
+        let next_arrival = arrivals.next();
+        let mut simulation = Simulation {
             scenario,
-            make,
+            policy_factory,
             seed,
             now: ORIGIN,
             event_queue: EventQueue::new(ORIGIN),
             arrivals,
-            next,
+            next_arrival,
             fleet,
-            turns: vec![(0, None); count],
-            reports: vec![(Timestamp(0), 0, 0); count],
-            steps: Vec::new(),
+            backend_timers: vec![(0, None); count],
+            load_reports: vec![(Timestamp(0), 0, 0); count],
+            trouble_steps: Vec::new(),
             nodes: Vec::new(),
-            front: (0..scenario.nodes as usize).collect(),
-            wants: Arena::new(),
-            tries: Arena::new(),
-            flights: Arena::new(),
-            tried: 0,
-            network: SeededRng::new(seed, RngStream::Network),
-            clients: SeededRng::new(seed, RngStream::Clients),
+            nodes_in_rotation: (0..scenario.nodes as usize).collect(),
+            commands: Arena::new(),
+            attempts: Arena::new(),
+            launches: Arena::new(),
+            attempt_count: 0,
+            network_rng: SeededRng::new(seed, RngStream::Network),
+            client_rng: SeededRng::new(seed, RngStream::Clients),
             judges: Judges::new(scenario, ORIGIN, count),
-            told: Vec::new(),
-            asked: Vec::new(),
+            backend_events: Vec::new(),
+            actions: Vec::new(),
         };
         for node in 0..scenario.nodes as usize {
-            let policy = world.policy(node, 0)?;
-            world.nodes.push(Node {
+            let policy = simulation.create_policy(node, 0)?;
+            simulation.nodes.push(Node {
                 policy,
                 zone: node as u16 % scenario.zones,
-                up: true,
-                life: 0,
-                hands: Arena::new(),
-                armed: None,
-                idle: vec![0; count],
-                follows: false,
-                told_until: ORIGIN,
-                lives: 1,
+                is_up: true,
+                generation: 0,
+                held_commands: Arena::new(),
+                timer_at: None,
+                idle_connections: vec![0; count],
+                watches_list: false,
+                list_sent_until: ORIGIN,
+                next_generation: 1,
             });
-            world.cached(node);
+            simulation.use_cached_list(node);
         }
         for (at, step) in timeline(scenario, seed) {
-            world.later_step(ORIGIN + at.span(), step);
+            simulation.schedule_step(ORIGIN + at.span(), step);
         }
-        if let Some(due) = world.next.as_ref().map(|n| n.due) {
-            world.at(ORIGIN + Micros(due.0), Event::Due);
+        if let Some(due) = simulation.next_arrival.as_ref().map(|n| n.due) {
+            simulation.schedule_at(ORIGIN + Micros(due.0), Event::CommandDue);
         }
-        Ok(world)
+        Ok(simulation)
     }
 
-    fn policy(&self, node: usize, life: u32) -> Result<Box<dyn Policy>, String> {
-        let seed = SeededRng::with_index(self.seed, RngStream::Nodes, (node as u64) << 12 | u64::from(life))
-            .next_u64();
-        (self.make)(&NodeContext { scenario: self.scenario, node, seed, now: self.now })
+    fn create_policy(&self, node: usize, generation: u32) -> Result<Box<dyn Policy>, String> {
+        let seed =
+            SeededRng::with_index(self.seed, RngStream::Nodes, (node as u64) << 12 | u64::from(generation))
+                .next_u64();
+        (self.policy_factory)(&NodeContext { scenario: self.scenario, node, seed, now: self.now })
     }
 
-    fn at(&mut self, at: Timestamp, event: Event) {
+    fn schedule_at(&mut self, at: Timestamp, event: Event) {
         self.event_queue.push(at, event);
     }
 
-    fn after(&mut self, span: Micros, event: Event) {
-        self.at(self.now + span, event);
+    fn schedule_after(&mut self, delay: Micros, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    fn later_step(&mut self, at: Timestamp, step: Step) {
-        self.steps.push(step);
-        self.at(at, Event::Step(self.steps.len() as u32 - 1));
+    fn schedule_step(&mut self, at: Timestamp, step: Step) {
+        self.trouble_steps.push(step);
+        self.schedule_at(at, Event::TroubleStep(self.trouble_steps.len() as u32 - 1));
     }
 
     fn run(&mut self, progress: &mut dyn FnMut(u64)) -> Result<(), String> {
-        let end = ORIGIN + self.scenario.length.span() + AFTERMATH;
+        let end = ORIGIN + self.scenario.length.span() + MAX_RUN_OUT;
         let mut second = 0;
         while let Some((at, event)) = self.event_queue.pop() {
-            let quiet = self.next.is_none() && self.wants.slab.is_empty() && self.flights.slab.is_empty();
-            if at > end || quiet {
+            let is_finished =
+                self.next_arrival.is_none() && self.commands.slab.is_empty() && self.launches.slab.is_empty();
+            if at > end || is_finished {
                 break;
             }
             self.now = at;
-            let passed = at.since(ORIGIN).0 / 1_000_000;
-            if passed > second {
-                second = passed;
+            let elapsed_s = at.since(ORIGIN).0 / 1_000_000;
+            if elapsed_s > second {
+                second = elapsed_s;
                 progress(second);
             }
-            self.event(event)?;
+            self.handle_event(event)?;
         }
         self.judges.rules.finish(end);
         Ok(())
     }
 
-    fn event(&mut self, event: Event) -> Result<(), String> {
+    fn handle_event(&mut self, event: Event) -> Result<(), String> {
         match event {
-            Event::Due => self.due(),
-            Event::Start(want) => self.start(want),
-            Event::AtNode(attempt) => self.at_node(attempt),
-            Event::Answer { attempt, number, what, come_back } => {
-                self.answered(attempt, number, FINALS[usize::from(what)], come_back.map(Micros));
+            Event::CommandDue => self.on_command_due(),
+            Event::StartAttempt(command_handle) => self.start_attempt(command_handle),
+            Event::AttemptAtNode(attempt_handle) => self.on_attempt_at_node(attempt_handle),
+            Event::AnswerAtClient { attempt_handle, number, answer, retry_after_us } => {
+                self.on_answer(
+                    attempt_handle,
+                    number,
+                    FINAL_ANSWERS[usize::from(answer)],
+                    retry_after_us.map(Micros),
+                );
             }
-            Event::Leave(attempt) => {
-                if let Some(t) = self.tries.get(attempt).filter(|t| t.open) {
-                    let number = t.number;
+            Event::ClientLeaves(attempt_handle) => {
+                if let Some(attempt) = self.attempts.get(attempt_handle).filter(|attempt| attempt.is_open) {
+                    let number = attempt.number;
                     self.judges.observe(Observation::ClientLeft { attempt: number, at: self.now });
-                    self.gone(attempt);
-                    self.end_try(attempt, None);
+                    self.close_client_connection(attempt_handle);
+                    self.end_attempt(attempt_handle, None);
                 }
             }
-            Event::Over(attempt) => {
-                if self.tries.get(attempt).is_some_and(|t| t.open) {
-                    self.gone(attempt);
-                    self.end_try(attempt, Some(AttemptOutcome::TimedOut));
+            Event::AttemptTimeout(attempt_handle) => {
+                if self.attempts.get(attempt_handle).is_some_and(|attempt| attempt.is_open) {
+                    self.close_client_connection(attempt_handle);
+                    self.end_attempt(attempt_handle, Some(AttemptOutcome::TimedOut));
                 }
             }
-            Event::GoneAtNode(attempt) => self.gone_at_node(attempt),
-            Event::Lost(attempt) => {
-                if let Some(t) = self.tries.get(attempt).filter(|t| t.open) {
-                    let number = t.number;
+            Event::ClientGoneAtNode(attempt_handle) => self.on_client_gone(attempt_handle),
+            Event::ConnectionLost(attempt_handle) => {
+                if let Some(attempt) = self.attempts.get(attempt_handle).filter(|attempt| attempt.is_open) {
+                    let number = attempt.number;
                     self.judges.observe(Observation::ConnectionBroken { attempt: number, at: self.now });
-                    self.end_try(attempt, Some(AttemptOutcome::Lost));
+                    self.end_attempt(attempt_handle, Some(AttemptOutcome::Lost));
                 }
             }
-            Event::Timer { node, life, hand } => self.timer(node as usize, life, hand),
-            Event::AtBackend(flight) => self.at_backend(flight),
-            Event::Backend { backend, turn } => {
+            Event::NodeTimer { node, generation, held_handle } => {
+                self.on_node_timer(node as usize, generation, held_handle)
+            }
+            Event::LaunchAtBackend(launch_handle) => self.on_launch_at_backend(launch_handle),
+            Event::BackendChange { backend, timer_id } => {
                 let i = backend as usize;
-                if self.turns[i].0 == turn {
-                    self.turns[i].1 = None;
-                    self.pass(i);
-                    self.arm(i);
+                if self.backend_timers[i].0 == timer_id {
+                    self.backend_timers[i].1 = None;
+                    self.advance_backend(i);
+                    self.schedule_backend_change(i);
                 }
             }
-            Event::Back { flight, outcome } => self.back(flight, OUTCOMES[usize::from(outcome)]),
-            Event::FlightOver(flight) => self.flight_over(flight),
-            Event::ProbeAt { node, life, backend, sent } => self.probe_at(node, life, backend, sent),
-            Event::ProbeBack { node, life, backend, sent, report } => {
+            Event::OutcomeAtNode { launch_handle, outcome } => {
+                self.on_outcome_at_node(launch_handle, OUTCOMES[usize::from(outcome)])
+            }
+            Event::LaunchDeadline(launch_handle) => self.on_launch_deadline(launch_handle),
+            Event::ProbeAtBackend { node, generation, backend, sent } => {
+                self.on_probe_at_backend(node, generation, backend, sent)
+            }
+            Event::ProbeResultAtNode { node, generation, backend, sent, report } => {
                 let n = &mut self.nodes[node as usize];
-                if n.life == life && n.up {
-                    let trip = self.now.since(Timestamp(sent));
+                if n.generation == generation && n.is_up {
+                    let latency = self.now.since(Timestamp(sent));
                     let values = report.map(|(held, queued)| [held as f32, queued as f32, 0.0]);
                     let values = values.as_ref().map_or(&[][..], |v| &v[..]);
-                    n.policy.report(self.now, BackendId(backend), report.is_some(), trip, values);
-                    self.upkeep(node as usize);
+                    n.policy.on_load_report(self.now, BackendId(backend), report.is_some(), latency, values);
+                    self.run_node_actions(node as usize);
                 }
             }
-            Event::Ask { node, life } => {
+            Event::ListRequest { node, generation } => {
                 let reply = match self.fleet.discovery_is_up {
-                    true => Event::Whole { node, life },
-                    false => Event::ListFailed { node, life },
+                    true => Event::ListSnapshot { node, generation },
+                    false => Event::ListFailed { node, generation },
                 };
-                let trip = self.trip();
-                self.after(trip, reply);
+                let latency = self.list_latency();
+                self.schedule_after(latency, reply);
             }
-            Event::Whole { node, life } => {
+            Event::ListSnapshot { node, generation } => {
                 if !self.fleet.discovery_is_up {
-                    self.after(Micros(0), Event::ListFailed { node, life });
+                    self.schedule_after(Micros(0), Event::ListFailed { node, generation });
                     return Ok(());
                 }
-                if self.alive(node, life) {
-                    let lines: Vec<ListEntry> = self.fleet.snapshot().collect();
-                    self.nodes[node as usize].follows = true;
+                if self.is_current(node, generation) {
+                    let entries: Vec<ListEntry> = self.fleet.snapshot().collect();
+                    self.nodes[node as usize].watches_list = true;
                     for i in 0..self.fleet.entries.len() {
-                        self.tell(node as usize, i);
+                        self.observe_list_entry(node as usize, i);
                     }
-                    self.nodes[node as usize].policy.list(self.now, ListUpdateKind::Snapshot, &lines);
-                    self.upkeep(node as usize);
+                    self.nodes[node as usize].policy.apply_list(self.now, ListUpdateKind::Snapshot, &entries);
+                    self.run_node_actions(node as usize);
                 }
             }
-            Event::Line { node, life, backend } => {
-                if self.alive(node, life) && self.nodes[node as usize].follows {
-                    let line = self.fleet.entries[backend as usize];
-                    self.tell(node as usize, backend as usize);
-                    self.nodes[node as usize].policy.list(self.now, ListUpdateKind::Delta, &[line]);
-                    self.upkeep(node as usize);
+            Event::ListChange { node, generation, backend } => {
+                if self.is_current(node, generation) && self.nodes[node as usize].watches_list {
+                    let entry = self.fleet.entries[backend as usize];
+                    self.observe_list_entry(node as usize, backend as usize);
+                    self.nodes[node as usize].policy.apply_list(self.now, ListUpdateKind::Delta, &[entry]);
+                    self.run_node_actions(node as usize);
                 }
             }
-            Event::ListFailed { node, life } => {
-                if self.alive(node, life) {
-                    self.nodes[node as usize].policy.list(self.now, ListUpdateKind::Failed, &[]);
-                    self.upkeep(node as usize);
+            Event::ListFailed { node, generation } => {
+                if self.is_current(node, generation) {
+                    self.nodes[node as usize].policy.apply_list(self.now, ListUpdateKind::Failed, &[]);
+                    self.run_node_actions(node as usize);
                 }
             }
-            Event::Publish(backend) => self.publish(backend as usize),
-            Event::Notice { node, life } => {
+            Event::PublishBackend(backend) => self.publish(backend as usize),
+            Event::NodeDeathNoticed { node, generation } => {
                 let n = &self.nodes[node as usize];
-                if !n.up && n.life == life {
-                    self.in_front(node as usize, false);
+                if !n.is_up && n.generation == generation {
+                    self.set_in_rotation(node as usize, false);
                 }
             }
-            Event::Step(i) => self.step(self.steps[i as usize])?,
+            Event::TroubleStep(i) => self.apply_step(self.trouble_steps[i as usize])?,
         }
         Ok(())
     }
 
-    fn alive(&self, node: u32, life: u32) -> bool {
+    fn is_current(&self, node: u32, generation: u32) -> bool {
         let n = &self.nodes[node as usize];
-        n.up && n.life == life
+        n.is_up && n.generation == generation
     }
 
     // Clients.
 
-    fn due(&mut self) {
-        let Some(wanted) = self.next.take() else { return };
-        self.next = self.arrivals.next();
-        if let Some(due) = self.next.as_ref().map(|n| n.due) {
-            self.at(ORIGIN + Micros(due.0), Event::Due);
+    fn on_command_due(&mut self) {
+        let Some(arrival) = self.next_arrival.take() else { return };
+        self.next_arrival = self.arrivals.next();
+        if let Some(due) = self.next_arrival.as_ref().map(|n| n.due) {
+            self.schedule_at(ORIGIN + Micros(due.0), Event::CommandDue);
         }
-        let (command, profile) = (wanted.number, wanted.profile);
+        let (command, profile) = (arrival.number, arrival.profile);
         self.judges.observe(Observation::CommandDue { command, profile, at: self.now });
-        let want = self.wants.add(Want { wanted, tries: 0 });
-        self.start(want);
+        let command_handle = self.commands.add(PendingCommand { arrival, attempts: 0 });
+        self.start_attempt(command_handle);
     }
 
-    fn start(&mut self, want: Ref) {
-        let Some(w) = self.wants.get(want) else { return };
-        w.tries += 1;
-        let first = w.tries == 1;
-        let (front, profile, leaves) = (w.wanted.node_draw, w.wanted.profile, w.wanted.leaves_early);
-        let draw = if first { front } else { self.clients.uniform() };
-        let node = self.front.get((draw * self.front.len() as f64) as usize).copied();
-        self.tried += 1;
-        let trip = self.client_trip();
+    fn start_attempt(&mut self, command_handle: Handle) {
+        let Some(pending) = self.commands.get(command_handle) else { return };
+        pending.attempts += 1;
+        let is_first = pending.attempts == 1;
+        let (node_draw, profile, leaves_early) =
+            (pending.arrival.node_draw, pending.arrival.profile, pending.arrival.leaves_early);
+        let draw = if is_first { node_draw } else { self.client_rng.uniform() };
+        let node = self.nodes_in_rotation.get((draw * self.nodes_in_rotation.len() as f64) as usize).copied();
+        self.attempt_count += 1;
+        let latency = self.client_latency();
         let limit = self.scenario.profiles[usize::from(profile)].limit.span();
-        let until = self.now + trip + limit;
-        let life = node.map_or(0, |n| self.nodes[n].life);
-        let number = self.tried;
-        let t = Try { want, node: node.unwrap_or(0), life, number, until, hand: None, open: true };
-        let attempt = self.tries.add(t);
-        if !node.is_some_and(|n| self.nodes[n].up) {
-            self.end_try(attempt, Some(AttemptOutcome::NotConnected));
+        let until = self.now + latency + limit;
+        let generation = node.map_or(0, |n| self.nodes[n].generation);
+        let number = self.attempt_count;
+        let attempt = Attempt {
+            command_handle,
+            node: node.unwrap_or(0),
+            generation,
+            number,
+            deadline: until,
+            held_handle: None,
+            is_open: true,
+        };
+        let attempt_handle = self.attempts.add(attempt);
+        if !node.is_some_and(|n| self.nodes[n].is_up) {
+            self.end_attempt(attempt_handle, Some(AttemptOutcome::NotConnected));
             return;
         }
-        self.after(trip, Event::AtNode(attempt));
-        self.at(until + PATIENCE, Event::Over(attempt));
-        if leaves {
-            self.after(self.scenario.clients.leave_after.span(), Event::Leave(attempt));
+        self.schedule_after(latency, Event::AttemptAtNode(attempt_handle));
+        self.schedule_at(until + ANSWER_GRACE, Event::AttemptTimeout(attempt_handle));
+        if leaves_early {
+            self.schedule_after(
+                self.scenario.clients.leave_after.span(),
+                Event::ClientLeaves(attempt_handle),
+            );
         }
     }
 
-    fn client_trip(&mut self) -> Micros {
-        let jitter = self.network.exponential(self.scenario.net.jitter.micros());
+    fn client_latency(&mut self) -> Micros {
+        let jitter = self.network_rng.exponential(self.scenario.net.jitter.micros());
         Micros(self.scenario.net.client.0 + jitter as u64)
     }
 
-    fn answered(&mut self, attempt: Ref, number: u64, what: FinalAnswer, come_back: Option<Micros>) {
-        // Also one too many, after all was over.
-        let open = self.tries.get(attempt).is_some_and(|t| t.open);
-        let made_for = (what == FinalAnswer::Finished).then_some(number);
-        self.judges.observe(Observation::Answered { attempt: number, answer: what, made_for, at: self.now });
+    fn on_answer(
+        &mut self,
+        attempt_handle: Handle,
+        number: u64,
+        answer: FinalAnswer,
+        retry_after: Option<Micros>,
+    ) {
+        // The judges have to see an answer even if the attempt has ended, because it may be one too many.
+        let open = self.attempts.get(attempt_handle).is_some_and(|attempt| attempt.is_open);
+        let made_for = (answer == FinalAnswer::Finished).then_some(number);
+        self.judges.observe(Observation::Answered {
+            attempt: number,
+            answer: answer,
+            made_for,
+            at: self.now,
+        });
         if open {
-            let end = match what {
+            let outcome = match answer {
                 FinalAnswer::Finished => AttemptOutcome::Finished,
-                FinalAnswer::Rejected => AttemptOutcome::Rejected(come_back),
+                FinalAnswer::Rejected => AttemptOutcome::Rejected(retry_after),
                 FinalAnswer::Errored => AttemptOutcome::Errored,
             };
-            self.end_try(attempt, Some(end));
+            self.end_attempt(attempt_handle, Some(outcome));
         }
     }
 
-    /// The client's part of a try is over; without an end it has left.
-    fn end_try(&mut self, attempt: Ref, end: Option<AttemptOutcome>) {
-        let Some(t) = self.tries.get(attempt) else { return };
-        t.open = false;
-        let (want, hand) = (t.want, t.hand);
-        if hand.is_none() {
-            self.tries.remove(attempt);
+    /// Ends an attempt for its client, which retries or gives up. Without an outcome the client has left.
+    fn end_attempt(&mut self, attempt_handle: Handle, outcome: Option<AttemptOutcome>) {
+        let Some(attempt) = self.attempts.get(attempt_handle) else { return };
+        attempt.is_open = false;
+        let (command_handle, held_handle) = (attempt.command_handle, attempt.held_handle);
+        if held_handle.is_none() {
+            self.attempts.remove(attempt_handle);
         }
-        let Some(w) = self.wants.get(want) else { return };
-        let (command, profile, tries) = (w.wanted.number, w.wanted.profile, w.tries);
-        let next = end.and_then(|end| retry_delay(self.scenario, profile, tries, end, &mut self.clients));
+        let Some(pending) = self.commands.get(command_handle) else { return };
+        let (command, profile, attempts) =
+            (pending.arrival.number, pending.arrival.profile, pending.attempts);
+        let next = outcome
+            .and_then(|outcome| retry_delay(self.scenario, profile, attempts, outcome, &mut self.client_rng));
         if let Some(pause) = next {
-            self.after(pause, Event::Start(want));
+            self.schedule_after(pause, Event::StartAttempt(command_handle));
             return;
         }
-        self.wants.remove(want);
-        let outcome = end.map_or(CommandOutcome::ClientLeft, CommandOutcome::from);
+        self.commands.remove(command_handle);
+        let outcome = outcome.map_or(CommandOutcome::ClientLeft, CommandOutcome::from);
         self.judges.observe(Observation::CommandSettled { command, profile, at: self.now, outcome });
     }
 
-    /// The client closes its connection: its node hears of it a trip later.
-    fn gone(&mut self, attempt: Ref) {
-        let trip = self.client_trip();
-        self.after(trip, Event::GoneAtNode(attempt));
+    /// The client closes its connection, which the node sees one latency later.
+    fn close_client_connection(&mut self, attempt_handle: Handle) {
+        let latency = self.client_latency();
+        self.schedule_after(latency, Event::ClientGoneAtNode(attempt_handle));
     }
 
     // Nodes.
 
-    fn at_node(&mut self, attempt: Ref) {
-        let Some(t) = self.tries.get(attempt) else { return };
-        let (node, number, until, want, life) = (t.node, t.number, t.until, t.want, t.life);
-        if !t.open {
-            self.tries.remove(attempt);
+    fn on_attempt_at_node(&mut self, attempt_handle: Handle) {
+        let Some(attempt) = self.attempts.get(attempt_handle) else { return };
+        let (node, number, until, command_handle, generation) =
+            (attempt.node, attempt.number, attempt.deadline, attempt.command_handle, attempt.generation);
+        if !attempt.is_open {
+            self.attempts.remove(attempt_handle);
             return;
         }
-        if !self.nodes[node].up || self.nodes[node].life != life {
-            self.end_try(attempt, Some(AttemptOutcome::NotConnected));
+        if !self.nodes[node].is_up || self.nodes[node].generation != generation {
+            self.end_attempt(attempt_handle, Some(AttemptOutcome::NotConnected));
             return;
         }
-        let Some(w) = self.wants.get(want) else { return };
-        let (wanted, repeat) = (&w.wanted, w.tries > 1);
-        let (command, profile, work) = (wanted.number, wanted.profile, wanted.work);
+        let Some(pending) = self.commands.get(command_handle) else { return };
+        let (arrival, is_retry) = (&pending.arrival, pending.attempts > 1);
+        let (command, profile, work) = (arrival.number, arrival.profile, arrival.work);
         let id = CommandId(number as u32);
         let left = until.since(self.now);
-        let mut own = Command::new(id, ProfileId(profile), self.now, left);
-        own.work_hint = wanted.work_hint.map(|h| Micros(h as u64));
-        own.is_client_retry = repeat && self.scenario.clients.mark_repeats;
+        let mut node_command = Command::new(id, ProfileId(profile), self.now, left);
+        node_command.work_hint = arrival.work_hint.map(|h| Micros(h as u64));
+        node_command.is_client_retry = is_retry && self.scenario.clients.mark_repeats;
         self.judges.observe(Observation::AttemptReceived {
             attempt: number,
             command,
@@ -570,297 +638,337 @@
             at: self.now,
             until,
         });
-        let held =
-            Held { task: Task { command: own, launches: Vec::new() }, attempt, command, work, armed: None };
-        let hand = self.nodes[node].hands.add(held);
-        if let Some(t) = self.tries.get(attempt) {
-            t.hand = Some(hand);
+        let held = HeldCommand {
+            active: ActiveCommand { command: node_command, launches: Vec::new() },
+            attempt_handle,
+            command,
+            work,
+            timer_at: None,
+        };
+        let held_handle = self.nodes[node].held_commands.add(held);
+        if let Some(attempt) = self.attempts.get(attempt_handle) {
+            attempt.held_handle = Some(held_handle);
         }
-        self.again(node, hand);
-        self.upkeep(node);
+        self.decide(node, held_handle);
+        self.run_node_actions(node);
     }
 
-    fn again(&mut self, node: usize, hand: Ref) {
+    fn decide(&mut self, node: usize, held_handle: Handle) {
         let n = &mut self.nodes[node];
-        let Some(held) = n.hands.get(hand) else { return };
-        let say = n.policy.place(self.now, CommandHandle(hand.key), &mut held.task, &self.fleet);
-        self.say(node, hand, say);
+        let Some(held) = n.held_commands.get(held_handle) else { return };
+        let decision =
+            n.policy.decide(self.now, CommandHandle(held_handle.slot), &mut held.active, &self.fleet);
+        self.apply_decision(node, held_handle, decision);
     }
 
-    fn say(&mut self, node: usize, hand: Ref, say: Decision) {
-        match say {
-            Decision::Launch(backend) => self.launch(node, hand, backend.0 as usize),
+    fn apply_decision(&mut self, node: usize, held_handle: Handle, decision: Decision) {
+        match decision {
+            Decision::Launch(backend) => self.start_launch(node, held_handle, backend.0 as usize),
             Decision::Wait => {}
-            Decision::Reject(span) => {
-                let told = self.scenario.allow.come_back.is_some() && span.0 > 0;
-                self.answer(node, hand, FinalAnswer::Rejected, told.then_some(span.0));
+            Decision::Reject(retry_after) => {
+                let is_given = self.scenario.allow.come_back.is_some() && retry_after.0 > 0;
+                self.send_answer(node, held_handle, FinalAnswer::Rejected, is_given.then_some(retry_after.0));
+            }
+            Decision::Fail => self.send_answer(node, held_handle, FinalAnswer::Errored, None),
+            Decision::CancelLaunch(launch_index) => {
+                self.on_launch_outcome(node, held_handle, launch_index, Outcome::Cancelled)
             }
-            Decision::Fail => self.answer(node, hand, FinalAnswer::Errored, None),
-            Decision::CancelLaunch(launch) => self.outcome(node, hand, launch, Outcome::Cancelled),
         }
-        self.settle(node, hand);
+        self.release_or_set_timer(node, held_handle);
     }
 
-    fn answer(&mut self, node: usize, hand: Ref, what: FinalAnswer, come_back: Option<u64>) {
-        let Some(held) = self.nodes[node].hands.get(hand) else { return };
-        held.task.command.is_closed = true;
-        let (attempt, number) = (held.attempt, u64::from(held.task.command.id.0));
-        let trip = self.client_trip();
-        self.after(trip, Event::Answer { attempt, number, what: code(&FINALS, what), come_back });
+    fn send_answer(
+        &mut self,
+        node: usize,
+        held_handle: Handle,
+        answer: FinalAnswer,
+        retry_after_us: Option<u64>,
+    ) {
+        let Some(held) = self.nodes[node].held_commands.get(held_handle) else { return };
+        held.active.command.is_closed = true;
+        let (attempt_handle, number) = (held.attempt_handle, u64::from(held.active.command.id.0));
+        let latency = self.client_latency();
+        self.schedule_after(
+            latency,
+            Event::AnswerAtClient {
+                attempt_handle,
+                number,
+                answer: index_of(&FINAL_ANSWERS, answer),
+                retry_after_us,
+            },
+        );
     }
 
-    /// Lets go of a command that is over, or sets its next timer.
-    fn settle(&mut self, node: usize, hand: Ref) {
+    /// Releases a command that has ended, or sets its next timer.
+    fn release_or_set_timer(&mut self, node: usize, held_handle: Handle) {
         let n = &mut self.nodes[node];
-        let Some(held) = n.hands.get(hand) else { return };
-        if held.task.command.is_closed && held.task.in_flight() == 0 {
-            let attempt = held.attempt;
-            n.hands.remove(hand);
-            if let Some(t) = self.tries.get(attempt) {
-                t.hand = None;
-                if !t.open {
-                    self.tries.remove(attempt);
+        let Some(held) = n.held_commands.get(held_handle) else { return };
+        if held.active.command.is_closed && held.active.in_flight() == 0 {
+            let attempt_handle = held.attempt_handle;
+            n.held_commands.remove(held_handle);
+            if let Some(attempt) = self.attempts.get(attempt_handle) {
+                attempt.held_handle = None;
+                if !attempt.is_open {
+                    self.attempts.remove(attempt_handle);
                 }
             }
             return;
         }
-        if let Some(span) = n.policy.wait(self.now, Some(&held.task)) {
-            // A node keeps time by the microsecond at best.
-            let at = self.now + span.max(Micros(1));
-            if held.armed != Some(at) {
-                held.armed = Some(at);
-                let life = n.life;
-                self.at(at, Event::Timer { node: node as u32, life, hand: Some(hand) });
+        if let Some(delay) = n.policy.wakeup_delay(self.now, Some(&held.active)) {
+            // Timers have a resolution of one microsecond, so that they cannot fire at once.
+            let at = self.now + delay.max(Micros(1));
+            if held.timer_at != Some(at) {
+                held.timer_at = Some(at);
+                let generation = n.generation;
+                self.schedule_at(
+                    at,
+                    Event::NodeTimer { node: node as u32, generation, held_handle: Some(held_handle) },
+                );
             }
         }
     }
 
-    fn timer(&mut self, node: usize, life: u32, hand: Option<Ref>) {
-        if !self.alive(node as u32, life) {
+    fn on_node_timer(&mut self, node: usize, generation: u32, held_handle: Option<Handle>) {
+        if !self.is_current(node as u32, generation) {
             return;
         }
-        match hand {
-            None => self.nodes[node].armed = None,
-            Some(hand) => {
+        match held_handle {
+            None => self.nodes[node].timer_at = None,
+            Some(held_handle) => {
                 let now = self.now;
-                let Some(held) = self.nodes[node].hands.get(hand) else { return };
-                // A later timer of the same command took its place.
-                if held.armed != Some(now) {
+                let Some(held) = self.nodes[node].held_commands.get(held_handle) else { return };
+                // The timer was replaced by another one of the same command.
+                if held.timer_at != Some(now) {
                     return;
                 }
-                held.armed = None;
-                self.again(node, hand);
+                held.timer_at = None;
+                self.decide(node, held_handle);
             }
         }
-        self.upkeep(node);
+        self.run_node_actions(node);
     }
 
-    fn upkeep(&mut self, node: usize) {
-        while let Some(errand) = self.nodes[node].policy.errand(self.now) {
-            let life = self.nodes[node].life;
-            match errand {
+    fn run_node_actions(&mut self, node: usize) {
+        while let Some(action) = self.nodes[node].policy.next_action(self.now) {
+            let generation = self.nodes[node].generation;
+            match action {
                 Action::Probe(backend) => {
                     self.judges.observe(Observation::ProbeReceived);
-                    let trip = self.way(node, backend.0 as usize);
+                    let latency = self.backend_latency(node, backend.0 as usize);
                     let (node, backend, sent) = (node as u32, backend.0, self.now.0);
-                    self.after(trip, Event::ProbeAt { node, life, backend, sent });
+                    self.schedule_after(latency, Event::ProbeAtBackend { node, generation, backend, sent });
+                }
+                Action::CloseIdleConnections(backend) => {
+                    self.nodes[node].idle_connections[backend.0 as usize] = 0
                 }
-                Action::CloseIdleConnections(backend) => self.nodes[node].idle[backend.0 as usize] = 0,
                 Action::RequestList => {
-                    let trip = self.trip();
-                    self.after(trip, Event::Ask { node: node as u32, life });
+                    let latency = self.list_latency();
+                    self.schedule_after(latency, Event::ListRequest { node: node as u32, generation });
                 }
-                Action::Reevaluate(hand) => {
-                    let key = hand.0 as usize;
-                    let id = self.nodes[node].hands.slab.get(key).map(|(id, _)| *id);
+                Action::Reevaluate(command) => {
+                    let slot = command.0 as usize;
+                    let id = self.nodes[node].held_commands.slab.get(slot).map(|(id, _)| *id);
                     if let Some(id) = id {
-                        self.again(node, Ref { key: hand.0, id });
+                        self.decide(node, Handle { slot: command.0, id });
                     }
                 }
             }
         }
         let n = &mut self.nodes[node];
-        if let Some(span) = n.policy.wait(self.now, None) {
-            let at = self.now + span.max(Micros(1));
-            if n.armed.is_none_or(|armed| at < armed) {
-                n.armed = Some(at);
-                let life = n.life;
-                self.at(at, Event::Timer { node: node as u32, life, hand: None });
+        if let Some(delay) = n.policy.wakeup_delay(self.now, None) {
+            let at = self.now + delay.max(Micros(1));
+            if n.timer_at.is_none_or(|timer_at| at < timer_at) {
+                n.timer_at = Some(at);
+                let generation = n.generation;
+                self.schedule_at(at, Event::NodeTimer { node: node as u32, generation, held_handle: None });
             }
         }
     }
 
-    fn gone_at_node(&mut self, attempt: Ref) {
-        let Some(t) = self.tries.get(attempt) else { return };
-        let (node, hand, life) = (t.node, t.hand, t.life);
-        let Some(hand) = hand.filter(|_| self.alive(node as u32, life)) else { return };
+    fn on_client_gone(&mut self, attempt_handle: Handle) {
+        let Some(attempt) = self.attempts.get(attempt_handle) else { return };
+        let (node, held_handle, generation) = (attempt.node, attempt.held_handle, attempt.generation);
+        let Some(held_handle) = held_handle.filter(|_| self.is_current(node as u32, generation)) else {
+            return;
+        };
         let n = &mut self.nodes[node];
-        if let Some(held) = n.hands.get(hand).filter(|h| !h.task.command.is_closed) {
-            n.policy.dropped(&mut held.task);
-            held.task.command.is_closed = true;
-            self.settle(node, hand);
-            self.upkeep(node);
+        if let Some(held) = n.held_commands.get(held_handle).filter(|h| !h.active.command.is_closed) {
+            n.policy.on_client_gone(&mut held.active);
+            held.active.command.is_closed = true;
+            self.release_or_set_timer(node, held_handle);
+            self.run_node_actions(node);
         }
     }
 
     // Launches.
 
-    /// One way between a node and a backend.
-    fn way(&mut self, node: usize, backend: usize) -> Micros {
+    /// Draws the one-way latency between a node and a backend.
+    fn backend_latency(&mut self, node: usize, backend: usize) -> Micros {
         let net = &self.scenario.net;
         let same = self.nodes[node].zone == self.fleet.backends[backend].zone;
         let base = if same { net.same.0 } else { net.cross.0 };
-        let jitter = self.network.exponential(net.jitter.micros()) as u64;
+        let jitter = self.network_rng.exponential(net.jitter.micros()) as u64;
         Micros((base + jitter).saturating_add_signed(self.fleet.extra_delay_us))
     }
 
-    fn launch(&mut self, node: usize, hand: Ref, backend: usize) {
-        let Some(held) = self.nodes[node].hands.get(hand) else { return };
-        held.task.launches.push(SentLaunch { backend, fate: LaunchState::InFlight });
-        let (number, until) = (held.task.launches.len() as u8 - 1, held.task.command.deadline);
-        let (command, profile, work) = (held.command, held.task.command.profile.0, held.work);
-        let try_number = u64::from(held.task.command.id.0);
+    fn start_launch(&mut self, node: usize, held_handle: Handle, backend: usize) {
+        let Some(held) = self.nodes[node].held_commands.get(held_handle) else { return };
+        held.active.launches.push(SentLaunch { backend, state: LaunchState::InFlight });
+        let (launch_index, deadline) = (held.active.launches.len() as u8 - 1, held.active.command.deadline);
+        let (command, profile, work) = (held.command, held.active.command.profile.0, held.work);
+        let attempt_number = u64::from(held.active.command.id.0);
         let p = &self.scenario.profiles[usize::from(profile)];
-        let tag = (p.effect == CommandEffect::Tagged).then(|| (command, p.memory.span()));
+        let idempotency_key = (p.effect == CommandEffect::Tagged).then(|| (command, p.memory.span()));
         self.judges.observe(Observation::LaunchStarted {
             node,
             backend,
-            attempt: try_number,
+            attempt: attempt_number,
             at: self.now,
             announced_time_left: None,
         });
         let n = &mut self.nodes[node];
-        n.idle.resize(n.idle.len().max(backend + 1), 0);
-        let new = n.idle[backend] == 0;
-        n.idle[backend] = n.idle[backend].saturating_sub(1);
-        let life = n.life;
-        let flight = self.flights.add(Flight {
-            attempt: try_number,
+        n.idle_connections.resize(n.idle_connections.len().max(backend + 1), 0);
+        let is_new_connection = n.idle_connections[backend] == 0;
+        n.idle_connections[backend] = n.idle_connections[backend].saturating_sub(1);
+        let generation = n.generation;
+        let launch_handle = self.launches.add(Launch {
+            attempt_number,
             command,
             profile,
             work,
-            tag,
+            idempotency_key,
             node,
-            life,
-            hand,
-            number,
+            generation,
+            held_handle,
+            launch_index,
             backend,
-            sent: self.now,
-            new,
-            answer: AnswerFate::Delivered,
-            node_done: false,
-            backend_done: false,
+            sent_at: self.now,
+            is_new_connection,
+            answer_fate: AnswerFate::Delivered,
+            is_done_at_node: false,
+            is_done_at_backend: false,
         });
-        let mut way = self.way(node, backend);
-        if new {
-            way = Micros(way.0 + 2 * self.way(node, backend).0);
+        let mut latency = self.backend_latency(node, backend);
+        if is_new_connection {
+            latency = Micros(latency.0 + 2 * self.backend_latency(node, backend).0);
         }
-        self.after(way, Event::AtBackend(flight));
-        self.at(until, Event::FlightOver(flight));
+        self.schedule_after(latency, Event::LaunchAtBackend(launch_handle));
+        self.schedule_at(deadline, Event::LaunchDeadline(launch_handle));
     }
 
-    fn at_backend(&mut self, flight: Ref) {
-        let Some(f) = self.flights.get(flight) else { return };
-        let (i, new, work, node_done, sent) = (f.backend, f.new, f.work, f.node_done, f.sent);
-        let (tag, profile) = (f.tag, usize::from(f.profile));
-        let key = u64::from(flight.key) << 32 | u64::from(flight.id);
-        if node_done {
-            // Given up before it was written whole.
-            self.flights.remove(flight);
+    fn on_launch_at_backend(&mut self, launch_handle: Handle) {
+        let Some(launch) = self.launches.get(launch_handle) else { return };
+        let (i, is_new_connection, work, is_done_at_node, sent) =
+            (launch.backend, launch.is_new_connection, launch.work, launch.is_done_at_node, launch.sent_at);
+        let (idempotency_key, profile) = (launch.idempotency_key, usize::from(launch.profile));
+        let launch_key = u64::from(launch_handle.slot) << 32 | u64::from(launch_handle.id);
+        if is_done_at_node {
+            // The node gave it up before it was completely written.
+            self.launches.remove(launch_handle);
             return;
         }
         if self.fleet.backends[i].is_cut_off {
-            f.backend_done = true;
-            if new {
+            launch.is_done_at_backend = true;
+            if is_new_connection {
                 let at = (sent + self.scenario.net.dial.span()).max(self.now);
-                self.at(at, Event::Back { flight, outcome: code(&OUTCOMES, Outcome::ConnectFailed) });
+                self.schedule_at(
+                    at,
+                    Event::OutcomeAtNode {
+                        launch_handle,
+                        outcome: index_of(&OUTCOMES, Outcome::ConnectFailed),
+                    },
+                );
             }
             return;
         }
-        self.pass(i);
+        self.advance_backend(i);
         if self.fleet.backends[i].is_up {
-            if new {
-                let burden = self.fleet.backends[i].kind.connection_work.micros();
-                self.fleet.backends[i].add_overhead(burden);
+            if is_new_connection {
+                let work = self.fleet.backends[i].kind.connection_work.micros();
+                self.fleet.backends[i].add_overhead(work);
             }
             self.judges.observe(Observation::LaunchReceived { backend: i, work, at: self.now });
         }
         let scope = self.scenario.profiles[profile].scope;
-        let tag = tag.map(|(key, retention)| IdempotencyKey {
+        let idempotency_key = idempotency_key.map(|(key, retention)| IdempotencyKey {
             scope: self.fleet.scope_id(scope, i),
             key,
             retention,
         });
-        let answer = self.fleet.draw_answer_fate(&mut self.network);
+        let answer = self.fleet.draw_answer_fate(&mut self.network_rng);
         let fleet = &mut self.fleet;
         let reply = fleet.backends[i].arrive(
             self.now,
-            (key, work, tag),
+            (launch_key, work, idempotency_key),
             &mut fleet.idempotency_store,
-            &mut self.told,
+            &mut self.backend_events,
         );
         let outcome = match reply {
             Reply::Accepted => {
-                if let Some(f) = self.flights.get(flight) {
-                    f.answer = answer;
+                if let Some(launch) = self.launches.get(launch_handle) {
+                    launch.answer_fate = answer;
                 }
-                self.happened();
-                self.arm(i);
+                self.handle_backend_events();
+                self.schedule_backend_change(i);
                 return;
             }
             Reply::Full => Outcome::Full,
             Reply::Error => Outcome::Errored,
-            Reply::Down if new => Outcome::ConnectFailed,
+            Reply::Down if is_new_connection => Outcome::ConnectFailed,
             Reply::Down => Outcome::ConnectionLost,
             Reply::Crashed => {
                 self.judges.observe(Observation::BackendCrashed { backend: i, at: self.now });
-                let mut asked = std::mem::take(&mut self.asked);
-                self.fleet.crash(self.now, i, &mut asked);
-                self.asked = asked;
-                self.do_asked();
+                let mut actions = std::mem::take(&mut self.actions);
+                self.fleet.crash(self.now, i, &mut actions);
+                self.actions = actions;
+                self.run_driver_actions();
                 Outcome::ConnectionLost
             }
         };
-        if let Some(f) = self.flights.get(flight) {
-            f.backend_done = true;
+        if let Some(launch) = self.launches.get(launch_handle) {
+            launch.is_done_at_backend = true;
         }
-        self.come_back(flight, outcome);
+        self.send_outcome(launch_handle, outcome);
     }
 
-    /// An outcome sets out for its node.
-    fn come_back(&mut self, flight: Ref, outcome: Outcome) {
-        let Some(f) = self.flights.get(flight) else { return };
-        if f.node_done {
-            self.flights.remove(flight);
+    /// Sends the outcome of a launch to its node.
+    fn send_outcome(&mut self, launch_handle: Handle, outcome: Outcome) {
+        let Some(launch) = self.launches.get(launch_handle) else { return };
+        if launch.is_done_at_node {
+            self.launches.remove(launch_handle);
             return;
         }
-        let (node, backend) = (f.node, f.backend);
-        let way = self.way(node, backend);
-        self.after(way, Event::Back { flight, outcome: code(&OUTCOMES, outcome) });
+        let (node, backend) = (launch.node, launch.backend);
+        let latency = self.backend_latency(node, backend);
+        self.schedule_after(
+            latency,
+            Event::OutcomeAtNode { launch_handle, outcome: index_of(&OUTCOMES, outcome) },
+        );
     }
 
-    /// Lets a backend's time pass to now.
-    fn pass(&mut self, i: usize) {
+    /// Advances a backend to the present time.
+    fn advance_backend(&mut self, i: usize) {
         let fleet = &mut self.fleet;
-        fleet.backends[i].advance(self.now, &mut fleet.idempotency_store, &mut self.told);
-        self.happened();
+        fleet.backends[i].advance(self.now, &mut fleet.idempotency_store, &mut self.backend_events);
+        self.handle_backend_events();
     }
 
-    fn happened(&mut self) {
-        let mut told = std::mem::take(&mut self.told);
-        for one in told.drain(..) {
-            let (key, began) = match one {
+    fn handle_backend_events(&mut self) {
+        let mut events = std::mem::take(&mut self.backend_events);
+        for event in events.drain(..) {
+            let (key, has_started) = match event {
                 BackendEvent::WorkStarted(key, _) => (key, true),
                 BackendEvent::WorkFinished(key, _) => (key, false),
             };
-            let flight = Ref { key: (key >> 32) as u32, id: key as u32 };
-            let Some(f) = self.flights.get(flight) else { continue };
-            if began {
-                let (backend, attempt, command) = (f.backend, f.attempt, f.command);
-                let (profile, work) = (f.profile, f.work);
+            let launch_handle = Handle { slot: (key >> 32) as u32, id: key as u32 };
+            let Some(launch) = self.launches.get(launch_handle) else { continue };
+            if has_started {
+                let (backend, attempt_number, command) =
+                    (launch.backend, launch.attempt_number, launch.command);
+                let (profile, work) = (launch.profile, launch.work);
                 self.judges.observe(Observation::WorkStarted {
                     backend,
-                    attempt,
+                    attempt: attempt_number,
                     command,
                     profile,
                     work,
@@ -868,144 +976,161 @@
                 });
                 continue;
             }
-            f.backend_done = true;
-            // A machine that is cut off works on, but nobody hears of it.
-            if self.fleet.backends[f.backend].is_cut_off && !f.node_done {
+            launch.is_done_at_backend = true;
+            // A backend that is cut off goes on working, but its answers do not arrive.
+            if self.fleet.backends[launch.backend].is_cut_off && !launch.is_done_at_node {
                 continue;
             }
-            match f.answer {
-                AnswerFate::Delivered => self.come_back(flight, Outcome::Finished),
-                AnswerFate::ConnectionBroken => self.come_back(flight, Outcome::ConnectionLost),
-                AnswerFate::Lost if f.node_done => drop(self.flights.remove(flight)),
+            match launch.answer_fate {
+                AnswerFate::Delivered => self.send_outcome(launch_handle, Outcome::Finished),
+                AnswerFate::ConnectionBroken => self.send_outcome(launch_handle, Outcome::ConnectionLost),
+                AnswerFate::Lost if launch.is_done_at_node => drop(self.launches.remove(launch_handle)),
                 AnswerFate::Lost => {}
             }
         }
-        self.told = told;
+        self.backend_events = events;
     }
 
-    fn arm(&mut self, i: usize) {
+    fn schedule_backend_change(&mut self, i: usize) {
         let next = self.fleet.backends[i].next_change().map(|at| at.max(self.now + Micros(1)));
-        let (turn, armed) = &mut self.turns[i];
-        if *armed != next {
-            *turn += 1;
-            *armed = next;
-            let turn = *turn;
+        let (timer_id, timer_at) = &mut self.backend_timers[i];
+        if *timer_at != next {
+            *timer_id += 1;
+            *timer_at = next;
+            let timer_id = *timer_id;
             if let Some(at) = next {
-                self.at(at, Event::Backend { backend: i as u32, turn });
+                self.schedule_at(at, Event::BackendChange { backend: i as u32, timer_id });
             }
         }
     }
 
-    fn back(&mut self, flight: Ref, outcome: Outcome) {
-        let Some(f) = self.flights.get(flight).filter(|f| !f.node_done) else { return };
-        f.node_done = true;
-        let (node, life, hand, number, backend) = (f.node, f.life, f.hand, f.number, f.backend);
-        if f.backend_done {
-            self.flights.remove(flight);
+    fn on_outcome_at_node(&mut self, launch_handle: Handle, outcome: Outcome) {
+        let Some(launch) = self.launches.get(launch_handle).filter(|launch| !launch.is_done_at_node) else {
+            return;
+        };
+        launch.is_done_at_node = true;
+        let (node, generation, held_handle, number, backend) =
+            (launch.node, launch.generation, launch.held_handle, launch.launch_index, launch.backend);
+        if launch.is_done_at_backend {
+            self.launches.remove(launch_handle);
         }
-        if !self.alive(node as u32, life) {
+        if !self.is_current(node as u32, generation) {
             return;
         }
         if matches!(outcome, Outcome::Finished | Outcome::Full | Outcome::Errored) {
-            let idle = &mut self.nodes[node].idle[backend];
+            let idle = &mut self.nodes[node].idle_connections[backend];
             *idle = idle.saturating_add(1);
         }
-        self.outcome(node, hand, number, outcome);
+        self.on_launch_outcome(node, held_handle, number, outcome);
     }
 
-    fn outcome(&mut self, node: usize, hand: Ref, number: u8, outcome: Outcome) {
+    fn on_launch_outcome(&mut self, node: usize, held_handle: Handle, launch_index: u8, outcome: Outcome) {
         let n = &mut self.nodes[node];
-        let Some(held) = n.hands.get(hand) else { return };
-        if held.task.launches[usize::from(number)].fate != LaunchState::InFlight {
-            return; // it was called off: nobody waits for its answer any more
+        let Some(held) = n.held_commands.get(held_handle) else { return };
+        if held.active.launches[usize::from(launch_index)].state != LaunchState::InFlight {
+            return; // The launch was cancelled, so that its outcome no longer matters.
         }
-        let proven = outcome.proves_not_run(false);
-        held.task.launches[usize::from(number)].fate =
-            if proven { LaunchState::NotRun } else { LaunchState::MayHaveRun };
-        let finishes = outcome == Outcome::Finished && !held.task.command.is_closed;
-        held.task.command.is_closed |= outcome == Outcome::Finished;
-        let say =
-            n.policy.after(self.now, CommandHandle(hand.key), &mut held.task, number, outcome, &self.fleet);
-        if finishes {
-            self.answer(node, hand, FinalAnswer::Finished, None);
+        let proven_not_run = outcome.proves_not_run(false);
+        held.active.launches[usize::from(launch_index)].state =
+            if proven_not_run { LaunchState::NotRun } else { LaunchState::MayHaveRun };
+        let answers_client = outcome == Outcome::Finished && !held.active.command.is_closed;
+        held.active.command.is_closed |= outcome == Outcome::Finished;
+        let decision = n.policy.on_launch_outcome(
+            self.now,
+            CommandHandle(held_handle.slot),
+            &mut held.active,
+            launch_index,
+            outcome,
+            &self.fleet,
+        );
+        if answers_client {
+            self.send_answer(node, held_handle, FinalAnswer::Finished, None);
         }
-        self.say(node, hand, say);
-        self.upkeep(node);
+        self.apply_decision(node, held_handle, decision);
+        self.run_node_actions(node);
     }
 
-    /// The command's time is over: its node closes the connection.
-    fn flight_over(&mut self, flight: Ref) {
-        let Some(f) = self.flights.get(flight).filter(|f| !f.node_done) else { return };
-        f.node_done = true;
-        let (node, life, hand, number) = (f.node, f.life, f.hand, f.number);
-        self.call_off(flight);
-        if self.alive(node as u32, life) {
-            self.outcome(node, hand, number, Outcome::TimedOut);
+    /// The time limit of the command is over, so that the node closes the connection of the launch.
+    fn on_launch_deadline(&mut self, launch_handle: Handle) {
+        let Some(launch) = self.launches.get(launch_handle).filter(|launch| !launch.is_done_at_node) else {
+            return;
+        };
+        launch.is_done_at_node = true;
+        let (node, generation, held_handle, number) =
+            (launch.node, launch.generation, launch.held_handle, launch.launch_index);
+        self.cancel_launch(launch_handle);
+        if self.is_current(node as u32, generation) {
+            self.on_launch_outcome(node, held_handle, number, Outcome::TimedOut);
         }
     }
 
-    /// The node's end of a launch is closed: its backend may stop with it.
-    fn call_off(&mut self, flight: Ref) {
-        let Some(f) = self.flights.get(flight) else { return };
-        f.node_done = true;
-        let (i, done) = (f.backend, f.backend_done);
-        if done {
-            self.flights.remove(flight);
+    /// The node closes its end of a launch; the backend may stop the execution.
+    fn cancel_launch(&mut self, launch_handle: Handle) {
+        let Some(launch) = self.launches.get(launch_handle) else { return };
+        launch.is_done_at_node = true;
+        let (i, is_done_at_backend) = (launch.backend, launch.is_done_at_backend);
+        if is_done_at_backend {
+            self.launches.remove(launch_handle);
             return;
         }
         if self.fleet.backends[i].is_cut_off || !self.fleet.backends[i].is_up {
             return;
         }
-        self.pass(i);
-        let key = u64::from(flight.key) << 32 | u64::from(flight.id);
-        let held = self.fleet.backends[i].held_commands();
+        self.advance_backend(i);
+        let launch_key = u64::from(launch_handle.slot) << 32 | u64::from(launch_handle.id);
+        let held_before = self.fleet.backends[i].held_commands();
         let fleet = &mut self.fleet;
-        fleet.backends[i].cancel(self.now, key, &mut fleet.idempotency_store, &mut self.told);
-        if fleet.backends[i].held_commands() < held {
-            self.flights.remove(flight);
+        fleet.backends[i].cancel(
+            self.now,
+            launch_key,
+            &mut fleet.idempotency_store,
+            &mut self.backend_events,
+        );
+        if fleet.backends[i].held_commands() < held_before {
+            self.launches.remove(launch_handle);
         }
-        self.happened();
-        self.arm(i);
+        self.handle_backend_events();
+        self.schedule_backend_change(i);
     }
 
-    fn probe_at(&mut self, node: u32, life: u32, backend: u32, sent: u64) {
+    fn on_probe_at_backend(&mut self, node: u32, generation: u32, backend: u32, sent: u64) {
         let i = backend as usize;
         let b = &self.fleet.backends[i];
-        let silent = b.is_cut_off || b.is_hung || self.now < b.stalled_until;
-        let (mut report, mut way) = (None, self.way(node as usize, i));
-        if silent {
-            way = (Timestamp(sent) + PROBE_WAIT).since(self.now);
+        let is_silent = b.is_cut_off || b.is_hung || self.now < b.stalled_until;
+        let (mut report, mut latency) = (None, self.backend_latency(node as usize, i));
+        if is_silent {
+            latency = (Timestamp(sent) + PROBE_TIMEOUT).since(self.now);
         } else if self.fleet.backends[i].is_up {
-            self.pass(i);
+            self.advance_backend(i);
             let b = &mut self.fleet.backends[i];
             b.add_overhead(b.kind.probe_work.micros());
-            let (at, held, queued) = &mut self.reports[i];
+            let (at, held, queued) = &mut self.load_reports[i];
             if self.now >= *at + b.kind.refresh.span() {
                 (*at, *held, *queued) = (self.now, b.held_commands() as u32, b.queued_commands() as u32);
             }
             report = Some((*held, *queued));
-            self.arm(i);
+            self.schedule_backend_change(i);
         }
-        self.after(way, Event::ProbeBack { node, life, backend, sent, report });
+        self.schedule_after(latency, Event::ProbeResultAtNode { node, generation, backend, sent, report });
     }
 
-    // The list.
+    // Discovery.
 
-    fn trip(&mut self) -> Micros {
-        self.scenario.list.trip.span().scaled(self.network.uniform())
+    fn list_latency(&mut self) -> Micros {
+        self.scenario.list.trip.span().scaled(self.network_rng.uniform())
     }
 
-    fn cached(&mut self, node: usize) {
-        let lines: Vec<ListEntry> = self.fleet.snapshot().collect();
-        self.nodes[node].policy.list(self.now, ListUpdateKind::Cached, &lines);
+    fn use_cached_list(&mut self, node: usize) {
+        let entries: Vec<ListEntry> = self.fleet.snapshot().collect();
+        self.nodes[node].policy.apply_list(self.now, ListUpdateKind::Cached, &entries);
         if self.scenario.list.mode == ListMode::Watch {
-            let (trip, life) = (self.trip(), self.nodes[node].life);
-            self.after(trip, Event::Ask { node: node as u32, life });
+            let (latency, generation) = (self.list_latency(), self.nodes[node].generation);
+            self.schedule_after(latency, Event::ListRequest { node: node as u32, generation });
         }
-        self.upkeep(node);
+        self.run_node_actions(node);
     }
 
-    fn tell(&mut self, node: usize, backend: usize) {
+    fn observe_list_entry(&mut self, node: usize, backend: usize) {
         let ready = self.fleet.entries[backend].state == BackendState::Ready;
         self.judges.observe(Observation::ListEntryDelivered { node, backend, ready, at: self.now });
     }
@@ -1015,30 +1140,30 @@
             return;
         }
         for node in 0..self.nodes.len() {
-            if self.nodes[node].follows {
-                let trip = self.trip();
+            if self.nodes[node].watches_list {
+                let latency = self.list_latency();
                 let n = &mut self.nodes[node];
-                // One watch tells in order.
-                n.told_until = n.told_until.max(self.now + trip);
-                let (at, life) = (n.told_until, n.life);
-                self.at(at, Event::Line { node: node as u32, life, backend: i as u32 });
+                // A watch delivers changes in order.
+                n.list_sent_until = n.list_sent_until.max(self.now + latency);
+                let (at, generation) = (n.list_sent_until, n.generation);
+                self.schedule_at(at, Event::ListChange { node: node as u32, generation, backend: i as u32 });
             }
         }
     }
 
     // Troubles.
 
-    fn step(&mut self, step: Step) -> Result<(), String> {
+    fn apply_step(&mut self, step: Step) -> Result<(), String> {
         match step {
-            Step::KillNode(node) if self.nodes[node].up => {
-                let life = self.nodes[node].life;
-                self.kill(node);
-                // The front goes on sending there for a while.
+            Step::KillNode(node) if self.nodes[node].is_up => {
+                let generation = self.nodes[node].generation;
+                self.kill_node(node);
+                // Clients are still sent there for a while.
                 let notice = self.scenario.clients.notice.span();
-                self.after(notice, Event::Notice { node: node as u32, life });
+                self.schedule_after(notice, Event::NodeDeathNoticed { node: node as u32, generation });
             }
-            Step::StopNode(node) => self.in_front(node, false),
-            Step::StartNode(node) => self.revive(node)?,
+            Step::StopNode(node) => self.set_in_rotation(node, false),
+            Step::StartNode(node) => self.restart_node(node)?,
             _ => {
                 if let Step::Hang(i, _)
                 | Step::ScaleSpeed(i, _)
@@ -1046,36 +1171,36 @@
                 | Step::Kill(i)
                 | Step::Drain(i) = step
                 {
-                    self.pass(i);
+                    self.advance_backend(i);
                 }
-                let mut asked = std::mem::take(&mut self.asked);
-                self.fleet.apply(self.now, step, &mut asked);
-                self.asked = asked;
-                self.do_asked();
+                let mut actions = std::mem::take(&mut self.actions);
+                self.fleet.apply(self.now, step, &mut actions);
+                self.actions = actions;
+                self.run_driver_actions();
             }
         }
         if step == Step::DiscoveryDown {
             for node in 0..self.nodes.len() {
-                if std::mem::take(&mut self.nodes[node].follows) {
-                    let (trip, life) = (self.trip(), self.nodes[node].life);
-                    self.after(trip, Event::ListFailed { node: node as u32, life });
+                if std::mem::take(&mut self.nodes[node].watches_list) {
+                    let (latency, generation) = (self.list_latency(), self.nodes[node].generation);
+                    self.schedule_after(latency, Event::ListFailed { node: node as u32, generation });
                 }
             }
         }
         Ok(())
     }
 
-    fn do_asked(&mut self) {
-        let mut asked = std::mem::take(&mut self.asked);
-        for one in asked.drain(..) {
-            match one {
-                DriverAction::ResetConnections(i) => self.reset(i),
-                DriverAction::Publish(at, i) => self.at(at, Event::Publish(i as u32)),
-                DriverAction::ScheduleStep(at, step) => self.later_step(at, step),
+    fn run_driver_actions(&mut self) {
+        let mut actions = std::mem::take(&mut self.actions);
+        for action in actions.drain(..) {
+            match action {
+                DriverAction::ResetConnections(i) => self.reset_connections(i),
+                DriverAction::Publish(at, i) => self.schedule_at(at, Event::PublishBackend(i as u32)),
+                DriverAction::ScheduleStep(at, step) => self.schedule_step(at, step),
                 DriverAction::ReportColdStart(i) => {
                     let count = self.fleet.backends.len();
-                    self.turns.resize(count, (0, None));
-                    self.reports.resize(count, (Timestamp(0), 0, 0));
+                    self.backend_timers.resize(count, (0, None));
+                    self.load_reports.resize(count, (Timestamp(0), 0, 0));
                     let b = &self.fleet.backends[i];
                     let (share, warm) = (b.kind.cold, b.kind.warm.micros());
                     let capacity = b.cores() * b.speed;
@@ -1089,96 +1214,108 @@
                         });
                     }
                 }
-                DriverAction::UpdateNextChange(i) => self.arm(i),
+                DriverAction::UpdateNextChange(i) => self.schedule_backend_change(i),
             }
         }
-        self.asked = asked;
+        self.actions = actions;
     }
 
-    /// All connections of a backend are reset.
-    fn reset(&mut self, i: usize) {
+    /// Resets all connections to a backend.
+    fn reset_connections(&mut self, i: usize) {
         for node in &mut self.nodes {
-            if let Some(idle) = node.idle.get_mut(i) {
+            if let Some(idle) = node.idle_connections.get_mut(i) {
                 *idle = 0;
             }
         }
-        let held = self.fleet.backends[i].is_up;
-        for flight in self.flights.refs() {
+        let is_up = self.fleet.backends[i].is_up;
+        for launch_handle in self.launches.handles() {
             let now = self.now;
-            let Some(f) = self.flights.get(flight).filter(|f| f.backend == i && f.sent < now) else {
+            let Some(launch) =
+                self.launches.get(launch_handle).filter(|launch| launch.backend == i && launch.sent_at < now)
+            else {
                 continue;
             };
-            // What is still on its way finds out by itself.
-            f.backend_done |= !held;
-            self.come_back(flight, Outcome::ConnectionLost);
+            // Launches of this very moment are still on their way and fail when they arrive.
+            launch.is_done_at_backend |= !is_up;
+            self.send_outcome(launch_handle, Outcome::ConnectionLost);
         }
-        self.arm(i);
+        self.schedule_backend_change(i);
     }
 
-    fn kill(&mut self, node: usize) {
+    fn kill_node(&mut self, node: usize) {
         let n = &mut self.nodes[node];
-        n.up = false;
-        n.follows = false;
-        let life = n.life;
-        n.hands = Arena::new();
-        n.idle.fill(0);
+        n.is_up = false;
+        n.watches_list = false;
+        let generation = n.generation;
+        n.held_commands = Arena::new();
+        n.idle_connections.fill(0);
         self.judges.observe(Observation::NodeKilled { node, at: self.now });
-        self.drop_tries(node, life);
-        for flight in self.flights.refs() {
-            if self.flights.get(flight).is_some_and(|f| f.node == node && f.life == life && !f.node_done) {
-                self.call_off(flight);
+        self.drop_attempts(node, generation);
+        for launch_handle in self.launches.handles() {
+            if self.launches.get(launch_handle).is_some_and(|launch| {
+                launch.node == node && launch.generation == generation && !launch.is_done_at_node
+            }) {
+                self.cancel_launch(launch_handle);
             }
         }
     }
 
-    fn drop_tries(&mut self, node: usize, life: u32) {
-        for attempt in self.tries.refs() {
-            let Some(t) = self.tries.get(attempt).filter(|t| t.node == node && t.life == life) else {
+    fn drop_attempts(&mut self, node: usize, generation: u32) {
+        for attempt_handle in self.attempts.handles() {
+            let Some(attempt) = self
+                .attempts
+                .get(attempt_handle)
+                .filter(|attempt| attempt.node == node && attempt.generation == generation)
+            else {
                 continue;
             };
-            if t.hand.take().is_some() {
-                if t.open {
-                    self.after(RESET, Event::Lost(attempt));
+            if attempt.held_handle.take().is_some() {
+                if attempt.is_open {
+                    self.schedule_after(RESET_LATENCY, Event::ConnectionLost(attempt_handle));
                 } else {
-                    self.tries.remove(attempt);
+                    self.attempts.remove(attempt_handle);
                 }
             }
         }
     }
 
-    fn in_front(&mut self, node: usize, there: bool) {
-        self.front.retain(|n| *n != node);
-        if there {
-            self.front.push(node);
-            self.front.sort_unstable();
+    fn set_in_rotation(&mut self, node: usize, in_rotation: bool) {
+        self.nodes_in_rotation.retain(|n| *n != node);
+        if in_rotation {
+            self.nodes_in_rotation.push(node);
+            self.nodes_in_rotation.sort_unstable();
         }
     }
 
-    fn revive(&mut self, node: usize) -> Result<(), String> {
-        if self.nodes[node].up {
-            // It was stopped by plan. What it has not answered by now is lost, and nobody excuses that.
-            let life = self.nodes[node].life;
-            self.nodes[node].up = false;
-            self.drop_tries(node, life);
-            for flight in self.flights.refs() {
-                if self.flights.get(flight).is_some_and(|f| f.node == node && !f.node_done) {
-                    self.call_off(flight);
+    fn restart_node(&mut self, node: usize) -> Result<(), String> {
+        if self.nodes[node].is_up {
+            // It was stopped as planned. Attempts that it has not answered by now are lost, which counts as a violation.
+            let generation = self.nodes[node].generation;
+            self.nodes[node].is_up = false;
+            self.drop_attempts(node, generation);
+            for launch_handle in self.launches.handles() {
+                if self
+                    .launches
+                    .get(launch_handle)
+                    .is_some_and(|launch| launch.node == node && !launch.is_done_at_node)
+                {
+                    self.cancel_launch(launch_handle);
                 }
             }
         }
-        let life = self.nodes[node].lives;
-        let policy = self.policy(node, life)?;
+        let generation = self.nodes[node].next_generation;
+        let policy = self.create_policy(node, generation)?;
         let n = &mut self.nodes[node];
         n.policy = policy;
-        (n.life, n.lives) = (life, life + 1);
-        n.hands = Arena::new();
-        n.idle.fill(0);
-        n.armed = None;
-        n.follows = false;
-        n.up = true;
-        self.in_front(node, true);
+        (n.generation, n.next_generation) = (generation, generation + 1);
+        n.held_commands = Arena::new();
+        n.idle_connections.fill(0);
+        n.timer_at = None;
+        n.watches_list = false;
+        n.is_up = true;
+        self.set_in_rotation(node, true);
         self.judges.observe(Observation::NodeStarted { node });
-        self.cached(node);
+        self.use_cached_list(node);
         Ok(())
     }
 }
--- a/crates/rehearsal/tests/judges.rs
+++ b/crates/rehearsal/tests/judges.rs
@@ -3,7 +3,7 @@
 use rehearsal::judge::rules::RuleJudge;
 use rehearsal::judge::{FinalAnswer, Observation};
 use rehearsal::model::fleet::Fleet;
-use rehearsal::policy::{self, NodeContext, Policy, Task};
+use rehearsal::policy::{self, ActiveCommand, NodeContext, Policy};
 use rehearsal::scenario::Scenario;
 use rehearsal::virtual_clock;
 use yarrowfront::command::Outcome;
@@ -50,8 +50,8 @@
 }
 
 impl Policy for Faulty {
-    fn place(&mut self, _: Timestamp, _: CommandHandle, task: &mut Task, _: &Fleet) -> Decision {
-        if task.in_flight() > 0 || task.command.is_closed || self.known.is_empty() {
+    fn decide(&mut self, _: Timestamp, _: CommandHandle, active: &mut ActiveCommand, _: &Fleet) -> Decision {
+        if active.in_flight() > 0 || active.command.is_closed || self.known.is_empty() {
             return Decision::Wait;
         }
         self.turn += 1;
@@ -66,41 +66,41 @@
         Decision::Launch(self.known[self.turn as usize % self.known.len()].backend)
     }
 
-    fn after(
+    fn on_launch_outcome(
         &mut self,
         now: Timestamp,
         hand: CommandHandle,
-        task: &mut Task,
+        active: &mut ActiveCommand,
         _: u8,
         outcome: Outcome,
         fleet: &Fleet,
     ) -> Decision {
         match self.fault {
             Fault::Twice if outcome == Outcome::Finished => return Decision::Fail,
-            Fault::Again if outcome == Outcome::Finished && task.launches.len() < 2 => {
+            Fault::Again if outcome == Outcome::Finished && active.launches.len() < 2 => {
                 // As if the first answer had been lost.
-                task.command.is_closed = false;
-                return self.place(now, hand, task, fleet);
+                active.command.is_closed = false;
+                return self.decide(now, hand, active, fleet);
             }
             Fault::Promise if outcome != Outcome::Finished => return Decision::Reject(Micros(1000)),
             _ => {}
         }
         match outcome {
             Outcome::Finished => Decision::Wait,
-            _ if task.command.is_closed || task.in_flight() > 0 => Decision::Wait,
+            _ if active.command.is_closed || active.in_flight() > 0 => Decision::Wait,
             _ => Decision::Fail,
         }
     }
 
-    fn wait(&self, _: Timestamp, _: Option<&Task>) -> Option<Micros> {
+    fn wakeup_delay(&self, _: Timestamp, _: Option<&ActiveCommand>) -> Option<Micros> {
         None
     }
 
-    fn dropped(&mut self, task: &mut Task) {
-        task.command.is_closed = true;
+    fn on_client_gone(&mut self, active: &mut ActiveCommand) {
+        active.command.is_closed = true;
     }
 
-    fn list(&mut self, _: Timestamp, _: ListUpdateKind, lines: &[ListEntry]) {
+    fn apply_list(&mut self, _: Timestamp, _: ListUpdateKind, lines: &[ListEntry]) {
         for line in lines {
             match self.known.iter_mut().find(|l| l.backend == line.backend) {
                 None => self.known.push(*line),
@@ -110,9 +110,9 @@
         }
     }
 
-    fn report(&mut self, _: Timestamp, _: BackendId, _: bool, _: Micros, _: &[f32]) {}
+    fn on_load_report(&mut self, _: Timestamp, _: BackendId, _: bool, _: Micros, _: &[f32]) {}
 
-    fn errand(&mut self, now: Timestamp) -> Option<Action> {
+    fn next_action(&mut self, now: Timestamp) -> Option<Action> {
         // It follows the list once, from the start on.
         (self.turn == 0 && now == virtual_clock::ORIGIN && !self.known.is_empty()).then(|| {
             self.turn = 1;
