--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,6 +1,7 @@
-//! Rehearsals: a model of clients, backends, the list, the network and their troubles; a virtual and a real clock
-//! to play it on; judges; experiments. Arrows point downward only: from the commands (`search`, `compare`,
-//! `experiment`, `report`) to the clocks (`virtual_clock`, `real`), to policies and judges, to the model.
+//! Rehearsals play scenarios around the balancer: a model of clients, backends, discovery, the network and their troubles,
+//! on a virtual or a real clock, with judges that check rules and measure service. Modules depend downward only: the
+//! commands (`search`, `compare`, `experiment`, `report`) on the clocks (`virtual_clock`, `real`), these on policies and
+//! judges, and these on the model.
 #![forbid(unsafe_code)]
 
 pub mod compare;
--- a/crates/rehearsal/src/paper.rs
+++ b/crates/rehearsal/src/paper.rs
@@ -1,5 +1,5 @@
-//! The model beside the paper that the design comes from: its policy as it stands there, on plain exponential
-//! servers, against the figures of its Table 3.
+//! Compares the model with the paper that the design comes from: runs the paper's own policy on servers with exponential
+//! work, and compares the result with the figures of its Table 3.
 
 use crate::model::fleet::Fleet;
 use crate::policy::{self, ActiveCommand, NodeContext, Policy};
@@ -19,50 +19,52 @@
 use yarrowfront::ids::{BackendId, CommandHandle};
 use yarrowfront::times::{Micros, Timestamp};
 
-/// The mean work: the unit of all figures here.
-const UNIT: Time = Time::millis(10);
+/// The mean work of a command, which is the unit of all figures here.
+const MEAN_WORK: Time = Time::millis(10);
 
-/// The dispatchers' tokens, each server's at most in one place.
-struct Board {
+/// The tokens of idle servers that the dispatchers have. Each server has at most one token.
+struct TokenBoard {
     tokens: Vec<VecDeque<usize>>,
-    placed: Vec<bool>,
-    draw: SeededRng,
+    /// Whether a dispatcher has the token, by server.
+    token_is_out: Vec<bool>,
+    rng: SeededRng,
 }
 
-/// JIQ-SQ(d) without token withdrawals. A server that becomes idle gives its token to the one of `d` random
-/// dispatchers that has fewest, unless an older one of its is out still; without a token a random server is taken.
-struct Plain {
-    board: Arc<Mutex<Board>>,
+/// JIQ-SQ(d) without token withdrawals. A server that becomes idle gives its token to the one of `d` random dispatchers
+/// that has the fewest, unless a dispatcher still has an older token of it. A dispatcher without a token takes a random
+/// server.
+struct JiqPolicy {
+    board: Arc<Mutex<TokenBoard>>,
     node: usize,
-    d: usize,
-    first_come: bool,
+    sampled_dispatchers: usize,
+    oldest_first: bool,
     servers: usize,
-    draw: SeededRng,
+    rng: SeededRng,
 }
 
-impl Plain {
-    fn board(&self) -> std::sync::MutexGuard<'_, Board> {
-        // One thread plays one scenario: nobody can have left it half-way.
+impl JiqPolicy {
+    fn board(&self) -> std::sync::MutexGuard<'_, TokenBoard> {
+        // One thread plays a scenario, so that a poisoned lock cannot guard inconsistent data.
         self.board.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-impl Policy for Plain {
+impl Policy for JiqPolicy {
     fn decide(&mut self, _: Timestamp, _: CommandHandle, active: &mut ActiveCommand, _: &Fleet) -> Decision {
         if active.in_flight() > 0 {
             return Decision::Wait;
         }
-        let (node, first_come) = (self.node, self.first_come);
+        let (node, oldest_first) = (self.node, self.oldest_first);
         let token = {
             let mut board = self.board();
             let own = &mut board.tokens[node];
-            let token = if first_come { own.pop_front() } else { own.pop_back() };
+            let token = if oldest_first { own.pop_front() } else { own.pop_back() };
             if let Some(server) = token {
-                board.placed[server] = false;
+                board.token_is_out[server] = false;
             }
             token
         };
-        let server = token.unwrap_or_else(|| self.draw.below(self.servers));
+        let server = token.unwrap_or_else(|| self.rng.below(self.servers));
         Decision::Launch(BackendId(server as u32))
     }
 
@@ -71,19 +73,19 @@
         _: Timestamp,
         _: CommandHandle,
         active: &mut ActiveCommand,
-        n: u8,
+        launch_index: u8,
         _: Outcome,
         fleet: &Fleet,
     ) -> Decision {
-        let server = active.launches[usize::from(n)].backend;
-        let d = self.d;
+        let server = active.launches[usize::from(launch_index)].backend;
+        let sampled_dispatchers = self.sampled_dispatchers;
         let mut board = self.board();
-        if fleet.backends[server].held_commands() == 0 && !board.placed[server] {
+        if fleet.backends[server].held_commands() == 0 && !board.token_is_out[server] {
             let nodes = board.tokens.len();
-            let drawn: Vec<usize> = (0..d).map(|_| board.draw.below(nodes)).collect();
-            let fewest = drawn.into_iter().min_by_key(|i| board.tokens[*i].len()).unwrap_or(0);
+            let sampled: Vec<usize> = (0..sampled_dispatchers).map(|_| board.rng.below(nodes)).collect();
+            let fewest = sampled.into_iter().min_by_key(|i| board.tokens[*i].len()).unwrap_or(0);
             board.tokens[fewest].push_back(server);
-            board.placed[server] = true;
+            board.token_is_out[server] = true;
         }
         Decision::Wait
     }
@@ -105,8 +107,9 @@
     }
 }
 
-/// Plain servers: one core, one rate, a queue without end, no network, nobody in a hurry.
-fn plain(servers: u32, ratio: u32, load: f64, length: Time) -> Scenario {
+/// A scenario with identical servers: one core, one speed, a practically unlimited queue, no network latency and no time
+/// limits that matter.
+fn plain_servers(servers: u32, servers_per_node: u32, load: f64, length: Time) -> Scenario {
     let kind = BackendKind {
         kind: "plain".into(),
         count: servers,
@@ -128,13 +131,13 @@
         connection_work: Time(0),
         refresh: Time(0),
     };
-    let long = Time::seconds(600);
+    let no_limit = Time::seconds(600);
     Scenario {
         name: format!("plain-{servers}"),
         about: String::new(),
         length,
         settle: Time(length.0 / 3),
-        nodes: (servers / ratio).max(1),
+        nodes: (servers / servers_per_node).max(1),
         zones: 1,
         load: Load { share: Some(load), per_s: None, shape: LoadShape::Poisson, swing: 0.0 },
         clients: Clients::default(),
@@ -155,10 +158,10 @@
             effect: CommandEffect::Repeatable,
             scope: Scope::All,
             memory: Time::seconds(10),
-            goal: long,
-            limit: long,
+            goal: no_limit,
+            limit: no_limit,
             payoff: 1.0,
-            work: UNIT,
+            work: MEAN_WORK,
             law: WorkDistribution::Exponential,
             spread: 1.0,
         }],
@@ -172,39 +175,46 @@
     }
 }
 
-/// Mean time to the answer, in units of the mean work.
+/// The mean response time, in units of the mean work.
 pub fn mean_response(
     name: &str,
-    (servers, ratio, load): (u32, u32, f64),
+    (servers, servers_per_node, load): (u32, u32, f64),
     seconds: u64,
     seed: u64,
 ) -> Result<f64, String> {
-    let scenario = plain(servers, ratio, load, Time::seconds(seconds));
+    let scenario = plain_servers(servers, servers_per_node, load, Time::seconds(seconds));
     let nodes = scenario.nodes as usize;
-    let placed = vec![true; servers as usize];
-    // At the start every server is idle: its token lies somewhere.
-    let mut draw = SeededRng::new(seed, RngStream::Fleet);
+    let token_is_out = vec![true; servers as usize];
+    // At the start every server is idle, so that its token is with a random dispatcher.
+    let mut rng = SeededRng::new(seed, RngStream::Fleet);
     let mut tokens = vec![VecDeque::new(); nodes];
     for server in 0..servers as usize {
-        tokens[draw.below(nodes)].push_back(server);
+        tokens[rng.below(nodes)].push_back(server);
     }
-    let board = Arc::new(Mutex::new(Board { tokens, placed, draw }));
-    let make = |birth: &NodeContext| -> Result<Box<dyn Policy>, String> {
-        let (d, first_come) = match name {
+    let board = Arc::new(Mutex::new(TokenBoard { tokens, token_is_out, rng }));
+    let create = |context: &NodeContext| -> Result<Box<dyn Policy>, String> {
+        let (sampled_dispatchers, oldest_first) = match name {
             "JIQ-SQ(1) FCFS" => (1, true),
             "JIQ-SQ(2) LCFS" => (2, false),
-            _ => return policy::create(name, birth),
+            _ => return policy::create(name, context),
         };
-        let draw = SeededRng::new(birth.seed, RngStream::Nodes);
+        let rng = SeededRng::new(context.seed, RngStream::Nodes);
         let servers = servers as usize;
-        Ok(Box::new(Plain { board: board.clone(), node: birth.node, d, first_come, servers, draw }))
+        Ok(Box::new(JiqPolicy {
+            board: board.clone(),
+            node: context.node,
+            sampled_dispatchers,
+            oldest_first,
+            servers,
+            rng,
+        }))
     };
-    let (_, judges) = virtual_clock::play(&scenario, seed, name, &make, &mut |_| ())?;
-    Ok(judges.service.profiles[0].latency_us.mean() / UNIT.micros())
+    let (_, judges) = virtual_clock::play(&scenario, seed, name, &create, &mut |_| ())?;
+    Ok(judges.service.profiles[0].latency_us.mean() / MEAN_WORK.micros())
 }
 
-/// What the paper's Table 3 gives for exponential jobs: policy, servers, servers for each dispatcher, load, and
-/// the simulated mean response.
+/// Table 3 of the paper for exponential work: policy, servers, servers per dispatcher, load, and the simulated mean response
+/// time.
 pub const TABLE_3: [(&str, u32, u32, f64, f64); 4] = [
     ("JIQ-SQ(1) FCFS", 50, 5, 0.65, 1.3433),
     ("JIQ-SQ(1) FCFS", 500, 5, 0.65, 1.3743),
@@ -214,7 +224,7 @@
 
 /// The two tables of `docs/rehearsal.md`, as Markdown.
 pub fn tables() -> Result<String, String> {
-    let runs = |name: &str, case: (u32, u32, f64), seconds: u64| -> Result<Mean, String> {
+    let mean_of_runs = |name: &str, case: (u32, u32, f64), seconds: u64| -> Result<Mean, String> {
         let seeds: Vec<u64> = (1..=5).collect();
         let all: Result<Vec<f64>, String> =
             seeds.par_iter().map(|seed| mean_response(name, case, seconds, *seed)).collect();
@@ -223,16 +233,16 @@
     let mut out = String::from(
         "| policy | servers | for each node | load | paper | here |\n|---|---|---|---|---|---|\n",
     );
-    for (name, servers, ratio, load, paper) in TABLE_3 {
+    for (name, servers, servers_per_node, load, paper) in TABLE_3 {
         let seconds = if servers > 100 { 60 } else { 300 };
-        let here = runs(name, (servers, ratio, load), seconds)?;
-        out += &format!("| {name} | {servers} | {ratio} | {load} | {paper:.4} | {here} |\n");
+        let model = mean_of_runs(name, (servers, servers_per_node, load), seconds)?;
+        out += &format!("| {name} | {servers} | {servers_per_node} | {load} | {paper:.4} | {model} |\n");
     }
     out += "\n| load | random | less busy of two (own launches) | JIQ-SQ(1) FCFS | yarrowfront |\n|---|---|---|---|---|\n";
     for load in [0.3, 0.5, 0.65, 0.8, 0.9] {
         let mut row = format!("| {load} ");
         for name in ["random", "less-busy", "JIQ-SQ(1) FCFS", "yarrowfront"] {
-            row += &format!("| {} ", runs(name, (50, 5, load), 150)?);
+            row += &format!("| {} ", mean_of_runs(name, (50, 5, load), 150)?);
         }
         out += &format!("{row}|\n");
     }
--- a/crates/rehearsal/src/virtual_clock.rs
+++ b/crates/rehearsal/src/virtual_clock.rs
@@ -110,13 +110,13 @@
         node: u32,
         generation: u32,
         backend: u32,
-        sent: u64,
+        sent_at_us: u64,
     },
     ProbeResultAtNode {
         node: u32,
         generation: u32,
         backend: u32,
-        sent: u64,
+        sent_at_us: u64,
         report: Option<(u32, u32)>,
     },
     /// A node's request for the list reaches discovery.
@@ -430,16 +430,22 @@
                 self.on_outcome_at_node(launch_handle, OUTCOMES[usize::from(outcome)])
             }
             Event::LaunchDeadline(launch_handle) => self.on_launch_deadline(launch_handle),
-            Event::ProbeAtBackend { node, generation, backend, sent } => {
-                self.on_probe_at_backend(node, generation, backend, sent)
+            Event::ProbeAtBackend { node, generation, backend, sent_at_us } => {
+                self.on_probe_at_backend(node, generation, backend, sent_at_us)
             }
-            Event::ProbeResultAtNode { node, generation, backend, sent, report } => {
+            Event::ProbeResultAtNode { node, generation, backend, sent_at_us, report } => {
                 let n = &mut self.nodes[node as usize];
                 if n.generation == generation && n.is_up {
-                    let latency = self.now.since(Timestamp(sent));
+                    let round_trip = self.now.since(Timestamp(sent_at_us));
                     let values = report.map(|(held, queued)| [held as f32, queued as f32, 0.0]);
                     let values = values.as_ref().map_or(&[][..], |v| &v[..]);
-                    n.policy.on_load_report(self.now, BackendId(backend), report.is_some(), latency, values);
+                    n.policy.on_load_report(
+                        self.now,
+                        BackendId(backend),
+                        report.is_some(),
+                        round_trip,
+                        values,
+                    );
                     self.run_node_actions(node as usize);
                 }
             }
@@ -755,8 +761,11 @@
                 Action::Probe(backend) => {
                     self.judges.observe(Observation::ProbeReceived);
                     let latency = self.backend_latency(node, backend.0 as usize);
-                    let (node, backend, sent) = (node as u32, backend.0, self.now.0);
-                    self.schedule_after(latency, Event::ProbeAtBackend { node, generation, backend, sent });
+                    let (node, backend, sent_at_us) = (node as u32, backend.0, self.now.0);
+                    self.schedule_after(
+                        latency,
+                        Event::ProbeAtBackend { node, generation, backend, sent_at_us },
+                    );
                 }
                 Action::CloseIdleConnections(backend) => {
                     self.nodes[node].idle_connections[backend.0 as usize] = 0
@@ -858,7 +867,7 @@
 
     fn on_launch_at_backend(&mut self, launch_handle: Handle) {
         let Some(launch) = self.launches.get(launch_handle) else { return };
-        let (i, is_new_connection, work, is_done_at_node, sent) =
+        let (i, is_new_connection, work, is_done_at_node, sent_at) =
             (launch.backend, launch.is_new_connection, launch.work, launch.is_done_at_node, launch.sent_at);
         let (idempotency_key, profile) = (launch.idempotency_key, usize::from(launch.profile));
         let launch_key = u64::from(launch_handle.slot) << 32 | u64::from(launch_handle.id);
@@ -870,7 +879,7 @@
         if self.fleet.backends[i].is_cut_off {
             launch.is_done_at_backend = true;
             if is_new_connection {
-                let at = (sent + self.scenario.net.dial.span()).max(self.now);
+                let at = (sent_at + self.scenario.net.dial.span()).max(self.now);
                 self.schedule_at(
                     at,
                     Event::OutcomeAtNode {
@@ -1093,13 +1102,13 @@
         self.schedule_backend_change(i);
     }
 
-    fn on_probe_at_backend(&mut self, node: u32, generation: u32, backend: u32, sent: u64) {
+    fn on_probe_at_backend(&mut self, node: u32, generation: u32, backend: u32, sent_at_us: u64) {
         let i = backend as usize;
         let b = &self.fleet.backends[i];
         let is_silent = b.is_cut_off || b.is_hung || self.now < b.stalled_until;
         let (mut report, mut latency) = (None, self.backend_latency(node as usize, i));
         if is_silent {
-            latency = (Timestamp(sent) + PROBE_TIMEOUT).since(self.now);
+            latency = (Timestamp(sent_at_us) + PROBE_TIMEOUT).since(self.now);
         } else if self.fleet.backends[i].is_up {
             self.advance_backend(i);
             let b = &mut self.fleet.backends[i];
@@ -1111,7 +1120,10 @@
             report = Some((*held, *queued));
             self.schedule_backend_change(i);
         }
-        self.schedule_after(latency, Event::ProbeResultAtNode { node, generation, backend, sent, report });
+        self.schedule_after(
+            latency,
+            Event::ProbeResultAtNode { node, generation, backend, sent_at_us, report },
+        );
     }
 
     // Discovery.
