--- a/crates/rehearsal/src/virtual_clock.rs
+++ b/crates/rehearsal/src/virtual_clock.rs
@@ -570,12 +570,7 @@
         // The judges have to see an answer even if the attempt has ended, because it may be one too many.
         let open = self.attempts.get(attempt_handle).is_some_and(|attempt| attempt.is_open);
         let made_for = (answer == FinalAnswer::Finished).then_some(number);
-        self.judges.observe(Observation::Answered {
-            attempt: number,
-            answer: answer,
-            made_for,
-            at: self.now,
-        });
+        self.judges.observe(Observation::Answered { attempt: number, answer, made_for, at: self.now });
         if open {
             let outcome = match answer {
                 FinalAnswer::Finished => AttemptOutcome::Finished,
