--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -87,26 +87,26 @@
 /// Sets a key with a dotted path, in which indices of arrays are in brackets.
 fn set_key(root: &mut toml::Value, key: &str, value: toml::Value) -> Result<(), String> {
     let unknown = || format!("{key}: the scenario has no such key");
-    let mut at = root;
+    let mut current = root;
     let mut steps = key.split('.').peekable();
     while let Some(step) = steps.next() {
-        let (name, place) = match step.split_once('[') {
+        let (name, index) = match step.split_once('[') {
             Some((name, rest)) => {
-                let place = rest.strip_suffix(']').and_then(|n| n.parse::<usize>().ok());
-                (name, Some(place.ok_or_else(unknown)?))
+                let index = rest.strip_suffix(']').and_then(|n| n.parse::<usize>().ok());
+                (name, Some(index.ok_or_else(unknown)?))
             }
             None => (step, None),
         };
-        let table = at.as_table_mut().ok_or_else(unknown)?;
-        if steps.peek().is_none() && place.is_none() {
+        let table = current.as_table_mut().ok_or_else(unknown)?;
+        if steps.peek().is_none() && index.is_none() {
             table.insert(name.into(), value);
             return Ok(());
         }
-        at = table.entry(name).or_insert_with(|| toml::Value::Table(Default::default()));
-        if let Some(place) = place {
-            at = at.as_array_mut().and_then(|a| a.get_mut(place)).ok_or_else(unknown)?;
+        current = table.entry(name).or_insert_with(|| toml::Value::Table(Default::default()));
+        if let Some(index) = index {
+            current = current.as_array_mut().and_then(|a| a.get_mut(index)).ok_or_else(unknown)?;
             if steps.peek().is_none() {
-                *at = value;
+                *current = value;
                 return Ok(());
             }
         }
@@ -167,10 +167,11 @@
                 combinations = next;
             }
             for (value, values) in combinations {
-                let place = || format!("{} with {values:?}", path.display());
-                let scenario: Scenario =
-                    value.try_into().map_err(|e: toml::de::Error| format!("{}: {}", place(), e.message()))?;
-                scenario.check().map_err(|(key, why)| format!("{}: {key}: {why}", place()))?;
+                let source = || format!("{} with {values:?}", path.display());
+                let scenario: Scenario = value
+                    .try_into()
+                    .map_err(|e: toml::de::Error| format!("{}: {}", source(), e.message()))?;
+                scenario.check().map_err(|(key, why)| format!("{}: {key}: {why}", source()))?;
                 all.push((scenario, values));
             }
         }
@@ -207,11 +208,11 @@
 pub fn group_into_cells(runs: &[Run]) -> Vec<(Cell, Vec<&Run>)> {
     let mut groups: Vec<Vec<&Run>> = Vec::new();
     for run in runs {
-        let is_same = |g: &&mut Vec<&Run>| {
+        let is_in_group = |g: &&mut Vec<&Run>| {
             let (a, b) = (&g[0].result, &run.result);
             (&a.scenario, &a.policy, &g[0].parameters) == (&b.scenario, &b.policy, &run.parameters)
         };
-        match groups.iter_mut().find(is_same) {
+        match groups.iter_mut().find(is_in_group) {
             Some(group) => group.push(run),
             None => groups.push(vec![run]),
         }
--- a/crates/rehearsal/src/judge/rules.rs
+++ b/crates/rehearsal/src/judge/rules.rs
@@ -10,13 +10,13 @@
 /// The number of violations by rule, and a description of the first ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RuleViolations {
-    /// Violations of: each attempt gets one whole final answer in time, and that answer was made for its command.
+    /// Violations of the rule that each attempt gets one whole final answer in time, made for its command.
     pub answers: u64,
-    /// Violations of: no command has its effect twice, and a rejected command has had no effect.
+    /// Violations of the rule that no command has its effect twice, and that a rejected command has had no effect.
     pub effects: u64,
-    /// Violations of: no launch goes to a draining or gone backend after the drain grace.
+    /// Violations of the rule that no launch goes to a draining or gone backend after the drain grace.
     pub drains: u64,
-    /// Violations of: a cold backend is not sent so much work that it would crash.
+    /// Violations of the rule that a cold backend is not sent so much work that it would crash.
     pub pushes: u64,
     /// Nodes that ended without being asked to, or did not end when asked.
     pub crashes: u64,
@@ -93,7 +93,7 @@
     /// A cold backend may be sent this multiple of what it can do within the window.
     cold_budget_multiple: f64,
     cold_budget_window: Micros,
-    open: HashMap<u64, OpenAttempt>,
+    open_attempts: HashMap<u64, OpenAttempt>,
     /// Attempts that had a final answer, and when: a second answer to one of them is a violation.
     answered_at: HashMap<u64, Timestamp>,
     /// Attempts whose clients have left, and when.
@@ -116,7 +116,7 @@
             drain_grace: scenario.allow.drain_grace.span(),
             cold_budget_multiple: scenario.allow.push_over,
             cold_budget_window: scenario.allow.push_span.span(),
-            open: HashMap::new(),
+            open_attempts: HashMap::new(),
             answered_at: HashMap::new(),
             left_at: HashMap::new(),
             executions: HashMap::new(),
@@ -139,17 +139,17 @@
             Observation::AttemptReceived { attempt, command, profile, node, until, .. } => {
                 // Its client may have left another node before, to send the attempt to this one.
                 self.left_at.remove(&attempt);
-                self.open.insert(attempt, OpenAttempt { command, profile, node, deadline: until });
+                self.open_attempts.insert(attempt, OpenAttempt { command, profile, node, deadline: until });
             }
             Observation::ClientLeft { attempt, at } => {
-                self.open.remove(&attempt);
+                self.open_attempts.remove(&attempt);
                 self.left_at.insert(attempt, at);
             }
             Observation::Answered { attempt, answer, made_for, at } => {
                 self.check_answer(attempt, answer, made_for, at)
             }
             Observation::ConnectionBroken { attempt, at } => {
-                if let Some(open) = self.open.remove(&attempt) {
+                if let Some(open) = self.open_attempts.remove(&attempt) {
                     self.violations.answers += 1;
                     self.record_case(
                         at,
@@ -214,7 +214,7 @@
                 self.record_case(at, format!("backend {backend} crashed from too much work while cold"));
             }
             Observation::NodeKilled { node, .. } => {
-                self.open.retain(|_, open| open.node != node);
+                self.open_attempts.retain(|_, open| open.node != node);
                 self.dead_nodes.insert(node);
             }
             Observation::NodeResumed { node } => drop(self.dead_nodes.remove(&node)),
@@ -223,7 +223,7 @@
                 self.dead_nodes.remove(&node);
             }
             Observation::NodeCrashed { node, at } => {
-                self.open.retain(|_, open| open.node != node);
+                self.open_attempts.retain(|_, open| open.node != node);
                 self.violations.crashes += 1;
                 self.record_case(
                     at,
@@ -249,7 +249,7 @@
                 format!("attempt {attempt}: launched {late:.0} ms after its client had left"),
             );
         }
-        let Some(open) = self.open.get(&attempt) else { return };
+        let Some(open) = self.open_attempts.get(&attempt) else { return };
         let (Some(announced), left) = (announced_time_left, open.deadline.since(at)) else { return };
         if announced > Micros(left.0 + ANNOUNCED_TIME_TOLERANCE.0 + TRIPS_ALLOWANCE.0) {
             let (announced, left) = (announced.as_f64() / 1e3, left.as_f64() / 1e3);
@@ -262,7 +262,7 @@
     }
 
     fn check_answer(&mut self, attempt: u64, answer: FinalAnswer, made_for: Option<u64>, at: Timestamp) {
-        let Some(open) = self.open.remove(&attempt) else {
+        let Some(open) = self.open_attempts.remove(&attempt) else {
             if self.answered_at.contains_key(&attempt) {
                 self.violations.answers += 1;
                 self.record_case(at, format!("attempt {attempt}: a second final answer"));
@@ -331,7 +331,7 @@
     /// Ends the play: attempts that are still open after their deadline were never answered.
     pub fn finish(&mut self, at: Timestamp) {
         let mut unanswered: Vec<u64> = self
-            .open
+            .open_attempts
             .values()
             .filter(|o| at > o.deadline + LATE_ANSWER_TOLERANCE)
             .map(|o| o.command)
@@ -341,6 +341,6 @@
             self.violations.answers += 1;
             self.record_case(at, format!("command {command}: never answered"));
         }
-        self.open.clear();
+        self.open_attempts.clear();
     }
 }
--- a/crates/rehearsal/src/judge/service.rs
+++ b/crates/rehearsal/src/judge/service.rs
@@ -1,5 +1,5 @@
 //! Measures how well clients were served (payoff finished within the goal time, divided by the payoff asked for), and
-//! the launches, probes and work that it latency.
+//! the launches, probes and work that it took.
 
 use crate::judge::observation::{CommandOutcome, FinalAnswer, Observation};
 use crate::scenario::Scenario;
@@ -41,7 +41,7 @@
 struct PendingCommand {
     due: Timestamp,
     /// Whether it was due after the settle time.
-    counted: bool,
+    is_counted: bool,
     /// Work in microseconds on a core of speed one; 0 until a backend has started it.
     work_us: f64,
     /// The node that received it last.
@@ -55,7 +55,7 @@
     settled_at: Timestamp,
     length_s: usize,
     /// By command.
-    pending: HashMap<u64, PendingCommand>,
+    pending_commands: HashMap<u64, PendingCommand>,
     pub profiles: Vec<ProfileCounts>,
     pub seconds: Vec<Second>,
     pub launches: u64,
@@ -98,7 +98,7 @@
             origin,
             settled_at: origin + scenario.settle.span(),
             length_s,
-            pending: HashMap::new(),
+            pending_commands: HashMap::new(),
             profiles: scenario.profiles.iter().map(profile).collect(),
             seconds: vec![Second::default(); length_s],
             launches: 0,
@@ -119,16 +119,17 @@
     pub fn observe(&mut self, observation: &Observation) {
         match *observation {
             Observation::CommandDue { command, profile, at } => {
-                let counted = at >= self.settled_at;
-                self.pending.insert(command, PendingCommand { due: at, counted, work_us: 0.0, node: None });
+                let is_counted = at >= self.settled_at;
+                self.pending_commands
+                    .insert(command, PendingCommand { due: at, is_counted, work_us: 0.0, node: None });
                 let (second, p) = (self.second_index(at), &mut self.profiles[usize::from(profile)]);
                 self.seconds[second].asked += p.payoff;
                 self.seconds[second].commands += 1;
-                p.asked += u64::from(counted);
+                p.asked += u64::from(is_counted);
             }
             Observation::AttemptReceived { command, node, .. } => {
                 self.attempts += 1;
-                if let Some(pending) = self.pending.get_mut(&command) {
+                if let Some(pending) = self.pending_commands.get_mut(&command) {
                     pending.node = Some(node);
                 }
             }
@@ -148,13 +149,13 @@
             }
             Observation::WorkStarted { command, work, .. } => {
                 self.work_us += work;
-                if let Some(pending) = self.pending.get_mut(&command) {
+                if let Some(pending) = self.pending_commands.get_mut(&command) {
                     pending.work_us = work;
                 }
             }
             Observation::ProbeReceived => self.probes += 1,
             Observation::CommandSettled { command, profile, at, outcome } => {
-                let Some(pending) = self.pending.remove(&command) else { return };
+                let Some(pending) = self.pending_commands.remove(&command) else { return };
                 let second = self.second_index(pending.due);
                 let p = &mut self.profiles[usize::from(profile)];
                 let latency = at.since(pending.due);
@@ -164,7 +165,7 @@
                         self.seconds[second].served += p.payoff;
                     }
                 }
-                if !pending.counted {
+                if !pending.is_counted {
                     return;
                 }
                 if let Some(node) = pending.node {
@@ -208,7 +209,7 @@
     /// The lowest service ratio of any window of this many consecutive seconds.
     pub fn worst_window(&self, seconds: usize) -> f64 {
         let from = (self.settled_at.since(self.origin).0 / 1_000_000) as usize;
-        let counted = &self.seconds[from.min(self.seconds.len())..];
+        let is_counted = &self.seconds[from.min(self.seconds.len())..];
         let ratio = |window: &[Second]| {
             let asked: f64 = window.iter().map(|s| s.asked).sum();
             if asked > 0.0 {
@@ -217,6 +218,6 @@
                 1.0
             }
         };
-        counted.windows(seconds.min(counted.len()).max(1)).map(ratio).fold(1.0, f64::min)
+        is_counted.windows(seconds.min(is_counted.len()).max(1)).map(ratio).fold(1.0, f64::min)
     }
 }
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -182,7 +182,8 @@
     }
 }
 
-const VIOLATIONS_EXIT_CODE: u8 = 2;
+/// The exit code if a rule was violated, or if a difference is worse by more than the noise.
+const EXIT_VIOLATED_OR_WORSE: u8 = 2;
 
 fn run(arguments: Arguments) -> Result<u8, String> {
     match arguments.command {
@@ -201,7 +202,7 @@
             let bar = progress_bar(scenario.length.0.div_ceil(1_000_000), "s");
             let mut progress = |second| bar.set_position(second);
             let started = std::time::Instant::now();
-            let mut smaller = None;
+            let mut shrunk_scenario = None;
             let (result, judges) = match clock {
                 Clock::Virtual => {
                     let create = |context: &policy::NodeContext| policy::create(&name, context);
@@ -215,23 +216,23 @@
                         );
                     }
                     let program = node.map_or_else(program::node_binary, Ok)?;
-                    let means = real::NodeProcessOptions {
+                    let options = real::NodeProcessOptions {
                         program,
                         log_dir: logs,
                         arguments: Vec::new(),
                         environment: Vec::new(),
                     };
-                    let outcome = real::play(&scenario, seed, &means, &mut progress)?;
+                    let outcome = real::play(&scenario, seed, &options, &mut progress)?;
                     if outcome.0.rules.any() && shrink > 0 {
-                        smaller = Some(real::shrink_faults(&scenario, seed, &means, shrink)?);
+                        shrunk_scenario = Some(real::shrink_faults(&scenario, seed, &options, shrink)?);
                     }
                     outcome
                 }
             };
             bar.finish_and_clear();
             print_result(&result);
-            if let Some(small) = smaller {
-                let text = toml::to_string(&small).map_err(|e| format!("the scenario: {e}"))?;
+            if let Some(shrunk) = shrunk_scenario {
+                let text = toml::to_string(&shrunk).map_err(|e| format!("the scenario: {e}"))?;
                 println!("scenario with the fewest faults that still violate a rule:\n{text}");
             }
             if matches!(clock, Clock::Virtual) {
@@ -248,7 +249,7 @@
                 write_file(&path, &report::html(&scenario, &result, &judges)?)?;
             }
             match (&result.void, result.rules.any()) {
-                (_, true) => Ok(VIOLATIONS_EXIT_CODE),
+                (_, true) => Ok(EXIT_VIOLATED_OR_WORSE),
                 (Some(_), _) => Ok(1),
                 _ => Ok(0),
             }
@@ -266,17 +267,25 @@
             let mut names: Vec<&String> = cells.iter().map(|c| &c.scenario).collect();
             names.dedup();
             for name in names {
-                let own: Vec<&experiment::Cell> = cells.iter().filter(|c| &c.scenario == name).collect();
-                write_file(&out.join(format!("{name}.svg")), &report::experiment_chart(name, &own)?)?;
+                let scenario_cells: Vec<&experiment::Cell> =
+                    cells.iter().filter(|c| &c.scenario == name).collect();
+                write_file(
+                    &out.join(format!("{name}.svg")),
+                    &report::experiment_chart(name, &scenario_cells)?,
+                )?;
             }
             print!("{}", experiment::table(&cells));
-            Ok(if cells.iter().any(|c| c.broken.iter().sum::<u64>() > 0) { VIOLATIONS_EXIT_CODE } else { 0 })
+            Ok(if cells.iter().any(|c| c.broken.iter().sum::<u64>() > 0) {
+                EXIT_VIOLATED_OR_WORSE
+            } else {
+                0
+            })
         }
         Command::Compare { a, b } => {
             let rows = compare::compare(&experiment::read_runs(&a)?, &experiment::read_runs(&b)?)?;
             print!("{}", compare::table(&rows));
             Ok(if rows.iter().any(|r| r.verdict == compare::Verdict::Worse) {
-                VIOLATIONS_EXIT_CODE
+                EXIT_VIOLATED_OR_WORSE
             } else {
                 0
             })
@@ -284,23 +293,26 @@
         Command::Search { scenario, seed, budget, policy: name, out } => {
             let scenario = Scenario::read(&scenario)?;
             if !policy::NAMES.contains(&name.as_str()) {
-                return Err(format!("there is no policy {name:?}: one of {}", policy::NAMES.join(", ")));
+                return Err(format!(
+                    "there is no policy {name:?}; the policies are {}",
+                    policy::NAMES.join(", ")
+                ));
             }
             let bar = progress_bar(budget as u64, "pairs");
-            let found = search::search(&scenario, seed, &name, budget, &|| bar.inc(1))?;
+            let worst = search::search(&scenario, seed, &name, budget, &|| bar.inc(1))?;
             bar.finish_and_clear();
-            let small = search::shrink(&found, seed, &name)?;
-            let text = toml::to_string(&small.scenario).map_err(|e| format!("the scenario: {e}"))?;
+            let shrunk = search::shrink(&worst, seed, &name)?;
+            let text = toml::to_string(&shrunk.scenario).map_err(|e| format!("the scenario: {e}"))?;
             write_file(&out, &text)?;
-            println!("{} plays. {}", small.plays, small.scenario.about);
-            println!("rules broken {}; as a scenario: {}", small.loss.violations, out.display());
-            Ok(if small.loss.violations > 0 { VIOLATIONS_EXIT_CODE } else { 0 })
+            println!("{} plays. {}", shrunk.plays, shrunk.scenario.about);
+            println!("{} rule violations; scenario written to {}", shrunk.loss.violations, out.display());
+            Ok(if shrunk.loss.violations > 0 { EXIT_VIOLATED_OR_WORSE } else { 0 })
         }
         Command::Soak { seeds, logs, node } => {
             let program = node.map_or_else(program::node_binary, Ok)?;
-            let found = soak::run(seeds, &program, logs.as_deref(), &mut |line| println!("{line}"))?;
-            println!("{found}");
-            Ok(if found.failed > 0 { VIOLATIONS_EXIT_CODE } else { u8::from(found.inconclusive > 0) })
+            let summary = soak::run(seeds, &program, logs.as_deref(), &mut |line| println!("{line}"))?;
+            println!("{summary}");
+            Ok(if summary.failed > 0 { EXIT_VIOLATED_OR_WORSE } else { u8::from(summary.inconclusive > 0) })
         }
         Command::Paper => {
             print!("{}", rehearsal::paper::tables()?);
--- a/crates/rehearsal/src/model/backend.rs
+++ b/crates/rehearsal/src/model/backend.rs
@@ -27,7 +27,7 @@
 
 impl IdempotencyStore {
     /// Whether the key was executed within its retention. If not, it counts as executed now.
-    fn is_repeat(&mut self, now: Timestamp, key: &IdempotencyKey) -> bool {
+    fn detect_repeat(&mut self, now: Timestamp, key: &IdempotencyKey) -> bool {
         let seen = self.0.get(&(key.scope, key.key)).copied();
         let repeat = seen.is_some_and(|at| now < at + key.retention);
         if !repeat {
@@ -342,7 +342,7 @@
     fn start_queued(&mut self, now: Timestamp, store: &mut IdempotencyStore, events: &mut Vec<BackendEvent>) {
         while self.running.len() < usize::from(self.kind.cores) {
             let Some(next) = self.queued.pop_front() else { break };
-            let repeat = next.idempotency_key.is_some_and(|key| store.is_repeat(now, &key));
+            let repeat = next.idempotency_key.is_some_and(|key| store.detect_repeat(now, &key));
             let work = if repeat { next.work.min(REPEAT_WORK_US) } else { next.work };
             self.running
                 .push(RunningCommand { key: next.key, target_done_per_core: self.done_per_core + work });
--- a/crates/rehearsal/src/model/fleet.rs
+++ b/crates/rehearsal/src/model/fleet.rs
@@ -39,7 +39,7 @@
     /// The kind of each backend, as an index into the scenario's kinds.
     kind_indices: Vec<u8>,
     /// Whether another backend has replaced this one, so that it never comes back.
-    retired: Vec<bool>,
+    is_replaced: Vec<bool>,
     pub idempotency_store: IdempotencyStore,
     /// The list's entry of each backend. Backends in the state `Gone` are not in the list.
     pub entries: Vec<ListEntry>,
@@ -63,7 +63,7 @@
         let mut fleet = Fleet {
             backends: Vec::new(),
             kind_indices: Vec::new(),
-            retired: Vec::new(),
+            is_replaced: Vec::new(),
             idempotency_store: IdempotencyStore::default(),
             entries: Vec::new(),
             changes: Vec::new(),
@@ -75,13 +75,13 @@
             list_settings: scenario.list.clone(),
             cold_budget: (scenario.allow.push_over, scenario.allow.push_span.span()),
         };
-        for (kind, k) in scenario.backends.iter().enumerate() {
-            for _ in 0..k.count {
+        for (kind_index, backend_kind) in scenario.backends.iter().enumerate() {
+            for _ in 0..backend_kind.count {
                 let i = fleet.backends.len();
                 let zone = (i % usize::from(scenario.zones)) as u16;
                 // Groups span zones; otherwise the loss of a zone would lose the memory of idempotency keys.
-                let group = (i / usize::from(k.group)) as u16;
-                fleet.add(kind, k.clone(), (zone, group), None, now);
+                let group = (i / usize::from(backend_kind.group)) as u16;
+                fleet.add(kind_index, backend_kind.clone(), (zone, group), None, now);
                 fleet.publish(i);
             }
         }
@@ -90,22 +90,29 @@
 
     fn add(
         &mut self,
-        kind: usize,
-        k: crate::scenario::BackendKind,
+        kind_index: usize,
+        backend_kind: crate::scenario::BackendKind,
         place: (u16, u16),
         started: Option<Timestamp>,
         now: Timestamp,
     ) {
         let number = self.backends.len() as u64;
-        self.backends.push(Backend::new(k, place, started, now, self.cold_budget, (self.seed, number)));
-        self.kind_indices.push(kind as u8);
-        self.retired.push(false);
+        self.backends.push(Backend::new(
+            backend_kind,
+            place,
+            started,
+            now,
+            self.cold_budget,
+            (self.seed, number),
+        ));
+        self.kind_indices.push(kind_index as u8);
+        self.is_replaced.push(false);
         self.entries.push(ListEntry {
             name_hash: number,
             weight: 1.0,
             backend: BackendId(number as u32),
             zone: ZoneId(place.0),
-            backend_type: BackendTypeId(kind as u8),
+            backend_type: BackendTypeId(kind_index as u8),
             group: GroupId(place.1),
             state: BackendState::Gone,
             started_at: started.unwrap_or_default(),
@@ -169,15 +176,15 @@
             }
             Step::StopDrained(i) if self.backends[i].is_draining => self.kill_backend(now, i, now, actions),
             Step::Kill(i) if self.backends[i].is_up => self.kill_backend(now, i, death_listed_at, actions),
-            Step::Restart(i) if !self.backends[i].is_up && !self.retired[i] => {
+            Step::Restart(i) if !self.backends[i].is_up && !self.is_replaced[i] => {
                 self.backends[i].restart(now);
                 actions.extend([DriverAction::ReportColdStart(i), DriverAction::Publish(start_listed_at, i)]);
             }
-            Step::Replace(i) if !self.retired[i] => {
-                self.retired[i] = true;
-                let (b, kind) = (&self.backends[i], usize::from(self.kind_indices[i]));
-                let (k, place) = (b.kind.clone(), (b.zone, b.group));
-                self.add(kind, k, place, Some(now), now);
+            Step::Replace(i) if !self.is_replaced[i] => {
+                self.is_replaced[i] = true;
+                let (b, kind_index) = (&self.backends[i], usize::from(self.kind_indices[i]));
+                let (backend_kind, place) = (b.kind.clone(), (b.zone, b.group));
+                self.add(kind_index, backend_kind, place, Some(now), now);
                 let new = self.backends.len() - 1;
                 actions.extend([
                     DriverAction::ReportColdStart(new),
--- a/crates/rehearsal/src/policy.rs
+++ b/crates/rehearsal/src/policy.rs
@@ -32,27 +32,39 @@
 /// The decisions of a node, and the events that it is informed of. `fleet` is the true state of the backends, which only the
 /// policies `shortest` and `sighted` use.
 pub trait Policy {
+    /// What to do with a command now. `command` is the key of the command in the node.
     fn decide(
         &mut self,
         now: Timestamp,
-        hand: CommandHandle,
+        command: CommandHandle,
         active: &mut ActiveCommand,
         fleet: &Fleet,
     ) -> Decision;
-    /// `task.launches` already has the outcome of the launch.
+    /// What to do with a command after one of its launches has ended. `active.launches` already has the new state of the
+    /// launch.
     fn on_launch_outcome(
         &mut self,
         now: Timestamp,
-        hand: CommandHandle,
+        command: CommandHandle,
         active: &mut ActiveCommand,
-        launch: u8,
+        launch_index: u8,
         outcome: Outcome,
         fleet: &Fleet,
     ) -> Decision;
+    /// When the command has to be decided on again, or, without a command, when `next_action` has to be called.
     fn wakeup_delay(&self, now: Timestamp, active: Option<&ActiveCommand>) -> Option<Micros>;
+    /// The client of the command has left.
     fn on_client_gone(&mut self, active: &mut ActiveCommand);
-    fn apply_list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]);
-    fn on_load_report(&mut self, now: Timestamp, at: BackendId, found: bool, trip: Micros, values: &[f32]);
+    fn apply_list(&mut self, now: Timestamp, kind: ListUpdateKind, entries: &[ListEntry]);
+    fn on_load_report(
+        &mut self,
+        now: Timestamp,
+        backend: BackendId,
+        found: bool,
+        round_trip: Micros,
+        values: &[f32],
+    );
+    /// The next action besides decisions on commands, until there is none.
     fn next_action(&mut self, now: Timestamp) -> Option<Action>;
 }
 
@@ -99,39 +111,46 @@
     fn decide(
         &mut self,
         now: Timestamp,
-        hand: CommandHandle,
+        command: CommandHandle,
         active: &mut ActiveCommand,
         _: &Fleet,
     ) -> Decision {
-        self.0.decide(now, hand, &mut active.command)
+        self.0.decide(now, command, &mut active.command)
     }
 
     fn on_launch_outcome(
         &mut self,
         now: Timestamp,
-        hand: CommandHandle,
+        command: CommandHandle,
         active: &mut ActiveCommand,
-        n: u8,
+        launch_index: u8,
         outcome: Outcome,
         _: &Fleet,
     ) -> Decision {
-        self.0.on_launch_outcome(now, hand, &mut active.command, n, outcome)
+        self.0.on_launch_outcome(now, command, &mut active.command, launch_index, outcome)
     }
 
     fn wakeup_delay(&self, now: Timestamp, active: Option<&ActiveCommand>) -> Option<Micros> {
-        self.0.wakeup_delay(now, active.map(|t| &t.command))
+        self.0.wakeup_delay(now, active.map(|active| &active.command))
     }
 
     fn on_client_gone(&mut self, active: &mut ActiveCommand) {
         self.0.on_client_gone(&mut active.command);
     }
 
-    fn apply_list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]) {
-        self.0.apply_list(now, kind, lines.iter().copied());
+    fn apply_list(&mut self, now: Timestamp, kind: ListUpdateKind, entries: &[ListEntry]) {
+        self.0.apply_list(now, kind, entries.iter().copied());
     }
 
-    fn on_load_report(&mut self, now: Timestamp, at: BackendId, found: bool, trip: Micros, values: &[f32]) {
-        self.0.on_load_report(now, at, found, Some(trip), values);
+    fn on_load_report(
+        &mut self,
+        now: Timestamp,
+        backend: BackendId,
+        found: bool,
+        round_trip: Micros,
+        values: &[f32],
+    ) {
+        self.0.on_load_report(now, backend, found, Some(round_trip), values);
     }
 
     fn next_action(&mut self, now: Timestamp) -> Option<Action> {
@@ -161,9 +180,12 @@
 struct SimplePolicy {
     strategy: Strategy,
     rng: SeededRng,
+    /// For `RoundRobin`.
     next_index: usize,
     listed: Vec<ListEntry>,
+    /// The backends that the list shows as ready.
     ready: Vec<usize>,
+    /// The number of launches in flight, by backend.
     in_flight: Vec<u32>,
     effects: Vec<CommandEffect>,
     goal_times: Vec<Micros>,
@@ -203,7 +225,7 @@
         }
     }
 
-    fn choose(&mut self, now: Timestamp, active: &ActiveCommand, fleet: &Fleet) -> Option<usize> {
+    fn choose_backend(&mut self, now: Timestamp, active: &ActiveCommand, fleet: &Fleet) -> Option<usize> {
         let is_untried = |b: &usize| !active.launches.iter().any(|s| s.backend == *b);
         let candidates: Vec<usize> = self.ready.iter().copied().filter(is_untried).collect();
         if candidates.is_empty() {
@@ -216,12 +238,12 @@
                 candidates[self.next_index % candidates.len()]
             }
             Strategy::LessBusy => {
-                let two = [self.rng.below(candidates.len()), self.rng.below(candidates.len())]
+                let pair = [self.rng.below(candidates.len()), self.rng.below(candidates.len())]
                     .map(|i| candidates[i]);
-                if self.in_flight[two[1]] < self.in_flight[two[0]] {
-                    two[1]
+                if self.in_flight[pair[1]] < self.in_flight[pair[0]] {
+                    pair[1]
                 } else {
-                    two[0]
+                    pair[0]
                 }
             }
             Strategy::Shortest | Strategy::Sighted => {
@@ -233,14 +255,14 @@
                 for k in 0..candidates.len() {
                     let i = candidates[(start + k) % candidates.len()];
                     let b = &fleet.backends[i];
-                    let full = b.held_commands() as f64 >= b.cores() * (1.0 + b.kind.queue);
+                    let is_full = b.held_commands() as f64 >= b.cores() * (1.0 + b.kind.queue);
                     let would_collapse =
                         b.kind.collapse.is_some_and(|c| b.held_commands() as f64 + 1.0 >= c.at * b.cores());
-                    let full = full || avoids_overload && would_collapse;
+                    let is_full = is_full || avoids_overload && would_collapse;
                     if !b.is_up
                         || b.is_cut_off
                         || b.is_draining
-                        || full
+                        || is_full
                         || b.rate() <= 0.0
                         || b.would_crash(now, work)
                     {
@@ -306,7 +328,7 @@
         if active.command.is_closed || active.in_flight() > 0 {
             return Decision::Wait;
         }
-        match self.choose(now, active, fleet) {
+        match self.choose_backend(now, active, fleet) {
             Some(i) => {
                 self.in_flight[i] += 1;
                 Decision::Launch(BackendId(i as u32))
@@ -318,20 +340,20 @@
     fn on_launch_outcome(
         &mut self,
         now: Timestamp,
-        hand: CommandHandle,
+        command: CommandHandle,
         active: &mut ActiveCommand,
-        n: u8,
+        launch_index: u8,
         outcome: Outcome,
         fleet: &Fleet,
     ) -> Decision {
-        self.in_flight[active.launches[usize::from(n)].backend] -= 1;
+        self.in_flight[active.launches[usize::from(launch_index)].backend] -= 1;
         if active.command.is_closed || outcome == Outcome::Finished {
             return Decision::Wait;
         }
         let effect = self.effects[usize::from(active.command.profile.0)];
         let retry_is_safe = effect == CommandEffect::Repeatable || outcome.proves_not_run(false);
         if retry_is_safe && active.launches.len() < self.max_launches && now < active.command.deadline {
-            return self.decide(now, hand, active, fleet);
+            return self.decide(now, command, active, fleet);
         }
         self.give_up(active)
     }
@@ -344,7 +366,7 @@
         active.command.is_closed = true;
     }
 
-    fn apply_list(&mut self, now: Timestamp, kind: ListUpdateKind, lines: &[ListEntry]) {
+    fn apply_list(&mut self, now: Timestamp, kind: ListUpdateKind, entries: &[ListEntry]) {
         match kind {
             ListUpdateKind::Failed | ListUpdateKind::Silent => {
                 self.needs_list = true;
@@ -357,12 +379,12 @@
         if kind != ListUpdateKind::Delta {
             self.listed.clear();
         }
-        for line in lines {
-            match self.listed.iter_mut().find(|l| l.backend == line.backend) {
-                Some(old) => *old = *line,
-                None => self.listed.push(*line),
+        for entry in entries {
+            match self.listed.iter_mut().find(|l| l.backend == entry.backend) {
+                Some(old) => *old = *entry,
+                None => self.listed.push(*entry),
             }
-            self.in_flight.resize(self.in_flight.len().max(line.backend.0 as usize + 1), 0);
+            self.in_flight.resize(self.in_flight.len().max(entry.backend.0 as usize + 1), 0);
         }
         let ready = self.listed.iter().filter(|l| l.state == BackendState::Ready);
         self.ready = ready.map(|l| l.backend.0 as usize).collect();
--- a/crates/rehearsal/src/report/charts.rs
+++ b/crates/rehearsal/src/report/charts.rs
@@ -14,7 +14,7 @@
     RGBColor(150, 120, 20),
     RGBColor(90, 90, 90),
 ];
-const INK: RGBColor = RGBColor(70, 78, 90);
+const AXIS_COLOUR: RGBColor = RGBColor(70, 78, 90);
 
 fn colour(i: usize) -> RGBColor {
     COLOURS[i % COLOURS.len()]
@@ -46,7 +46,7 @@
         chart
             .configure_mesh()
             .light_line_style(WHITE)
-            .axis_style(INK)
+            .axis_style(AXIS_COLOUR)
             .x_desc("seconds")
             .y_desc("service")
             .x_label_formatter(&|x| format!("{x:.0}"))
@@ -63,7 +63,7 @@
             .enumerate()
             .map(|(i, s)| (i as f64 + 0.5, 0.3 * s.commands as f64 / max))
             .collect();
-        chart.draw_series(AreaSeries::new(load, 0.0, INK.mix(0.18))).map_err(chart_error)?;
+        chart.draw_series(AreaSeries::new(load, 0.0, AXIS_COLOUR.mix(0.18))).map_err(chart_error)?;
         area.present().map_err(chart_error)?;
     }
     Ok(svg + "<p class=\"note\">Grey: the number of commands due, relative to the busiest second.</p>\n")
@@ -88,7 +88,7 @@
         chart
             .configure_mesh()
             .light_line_style(WHITE)
-            .axis_style(INK)
+            .axis_style(AXIS_COLOUR)
             .x_desc("milliseconds")
             .y_desc("percentile")
             .y_labels(5)
@@ -126,7 +126,7 @@
         chart
             .configure_series_labels()
             .position(SeriesLabelPosition::UpperLeft)
-            .border_style(INK)
+            .border_style(AXIS_COLOUR)
             .background_style(WHITE)
             .draw()
             .map_err(chart_error)?;
@@ -153,7 +153,7 @@
         chart
             .configure_mesh()
             .disable_mesh()
-            .axis_style(INK)
+            .axis_style(AXIS_COLOUR)
             .y_labels(rows.len().clamp(1, 20))
             .y_label_formatter(&|y| format!("{y:.0}"))
             .x_label_formatter(&|x| format!("{x:.0}"))
@@ -211,7 +211,7 @@
         chart
             .configure_mesh()
             .light_line_style(WHITE)
-            .axis_style(INK)
+            .axis_style(AXIS_COLOUR)
             .x_desc(if all_numbers { key.map_or("", |k| k.as_str()) } else { "cell" })
             .y_desc("service")
             .draw()
@@ -235,7 +235,7 @@
         chart
             .configure_series_labels()
             .position(SeriesLabelPosition::LowerLeft)
-            .border_style(INK)
+            .border_style(AXIS_COLOUR)
             .background_style(WHITE)
             .draw()
             .map_err(chart_error)?;
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -13,6 +13,7 @@
     pub name: String,
     #[serde(default)]
     pub about: String,
+    /// No command is due after this time.
     pub length: Time,
     /// Commands that are due before this time are played but not counted.
     #[serde(default = "default_settle")]
@@ -71,9 +72,10 @@
     /// The interval at which all nodes, one after the other, get a configuration with another address of discovery; 0 means
     /// never.
     pub discovery_moves_every: Time,
-    /// One in this many of the nodes' socket calls transfers less than asked for; 0 means none. Likewise, one in this many
-    /// accepts and outgoing connections fails.
+    /// One in this many of the nodes' socket calls is cut short: it is interrupted or transfers less than asked for. 0 means
+    /// none.
     pub short_calls: u32,
+    /// One in this many accepts, or outgoing connections, of the nodes fails; 0 means none.
     pub failing_accepts: u32,
     pub failing_dials: u32,
 }
@@ -84,9 +86,9 @@
 pub struct ViewSettings {
     /// The interval between probes of other members.
     pub period: Time,
-    /// How long a node waits before it takes over the share of a missing member.
+    /// How long a member has to be dead before the others take over its share.
     pub sure: Time,
-    /// How long a node that has lost contact keeps its own share.
+    /// How long after it last saw a majority a node gives up the share that others may take over.
     pub release: Time,
     /// How soon after the last fault all nodes have to agree.
     pub agree: Time,
@@ -143,6 +145,7 @@
     Even,
 }
 
+/// The offered load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
@@ -175,6 +178,7 @@
     Advised,
 }
 
+/// The behaviour of clients.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
@@ -182,6 +186,7 @@
     pub retry_mode: RetryMode,
     /// The maximum number of attempts after the first one.
     pub retries: u32,
+    /// The mean delay before a retry.
     pub wait: Time,
     /// The share of commands whose client leaves before its time limit.
     pub leaving: f64,
@@ -291,10 +296,10 @@
     /// The longest `Retry-After` that a rejection may give; without it rejections give none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub come_back: Option<Time>,
-    /// The cost of a probe, and of a launch to another zone, in payoff.
+    /// The penalties of a probe and of a launch to another zone: the settings `penalties.probe` and `penalties.crossZone`.
     pub probe_price: f64,
     pub crossing_price: f64,
-    /// The setting `surplusPayoff`.
+    /// Passed to nodes as the setting `surplusPayoff`.
     pub surplus_payoff: f64,
     /// Launches to a backend may start this long after the node was told that it drains or is gone.
     pub drain_grace: Time,
@@ -454,9 +459,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CommandEffect {
+    /// It may be executed any number of times.
     Repeatable,
     /// It carries an idempotency key, so that backends of the scope execute it once.
     Tagged,
+    /// It must be executed once at most.
     OnceOnly,
 }
 
@@ -542,7 +549,7 @@
     NodeRestarts,
     /// Nodes are killed and restarted, one after the other.
     NodeDeaths,
-    /// The backends of a zone are cut off from the network. Their processes go on, and the connections come back later.
+    /// The backends of a zone are cut off from the network and reconnected at the end. Their processes keep their state.
     ZoneLoss,
     /// Discovery answers nothing, and its watches end.
     ListOutage,
@@ -608,6 +615,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
     pub kind: TroubleKind,
+    /// When it starts.
     pub at: Time,
     #[serde(default)]
     pub length: Time,
@@ -616,13 +624,16 @@
     pub share: f64,
     #[serde(default = "default_one_f64")]
     pub strength: f64,
+    /// How long what it stops is down; the delay for `Delay`.
     #[serde(default = "default_down")]
     pub down: Time,
+    /// The mean time between stalls.
     #[serde(default = "default_down")]
     pub every: Time,
     /// In a rolling deploy: backends are replaced by new ones under new names, not by new processes under the old names.
     #[serde(default)]
     pub swap: bool,
+    /// The zone that is lost.
     #[serde(default)]
     pub zone: u16,
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/rehearsal/src/virtual_clock.rs
+++ b/crates/rehearsal/src/virtual_clock.rs
@@ -52,13 +52,13 @@
         Handle { slot: self.slab.insert((self.last_id, value)) as u32, id: self.last_id }
     }
 
-    fn get(&mut self, at: Handle) -> Option<&mut T> {
-        self.slab.get_mut(at.slot as usize).filter(|(id, _)| *id == at.id).map(|(_, value)| value)
+    fn get(&mut self, handle: Handle) -> Option<&mut T> {
+        self.slab.get_mut(handle.slot as usize).filter(|(id, _)| *id == handle.id).map(|(_, value)| value)
     }
 
-    fn remove(&mut self, at: Handle) -> Option<T> {
-        self.get(at)?;
-        Some(self.slab.remove(at.slot as usize).1)
+    fn remove(&mut self, handle: Handle) -> Option<T> {
+        self.get(handle)?;
+        Some(self.slab.remove(handle.slot as usize).1)
     }
 
     fn handles(&self) -> Vec<Handle> {
@@ -73,10 +73,12 @@
     CommandDue,
     /// A client starts an attempt of a command.
     StartAttempt(Handle),
+    /// An attempt reaches its node.
     AttemptAtNode(Handle),
+    /// A final answer reaches the client.
     AnswerAtClient {
         attempt_handle: Handle,
-        number: u64,
+        attempt_number: u64,
         answer: u8,
         retry_after_us: Option<u64>,
     },
@@ -94,12 +96,14 @@
         generation: u32,
         held_handle: Option<Handle>,
     },
+    /// A launch reaches its backend.
     LaunchAtBackend(Handle),
     /// A backend's state changes; ignored if its timer was set again since.
     BackendChange {
         backend: u32,
         timer_id: u32,
     },
+    /// The outcome of a launch reaches its node.
     OutcomeAtNode {
         launch_handle: Handle,
         outcome: u8,
@@ -124,6 +128,7 @@
         node: u32,
         generation: u32,
     },
+    /// The whole list reaches a node.
     ListSnapshot {
         node: u32,
         generation: u32,
@@ -134,6 +139,7 @@
         generation: u32,
         backend: u32,
     },
+    /// A node sees that its request for the list has failed, or that its watch has ended.
     ListFailed {
         node: u32,
         generation: u32,
@@ -174,10 +180,11 @@
 struct Attempt {
     command_handle: Handle,
     node: usize,
+    /// The generation of the node when the attempt was sent.
     generation: u32,
-    number: u64,
+    attempt_number: u64,
     deadline: Timestamp,
-    /// The command that the node holds for it, for as long as it does.
+    /// The command that its node holds for it, for as long as it does.
     held_handle: Option<Handle>,
     /// Whether the client still waits for the answer.
     is_open: bool,
@@ -225,7 +232,7 @@
     /// The number of idle connections by backend.
     idle_connections: Vec<u16>,
     watches_list: bool,
-    /// The arrival time of the last change that discovery has sent.
+    /// When the last change that discovery has sent arrives; later ones do not arrive before it.
     list_sent_until: Timestamp,
     next_generation: u32,
 }
@@ -384,18 +391,18 @@
             Event::CommandDue => self.on_command_due(),
             Event::StartAttempt(command_handle) => self.start_attempt(command_handle),
             Event::AttemptAtNode(attempt_handle) => self.on_attempt_at_node(attempt_handle),
-            Event::AnswerAtClient { attempt_handle, number, answer, retry_after_us } => {
+            Event::AnswerAtClient { attempt_handle, attempt_number, answer, retry_after_us } => {
                 self.on_answer(
                     attempt_handle,
-                    number,
+                    attempt_number,
                     FINAL_ANSWERS[usize::from(answer)],
                     retry_after_us.map(Micros),
                 );
             }
             Event::ClientLeaves(attempt_handle) => {
                 if let Some(attempt) = self.attempts.get(attempt_handle).filter(|attempt| attempt.is_open) {
-                    let number = attempt.number;
-                    self.judges.observe(Observation::ClientLeft { attempt: number, at: self.now });
+                    let attempt_number = attempt.attempt_number;
+                    self.judges.observe(Observation::ClientLeft { attempt: attempt_number, at: self.now });
                     self.close_client_connection(attempt_handle);
                     self.end_attempt(attempt_handle, None);
                 }
@@ -409,8 +416,9 @@
             Event::ClientGoneAtNode(attempt_handle) => self.on_client_gone(attempt_handle),
             Event::ConnectionLost(attempt_handle) => {
                 if let Some(attempt) = self.attempts.get(attempt_handle).filter(|attempt| attempt.is_open) {
-                    let number = attempt.number;
-                    self.judges.observe(Observation::ConnectionBroken { attempt: number, at: self.now });
+                    let attempt_number = attempt.attempt_number;
+                    self.judges
+                        .observe(Observation::ConnectionBroken { attempt: attempt_number, at: self.now });
                     self.end_attempt(attempt_handle, Some(AttemptOutcome::Lost));
                 }
             }
@@ -498,6 +506,7 @@
         Ok(())
     }
 
+    /// Whether the node still runs the process of this generation.
     fn is_current(&self, node: u32, generation: u32) -> bool {
         let n = &self.nodes[node as usize];
         n.is_up && n.generation == generation
@@ -528,15 +537,15 @@
         self.attempt_count += 1;
         let latency = self.client_latency();
         let limit = self.scenario.profiles[usize::from(profile)].limit.span();
-        let until = self.now + latency + limit;
+        let deadline = self.now + latency + limit;
         let generation = node.map_or(0, |n| self.nodes[n].generation);
-        let number = self.attempt_count;
+        let attempt_number = self.attempt_count;
         let attempt = Attempt {
             command_handle,
             node: node.unwrap_or(0),
             generation,
-            number,
-            deadline: until,
+            attempt_number,
+            deadline,
             held_handle: None,
             is_open: true,
         };
@@ -546,7 +555,7 @@
             return;
         }
         self.schedule_after(latency, Event::AttemptAtNode(attempt_handle));
-        self.schedule_at(until + ANSWER_GRACE, Event::AttemptTimeout(attempt_handle));
+        self.schedule_at(deadline + ANSWER_GRACE, Event::AttemptTimeout(attempt_handle));
         if leaves_early {
             self.schedule_after(
                 self.scenario.clients.leave_after.span(),
@@ -563,15 +572,20 @@
     fn on_answer(
         &mut self,
         attempt_handle: Handle,
-        number: u64,
+        attempt_number: u64,
         answer: FinalAnswer,
         retry_after: Option<Micros>,
     ) {
         // The judges have to see an answer even if the attempt has ended, because it may be one too many.
-        let open = self.attempts.get(attempt_handle).is_some_and(|attempt| attempt.is_open);
-        let made_for = (answer == FinalAnswer::Finished).then_some(number);
-        self.judges.observe(Observation::Answered { attempt: number, answer, made_for, at: self.now });
-        if open {
+        let is_open = self.attempts.get(attempt_handle).is_some_and(|attempt| attempt.is_open);
+        let made_for = (answer == FinalAnswer::Finished).then_some(attempt_number);
+        self.judges.observe(Observation::Answered {
+            attempt: attempt_number,
+            answer,
+            made_for,
+            at: self.now,
+        });
+        if is_open {
             let outcome = match answer {
                 FinalAnswer::Finished => AttemptOutcome::Finished,
                 FinalAnswer::Rejected => AttemptOutcome::Rejected(retry_after),
@@ -592,10 +606,10 @@
         let Some(pending) = self.commands.get(command_handle) else { return };
         let (command, profile, attempts) =
             (pending.arrival.number, pending.arrival.profile, pending.attempts);
-        let next = outcome
+        let delay = outcome
             .and_then(|outcome| retry_delay(self.scenario, profile, attempts, outcome, &mut self.client_rng));
-        if let Some(pause) = next {
-            self.schedule_after(pause, Event::StartAttempt(command_handle));
+        if let Some(delay) = delay {
+            self.schedule_after(delay, Event::StartAttempt(command_handle));
             return;
         }
         self.commands.remove(command_handle);
@@ -613,8 +627,13 @@
 
     fn on_attempt_at_node(&mut self, attempt_handle: Handle) {
         let Some(attempt) = self.attempts.get(attempt_handle) else { return };
-        let (node, number, until, command_handle, generation) =
-            (attempt.node, attempt.number, attempt.deadline, attempt.command_handle, attempt.generation);
+        let (node, attempt_number, deadline, command_handle, generation) = (
+            attempt.node,
+            attempt.attempt_number,
+            attempt.deadline,
+            attempt.command_handle,
+            attempt.generation,
+        );
         if !attempt.is_open {
             self.attempts.remove(attempt_handle);
             return;
@@ -626,18 +645,18 @@
         let Some(pending) = self.commands.get(command_handle) else { return };
         let (arrival, is_retry) = (&pending.arrival, pending.attempts > 1);
         let (command, profile, work) = (arrival.number, arrival.profile, arrival.work);
-        let id = CommandId(number as u32);
-        let left = until.since(self.now);
-        let mut node_command = Command::new(id, ProfileId(profile), self.now, left);
+        let id = CommandId(attempt_number as u32);
+        let time_left = deadline.since(self.now);
+        let mut node_command = Command::new(id, ProfileId(profile), self.now, time_left);
         node_command.work_hint = arrival.work_hint.map(|h| Micros(h as u64));
         node_command.is_client_retry = is_retry && self.scenario.clients.mark_repeats;
         self.judges.observe(Observation::AttemptReceived {
-            attempt: number,
+            attempt: attempt_number,
             command,
             profile,
             node,
             at: self.now,
-            until,
+            until: deadline,
         });
         let held = HeldCommand {
             active: ActiveCommand { command: node_command, launches: Vec::new() },
@@ -687,13 +706,13 @@
     ) {
         let Some(held) = self.nodes[node].held_commands.get(held_handle) else { return };
         held.active.command.is_closed = true;
-        let (attempt_handle, number) = (held.attempt_handle, u64::from(held.active.command.id.0));
+        let (attempt_handle, attempt_number) = (held.attempt_handle, u64::from(held.active.command.id.0));
         let latency = self.client_latency();
         self.schedule_after(
             latency,
             Event::AnswerAtClient {
                 attempt_handle,
-                number,
+                attempt_number,
                 answer: index_of(&FINAL_ANSWERS, answer),
                 retry_after_us,
             },
@@ -716,7 +735,7 @@
             return;
         }
         if let Some(delay) = n.policy.wakeup_delay(self.now, Some(&held.active)) {
-            // Timers have a resolution of one microsecond, so that they cannot fire at once.
+            // The resolution of a timer is one microsecond, which is its shortest delay.
             let at = self.now + delay.max(Micros(1));
             if held.timer_at != Some(at) {
                 held.timer_at = Some(at);
@@ -749,6 +768,7 @@
         self.run_node_actions(node);
     }
 
+    /// Performs the actions of a node's policy, and sets the timer for the next ones.
     fn run_node_actions(&mut self, node: usize) {
         while let Some(action) = self.nodes[node].policy.next_action(self.now) {
             let generation = self.nodes[node].generation;
@@ -957,6 +977,7 @@
         self.handle_backend_events();
     }
 
+    /// Handles what happened at backends: reports started work, and sends the answers of finished work.
     fn handle_backend_events(&mut self) {
         let mut events = std::mem::take(&mut self.backend_events);
         for event in events.drain(..) {
@@ -995,6 +1016,7 @@
         self.backend_events = events;
     }
 
+    /// Sets the timer of a backend to its next change.
     fn schedule_backend_change(&mut self, i: usize) {
         let next = self.fleet.backends[i].next_change().map(|at| at.max(self.now + Micros(1)));
         let (timer_id, timer_at) = &mut self.backend_timers[i];
@@ -1013,7 +1035,7 @@
             return;
         };
         launch.is_done_at_node = true;
-        let (node, generation, held_handle, number, backend) =
+        let (node, generation, held_handle, launch_index, backend) =
             (launch.node, launch.generation, launch.held_handle, launch.launch_index, launch.backend);
         if launch.is_done_at_backend {
             self.launches.remove(launch_handle);
@@ -1025,7 +1047,7 @@
             let idle = &mut self.nodes[node].idle_connections[backend];
             *idle = idle.saturating_add(1);
         }
-        self.on_launch_outcome(node, held_handle, number, outcome);
+        self.on_launch_outcome(node, held_handle, launch_index, outcome);
     }
 
     fn on_launch_outcome(&mut self, node: usize, held_handle: Handle, launch_index: u8, outcome: Outcome) {
@@ -1060,11 +1082,11 @@
             return;
         };
         launch.is_done_at_node = true;
-        let (node, generation, held_handle, number) =
+        let (node, generation, held_handle, launch_index) =
             (launch.node, launch.generation, launch.held_handle, launch.launch_index);
         self.cancel_launch(launch_handle);
         if self.is_current(node as u32, generation) {
-            self.on_launch_outcome(node, held_handle, number, Outcome::TimedOut);
+            self.on_launch_outcome(node, held_handle, launch_index, Outcome::TimedOut);
         }
     }
 
@@ -1127,6 +1149,7 @@
         self.scenario.list.trip.span().scaled(self.network_rng.uniform())
     }
 
+    /// A node starts with the list that it has cached.
     fn use_cached_list(&mut self, node: usize) {
         let entries: Vec<ListEntry> = self.fleet.snapshot().collect();
         self.nodes[node].policy.apply_list(self.now, ListUpdateKind::Cached, &entries);
@@ -1197,6 +1220,7 @@
         Ok(())
     }
 
+    /// Performs the actions that steps of troubles require.
     fn run_driver_actions(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
@@ -1267,6 +1291,7 @@
         }
     }
 
+    /// Drops the attempts that a dead process of a node has received; their clients see a lost connection.
     fn drop_attempts(&mut self, node: usize, generation: u32) {
         for attempt_handle in self.attempts.handles() {
             let Some(attempt) = self
@@ -1286,6 +1311,7 @@
         }
     }
 
+    /// Sets whether clients are sent to a node.
     fn set_in_rotation(&mut self, node: usize, in_rotation: bool) {
         self.nodes_in_rotation.retain(|n| *n != node);
         if in_rotation {
