--- a/crates/rehearsal/src/event_queue.rs
+++ b/crates/rehearsal/src/event_queue.rs
@@ -66,6 +66,7 @@
         }
     }
 
+    /// Adds an event.
     pub fn push(&mut self, at: Timestamp, event: E) {
         self.sequence += 1;
         let entry = Entry { key: (at.0, self.sequence), event };
@@ -80,6 +81,7 @@
         }
     }
 
+    /// Removes and returns the next event.
     pub fn pop(&mut self) -> Option<(Timestamp, E)> {
         while self.current.is_empty() {
             self.advance_slot()?;
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -25,6 +25,7 @@
 }
 
 impl Judges {
+    /// Judges for a scenario that starts at `origin` with this many backends.
     pub fn new(scenario: &Scenario, origin: Timestamp, backends: usize) -> Judges {
         let (rules, service) =
             (RuleJudge::new(scenario, origin), ServiceJudge::new(scenario, origin, backends));
@@ -44,6 +45,7 @@
         result
     }
 
+    /// Takes note of an observation.
     pub fn observe(&mut self, observation: Observation) {
         self.rules.observe(&observation);
         self.service.observe(&observation);
--- a/crates/rehearsal/src/judge/result.rs
+++ b/crates/rehearsal/src/judge/result.rs
@@ -17,6 +17,7 @@
     pub most: f64,
 }
 
+/// What the commands of one profile came to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProfileResult {
     /// Commands that were due after the settle time. The other counts are of the same commands.
--- a/crates/rehearsal/src/judge/rules.rs
+++ b/crates/rehearsal/src/judge/rules.rs
@@ -38,7 +38,7 @@
         self.count() > 0
     }
 
-    /// All violations, whichever the rule.
+    /// The number of violations of all rules.
     pub fn count(&self) -> u64 {
         self.answers
             + self.effects
--- a/crates/rehearsal/src/model/backend.rs
+++ b/crates/rehearsal/src/model/backend.rs
@@ -212,6 +212,7 @@
         self.running.len() + self.queued.len()
     }
 
+    /// Commands in its queue.
     pub fn queued_commands(&self) -> usize {
         self.queued.len()
     }
--- a/crates/rehearsal/src/model/fleet.rs
+++ b/crates/rehearsal/src/model/fleet.rs
@@ -50,7 +50,7 @@
     pub reset_share: f64,
     /// The share of answers that never arrive.
     pub answer_loss_share: f64,
-    /// Delay that troubles add to each way between nodes and backends, in microseconds.
+    /// Delay that troubles add to each one-way latency between nodes and backends, in microseconds.
     pub extra_delay_us: i64,
     seed: u64,
     list_settings: crate::scenario::List,
@@ -59,6 +59,7 @@
 }
 
 impl Fleet {
+    /// The fleet at the start of a scenario: all backends are warm and listed.
     pub fn new(scenario: &Scenario, seed: u64, now: Timestamp) -> Fleet {
         let mut fleet = Fleet {
             backends: Vec::new(),
@@ -119,6 +120,7 @@
         });
     }
 
+    /// The name of a backend in discovery's list.
     pub fn backend_name(&self, i: usize) -> String {
         format!("b{i}")
     }
--- a/crates/rehearsal/src/model/settings.rs
+++ b/crates/rehearsal/src/model/settings.rs
@@ -4,6 +4,7 @@
 use crate::scenario::{CommandEffect, ListMode, Scenario, Scope};
 use serde_json::{json, Value};
 
+/// The name of a zone in settings and in discovery's list.
 pub fn zone_name(zone: u16) -> String {
     format!("zone-{zone}")
 }
--- a/crates/rehearsal/src/policy.rs
+++ b/crates/rehearsal/src/policy.rs
@@ -24,6 +24,7 @@
 }
 
 impl ActiveCommand {
+    /// The number of launches that have not ended.
     pub fn in_flight(&self) -> usize {
         self.launches.iter().filter(|s| s.state == LaunchState::InFlight).count()
     }
@@ -56,6 +57,7 @@
     /// The client of the command has left.
     fn on_client_gone(&mut self, active: &mut ActiveCommand);
     fn apply_list(&mut self, now: Timestamp, kind: ListUpdateKind, entries: &[ListEntry]);
+    /// A probe has ended after `round_trip`; `found` tells whether it brought a load report with these values.
     fn on_load_report(
         &mut self,
         now: Timestamp,
--- a/crates/rehearsal/src/rng.rs
+++ b/crates/rehearsal/src/rng.rs
@@ -29,6 +29,7 @@
 pub struct SeededRng(ChaCha8Rng);
 
 impl SeededRng {
+    /// The first generator of a stream.
     pub fn new(seed: u64, stream: RngStream) -> SeededRng {
         SeededRng::with_index(seed, stream, 0)
     }
@@ -59,11 +60,13 @@
         share > 0.0 && self.uniform() < share
     }
 
+    /// An exponential number with this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         let x: f64 = Exp1.sample(&mut self.0);
         mean * x
     }
 
+    /// A standard normal number.
     pub fn normal(&mut self) -> f64 {
         StandardNormal.sample(&mut self.0)
     }
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -119,7 +119,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RandomFaults {
-    /// How many.
+    /// The number of faults.
     pub faults: usize,
 }
 
@@ -572,6 +572,7 @@
 }
 
 impl TroubleKind {
+    /// All kinds, in the order in which the search combines them.
     pub const ALL: [TroubleKind; 14] = [
         TroubleKind::RollingDeploy,
         TroubleKind::Deaths,
@@ -641,6 +642,7 @@
 }
 
 impl Trouble {
+    /// When it ends.
     pub fn end(&self) -> Time {
         Time(self.at.0 + self.length.0)
     }
--- a/crates/rehearsal/src/span.rs
+++ b/crates/rehearsal/src/span.rs
@@ -21,6 +21,7 @@
         Micros(self.0)
     }
 
+    /// Microseconds as a number for calculations.
     pub fn micros(self) -> f64 {
         self.0 as f64
     }
--- a/crates/rehearsal/src/stats.rs
+++ b/crates/rehearsal/src/stats.rs
@@ -20,6 +20,7 @@
 }
 
 impl Mean {
+    /// The mean of these values.
     pub fn of(values: &[f64]) -> Mean {
         let count = values.len();
         let mean = values.iter().sum::<f64>() / count.max(1) as f64;
