--- a/crates/rehearsal/src/judge/rules.rs
+++ b/crates/rehearsal/src/judge/rules.rs
@@ -127,6 +127,7 @@
         }
     }
 
+    /// Records the description of a violation. The texts are stored in result files, so that they do not change.
     fn record_case(&mut self, at: Timestamp, text: String) {
         if self.violations.cases.len() < MAX_DESCRIBED_CASES {
             self.violations.cases.push(format!("{:.3} s: {text}", at.since(self.origin).as_f64() / 1e6));
@@ -153,7 +154,7 @@
                     self.violations.answers += 1;
                     self.record_case(
                         at,
-                        format!("command {}: the client's connection ended without an answer", open.command),
+                        format!("command {}: its connection ended without an answer", open.command),
                     );
                 }
             }
@@ -167,7 +168,7 @@
                         self.violations.effects += 1;
                         self.record_case(
                             at,
-                            format!("command {command}: executed {times} times, the last time by backend {backend}"),
+                            format!("command {command}: run {times} times, now by backend {backend}"),
                         );
                     }
                 }
@@ -189,7 +190,7 @@
                         at,
                         format!(
                             "node {node}: launched to backend {backend} {late:.0} ms after it \
-                                           was told that the backend is not ready"
+                                           was told that it takes nothing"
                         ),
                     );
                 }
@@ -211,7 +212,7 @@
             Observation::LaunchReceived { backend, work, at } => self.check_cold_budget(backend, work, at),
             Observation::BackendCrashed { backend, at } => {
                 self.violations.pushes += 1;
-                self.record_case(at, format!("backend {backend} crashed from too much work while cold"));
+                self.record_case(at, format!("backend {backend} was cold and fell over"));
             }
             Observation::NodeKilled { node, .. } => {
                 self.open_attempts.retain(|_, open| open.node != node);
@@ -225,10 +226,7 @@
             Observation::NodeCrashed { node, at } => {
                 self.open_attempts.retain(|_, open| open.node != node);
                 self.violations.crashes += 1;
-                self.record_case(
-                    at,
-                    format!("node {node} ended without being asked to, or did not end when asked"),
-                );
+                self.record_case(at, format!("node {node} ended by itself, or did not when it was told to"));
             }
             Observation::CommandDue { .. }
             | Observation::CommandSettled { .. }
@@ -244,10 +242,7 @@
         {
             let late = at.since(*left_at).as_f64() / 1e3;
             self.violations.answers += 1;
-            self.record_case(
-                at,
-                format!("attempt {attempt}: launched {late:.0} ms after its client had left"),
-            );
+            self.record_case(at, format!("try {attempt}: launched {late:.0} ms after its client had left"));
         }
         let Some(open) = self.open_attempts.get(&attempt) else { return };
         let (Some(announced), left) = (announced_time_left, open.deadline.since(at)) else { return };
@@ -256,7 +251,7 @@
             self.violations.answers += 1;
             self.record_case(
                 at,
-                format!("attempt {attempt}: a backend was told of {announced:.0} ms left, its client has {left:.0} ms"),
+                format!("try {attempt}: a backend was told {announced:.0} ms, its client has {left:.0} ms"),
             );
         }
     }
@@ -265,7 +260,7 @@
         let Some(open) = self.open_attempts.remove(&attempt) else {
             if self.answered_at.contains_key(&attempt) {
                 self.violations.answers += 1;
-                self.record_case(at, format!("attempt {attempt}: a second final answer"));
+                self.record_case(at, format!("try {attempt}: a second final answer"));
             }
             return;
         };
@@ -274,13 +269,13 @@
         if at > open.deadline + LATE_ANSWER_TOLERANCE {
             self.violations.answers += 1;
             let late = at.since(open.deadline).as_f64() / 1e3;
-            self.record_case(at, format!("command {command}: answered {late:.0} ms after its deadline"));
+            self.record_case(at, format!("command {command}: answered {late:.0} ms after its time"));
         }
         if answer == FinalAnswer::Finished && made_for != Some(attempt) {
             self.violations.answers += 1;
             self.record_case(
                 at,
-                format!("command {command}: finished with an answer that was made for another attempt"),
+                format!("command {command}: finished by an answer that was made for another"),
             );
         }
         // A rejection promises that a retry is harmless.
@@ -292,7 +287,7 @@
         };
         if answer == FinalAnswer::Rejected && must_not_have_run && self.executions.contains_key(&command) {
             self.violations.effects += 1;
-            self.record_case(at, format!("command {command}: rejected although it had been executed"));
+            self.record_case(at, format!("command {command}: turned back though it had run"));
         }
     }
 
@@ -323,7 +318,7 @@
             let (received, budget) = (received / 1e3, budget / 1e3);
             self.record_case(
                 at,
-                format!("backend {backend} was cold: it received {received:.0} ms of work, its budget is {budget:.0} ms"),
+                format!("backend {backend} was cold: {received:.0} ms of work came, {budget:.0} are borne"),
             );
         }
     }
--- a/crates/rehearsal/src/judge/views.rs
+++ b/crates/rehearsal/src/judge/views.rs
@@ -184,6 +184,7 @@
         }
     }
 
+    /// Records the description of a violation. The texts are stored in result files, so that they do not change.
     fn record_case(&mut self, at: Timestamp, text: String) {
         self.violations.cases.push((at, text));
     }
@@ -199,7 +200,7 @@
             self.violations.portions += 1;
             let shares: Vec<String> =
                 reports.iter().map(|(by, view)| format!("n{by} 1/{}", view.share_divisor)).collect();
-            self.record_case(at, format!("shares add up to {sum:.3}: {}", shares.join(", ")));
+            self.record_case(at, format!("portions come to {sum:.3}: {}", shares.join(", ")));
         }
         let truth: BTreeSet<String> = self.up.iter().map(|node| node_name(*node)).collect();
         let agrees = |node: &usize| reports.get(node).is_some_and(|view| view.present == truth);
@@ -218,7 +219,7 @@
             let since = self.connected_since.get(&(by, other));
             if since.is_some_and(|since| at.since(*since) >= UNREACHABLE_WITHIN) {
                 self.violations.deaths += 1;
-                self.record_case(at, format!("n{by} calls {member} dead although it could reach it"));
+                self.record_case(at, format!("n{by} calls {member} dead, which it could reach"));
             }
         }
     }
@@ -233,7 +234,7 @@
         };
         if let Some((member, then, now)) = view.versions.iter().find_map(regressed) {
             self.violations.views += 1;
-            self.record_case(at, format!("n{by} went back on {member}, from {then:?} to {now:?}"));
+            self.record_case(at, format!("n{by} goes back with {member}, from {then:?} to {now:?}"));
         }
     }
 
--- a/crates/rehearsal/src/search.rs
+++ b/crates/rehearsal/src/search.rs
@@ -165,7 +165,7 @@
     best.scenario.name = format!("{}-worst", result.scenario.name);
     let kinds: Vec<&str> = best.scenario.troubles.iter().map(|t| t.kind.label()).collect();
     best.scenario.about = format!(
-        "Found by search with seed {seed}: {}. Service {:.3}, {:.3} with the policy sighted.",
+        "Found by search with seed {seed}: {}. Service {:.3}, {:.3} with sight of all.",
         kinds.join(" with "),
         best.loss.service,
         best.loss.sighted
