--- a/crates/node/src/trial.rs
+++ b/crates/node/src/trial.rs
@@ -72,6 +72,7 @@
 #[serde(default)]
 pub struct Leader {
     pub term: u64,
+    #[serde(rename = "by")]
     pub name: String,
 }
 
