--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -62,8 +62,8 @@
     command: Command,
     /// The client's id for the command (`x-correlation-id`).
     client_id: HeaderValue,
-    /// Notified when the balancer wants `place` to be called again for this command.
-    placement_due: Rc<Notify>,
+    /// Notified when the balancer wants `decide` to be called again for this command.
+    reevaluation_due: Rc<Notify>,
     /// The client has its answer or has disconnected; the command stays only until its remaining launches
     /// have ended.
     client_done: bool,
@@ -179,7 +179,7 @@
             match action {
                 Action::Reevaluate(handle) => {
                     if let Some(entry) = inner.commands_in_flight.get(handle.0 as usize) {
-                        entry.placement_due.notify_one();
+                        entry.reevaluation_due.notify_one();
                     }
                 }
                 // The receiver is dropped only while the node shuts down.
@@ -222,14 +222,14 @@
         }
         inner.accepted_commands = inner.accepted_commands.wrapping_add(1);
         command.id = CommandId(inner.accepted_commands);
-        let placement_due = Rc::new(Notify::new());
+        let reevaluation_due = Rc::new(Notify::new());
         let index = inner.commands_in_flight.insert(CommandInFlight {
             command,
             client_id,
-            placement_due: placement_due.clone(),
+            reevaluation_due: reevaluation_due.clone(),
             client_done: false,
         });
-        Some((CommandHandle(index as u32), placement_due))
+        Some((CommandHandle(index as u32), reevaluation_due))
     }
 
     /// Asks the balancer what to do with a command now.
@@ -301,7 +301,7 @@
         self.counts.as_ref()
     }
 
-    /// The time from which the command's deadentries are counted.
+    /// The time from which the command's deadlines are counted.
     pub fn arrived_at(&self, handle: CommandHandle) -> Timestamp {
         self.inner.borrow().commands_in_flight[handle.0 as usize].command.arrived_at
     }
@@ -320,7 +320,8 @@
         self.inner.borrow().names.clone()
     }
 
-    /// Replaces the names and the settings. Held commands are placed again under the new settings.
+    /// Replaces the names and the settings. Every command in flight is reevaluated under
+    /// the new settings.
     pub fn replace_settings(&self, names: Names, settings: Settings) {
         self.with_balancer(|inner, _| {
             inner.names = Rc::new(names);
@@ -331,7 +332,7 @@
                 inner.balancer.set_membership(node_share.node_count, node_share.node_index);
             }
             for (_, entry) in &inner.commands_in_flight {
-                entry.placement_due.notify_one();
+                entry.reevaluation_due.notify_one();
             }
         });
     }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -84,7 +84,7 @@
 ) -> Reply {
     let dispatcher = &node.dispatcher;
     let deadline = command.deadline;
-    let Some((handle, placement_due)) = dispatcher.register(command, client_id) else {
+    let Some((handle, reevaluation_due)) = dispatcher.register(command, client_id) else {
         return text_reply(StatusCode::CONFLICT, "a command with this id is in flight");
     };
     let (end, results) = mpsc::unbounded_channel();
@@ -185,7 +185,7 @@
             // Even an answer that a backend sends now would not reach the client before the process is
             // killed.
             () = node.lifecycle.wait_until_stopped_for(node.limits.answer_after_stop.get()), if !body_is_streaming => dispatcher.reject_or_fail(handle),
-            () = placement_due.notified(), if !body_is_streaming => dispatcher.decide(handle),
+            () = reevaluation_due.notified(), if !body_is_streaming => dispatcher.decide(handle),
             () = sleep(check_delay.unwrap_or_default()), if check_delay.is_some() && !body_is_streaming => dispatcher.decide(handle),
         };
     }
