--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -129,7 +129,7 @@
         Config::from_file(file, variable)
     }
 
-    /// The same for a file that has been parsed already.
+    /// Reads the configuration from a file that has been parsed already, and from the variables.
     pub fn from_file(file: Value, variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         // An environment variable takes precedence over the file: they differ only if somebody intends it.
         let setting = |name: &str, key: &str| match variable(name) {
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// One entry of the list as the balancer takes it, and the address of its backend; `None` for a backend that
+/// An entry of the list in the balancer's format, and the address of its backend; `None` for a backend that
 /// is gone.
 pub type AddressedEntry = (ListEntry, Option<SocketAddr>);
 
@@ -88,8 +88,8 @@
     node_share: Option<NodeShare>,
 }
 
-/// This node's index among the nodes that share the common budgets, and how many they are. After
-/// `valid_until` the pair `fallback` applies, which does not depend on the fleet view.
+/// The number of nodes that share the common budgets, and this node's index among them. After `valid_until`
+/// the count and the index in `fallback` apply, which do not depend on the fleet view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeShare {
     pub node_count: u32,
@@ -239,7 +239,8 @@
         })
     }
 
-    /// Ends this command now. The answer depends on whether any launch of it may have run.
+    /// Ends this command now without a backend's answer: rejects it if the client may safely retry, or else
+    /// fails it.
     pub fn reject_or_fail(&self, handle: CommandHandle) -> Decision {
         self.with_balancer(|inner, _| {
             inner.balancer.reject_or_fail(&mut inner.commands_in_flight[handle.0 as usize].command)
@@ -301,7 +302,7 @@
         self.counts.as_ref()
     }
 
-    /// The time from which the command's deadlines are counted.
+    /// The time from which the command's deadlines count.
     pub fn arrived_at(&self, handle: CommandHandle) -> Timestamp {
         self.inner.borrow().commands_in_flight[handle.0 as usize].command.arrived_at
     }
@@ -320,8 +321,8 @@
         self.inner.borrow().names.clone()
     }
 
-    /// Replaces the names and the settings. Every command in flight is reevaluated under
-    /// the new settings.
+    /// Replaces the names and the settings. Every command in flight is reevaluated under the new
+    /// settings.
     pub fn replace_settings(&self, names: Names, settings: Settings) {
         self.with_balancer(|inner, _| {
             inner.names = Rc::new(names);
@@ -350,16 +351,16 @@
         now: Timestamp,
         warm_up_time: Micros,
     ) -> (Vec<u32>, Vec<u32>) {
-        let (mut ready, mut cold) = (vec![0; names.len()], vec![0; names.len()]);
+        let (mut ready, mut warming_up) = (vec![0; names.len()], vec![0; names.len()]);
         for entry in self.list_entries.borrow().1.values() {
             let text = |key| entry.get(key).and_then(Value::as_str);
             let site_index = text("zone").and_then(|zone| names.iter().position(|name| name == zone));
             let Some(site_index) = site_index.filter(|_| text("status") == Some("ready")) else { continue };
             ready[site_index] += 1;
             let age = now.since(Timestamp(started_ms(entry) * 1000));
-            cold[site_index] += u32::from(age < warm_up_time);
+            warming_up[site_index] += u32::from(age < warm_up_time);
         }
-        (ready, cold)
+        (ready, warming_up)
     }
 
     /// Whether a backend that reports itself full may nevertheless have run the command.
@@ -434,8 +435,8 @@
     /// How long until the balancer's next timer, for one command or for the node, rounded up to the
     /// runtime's timer resolution.
     fn timer_delay(&self, inner: &Inner, command: Option<&Command>) -> Option<Duration> {
-        let span = inner.balancer.wakeup_delay(self.clock.now(), command)?;
-        Some(Duration::from_micros(span.0).max(self.timer_resolution))
+        let delay = inner.balancer.wakeup_delay(self.clock.now(), command)?;
+        Some(Duration::from_micros(delay.0).max(self.timer_resolution))
     }
 
     /// The number of the command's newest launch.
@@ -443,16 +444,16 @@
         (self.inner.borrow().commands_in_flight[handle.0 as usize].command.launch_count() - 1) as u8
     }
 
-    /// Records the result of a probe.
-    pub fn record_probe(&self, backend: BackendId, found: bool, round_trip: Micros, values: &[f32]) {
+    /// Records the result of a probe; `values` is empty if there was no valid load report.
+    pub fn record_probe(&self, backend: BackendId, was_answered: bool, round_trip: Micros, values: &[f32]) {
         if let Some(counts) = &self.counts {
             counts.count_probe(self.clock.now());
         }
         if let Some(site_evidence) = &self.site_evidence {
-            site_evidence.count_probe(backend, found);
+            site_evidence.count_probe(backend, was_answered);
         }
         self.with_balancer(|inner, now| {
-            inner.balancer.on_load_report(now, backend, found, Some(round_trip), values)
+            inner.balancer.on_load_report(now, backend, was_answered, Some(round_trip), values)
         });
     }
 
@@ -478,8 +479,8 @@
         }
     }
 
-    /// From this moment on the node is held to list changes that it may not have received; `None` while it
-    /// may have missed none.
+    /// Sets when list changes that the node may have missed start to bind it; `None` if it cannot have missed
+    /// any (see `list_age`).
     pub fn set_list_expiry(&self, expires_at: Option<Timestamp>) {
         self.with_balancer(|inner, _| inner.balancer.set_list_expiry(expires_at));
     }
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -8,9 +8,9 @@
 
 /// The state of the node between its start and its exit.
 pub struct Lifecycle {
-    /// When the stop signal came.
+    /// When the stop signal came; `None` before it.
     stopped_at: watch::Sender<Option<Instant>>,
-    /// Since when clients are drained.
+    /// When the draining of clients started; `None` while they are not drained.
     draining_since: watch::Sender<Option<Instant>>,
     /// Whether a new process has taken over the connections.
     has_successor: watch::Sender<bool>,
@@ -48,7 +48,8 @@
         self.draining_since.borrow().is_some()
     }
 
-    /// Whether connections are to be closed after their answers, for any of the reasons.
+    /// Whether connections are closed once their commands are answered: the node is stopping, clients are
+    /// drained, or a new process has taken over.
     pub fn is_closing_connections(&self) -> bool {
         self.is_stopping() || self.is_draining() || self.has_successor()
     }
@@ -62,32 +63,32 @@
         *self.has_successor.borrow()
     }
 
-    /// Completes when a new process accepts the connections, or with `false` when none does any more.
+    /// Completes as soon as a new process accepts the connections, or with `false` as soon as none does.
     pub async fn wait_for_successor(&self, expected: bool) {
         let mut has_successor = self.has_successor.subscribe();
-        if has_successor.wait_for(|present| *present == expected).await.is_err() {
+        if has_successor.wait_for(|current| *current == expected).await.is_err() {
             std::future::pending().await
         }
     }
 
-    /// Completes this long after the request to drain clients, if it still holds then.
-    pub async fn wait_until_draining_for(&self, span: Duration) {
+    /// Completes once clients have been drained for this long without a break.
+    pub async fn wait_until_draining_for(&self, delay: Duration) {
         let mut draining_since = self.draining_since.subscribe();
         loop {
             let since = *draining_since.borrow_and_update();
             tokio::select! {
-                () = sleep_until(since.unwrap_or_else(Instant::now) + span), if since.is_some() => return,
+                () = sleep_until(since.unwrap_or_else(Instant::now) + delay), if since.is_some() => return,
                 changed = draining_since.changed() => if changed.is_err() { std::future::pending().await },
             }
         }
     }
 
     /// Completes this long after the stop signal.
-    pub async fn wait_until_stopped_for(&self, span: Duration) {
+    pub async fn wait_until_stopped_for(&self, delay: Duration) {
         let mut stopped_at = self.stopped_at.subscribe();
         let signal_time = stopped_at.wait_for(Option::is_some).await.ok().and_then(|at| *at);
         match signal_time {
-            Some(at) => sleep_until(at + span).await,
+            Some(at) => sleep_until(at + delay).await,
             None => std::future::pending().await,
         }
     }
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -113,14 +113,15 @@
 /// File descriptors reserved for the standard streams, the runtime, the listeners, discovery, operators and
 /// connections that are just closing.
 const RESERVED_DESCRIPTORS: usize = 64;
-/// Of these: first the streams, the runtime, the listeners, discovery, the other process and the socket for
-/// a successor; then operators.
+/// The part of the reserved descriptors for the streams, the runtime, the listeners, discovery, the other
+/// process and the socket for a successor.
 const OWN_DESCRIPTORS: usize = 20;
+/// The part of the reserved descriptors for connections from operators.
 const OPERATOR_DESCRIPTORS: usize = 24;
 const _: () = assert!(OWN_DESCRIPTORS + OPERATOR_DESCRIPTORS <= RESERVED_DESCRIPTORS);
 
-/// The process is killed 700 ms after the longest time limit at the earliest. Of that limit at most this
-/// much counts.
+/// The process is killed no sooner than 700 ms after the longest time limit, of which at most this much
+/// counts.
 const MAX_TIME_LIMIT_BEFORE_KILL: Duration = Duration::from_secs(3);
 
 /// The minimum resources: sockets for eight commands at a time, and memory for their windows.
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -102,13 +102,13 @@
     /// The backend had closed the pooled connection, and the request was certainly not written: retry on
     /// another connection.
     Stale(Request<OutgoingBody>),
-    /// The same on a connection that was newly opened.
+    /// The connection was newly opened and failed, and the request was certainly not written.
     ConnectFailed(Request<OutgoingBody>),
     /// The request may have been written completely, and no valid answer came.
     ConnectionLost,
 }
 
-/// All connections to backends that are idle, and the means to open new ones.
+/// The idle connections to backends, and the means to open new ones.
 pub struct Pool {
     limits: Rc<Limits>,
     body_memory: BodyMemory,
--- a/crates/node/src/site_evidence.rs
+++ b/crates/node/src/site_evidence.rs
@@ -54,9 +54,9 @@
         });
     }
 
-    /// Counts a probe, which was answered if `found`.
-    pub fn count_probe(&self, backend: BackendId, found: bool) {
-        self.count(backend, |counts| match found {
+    /// Counts a probe.
+    pub fn count_probe(&self, backend: BackendId, was_answered: bool) {
+        self.count(backend, |counts| match was_answered {
             true => counts.answered += 1,
             false => counts.unanswered += 1,
         });
--- a/crates/node/src/trial.rs
+++ b/crates/node/src/trial.rs
@@ -23,26 +23,26 @@
 pub struct TrialConfig {
     /// The file that stores the leader's term.
     pub term_file: PathBuf,
-    /// For how many seconds statistics are kept, and how long settings may be on trial without a request
-    /// from the leader.
-    #[serde(default = "seconds")]
+    /// For how many seconds statistics are kept.
+    #[serde(default = "default_seconds")]
     pub seconds: usize,
-    #[serde(default = "seconds_of_trial")]
+    /// How long settings may be on trial without a request from the leader, in seconds.
+    #[serde(default = "default_longest_trial_s")]
     pub longest_trial_s: u64,
     /// The maximum size of settings in a request, in bytes.
-    #[serde(default = "bytes")]
+    #[serde(default = "default_settings_bytes")]
     pub settings_bytes: usize,
 }
 
-fn seconds() -> usize {
+fn default_seconds() -> usize {
     300
 }
 
-fn seconds_of_trial() -> u64 {
+fn default_longest_trial_s() -> u64 {
     600
 }
 
-fn bytes() -> usize {
+fn default_settings_bytes() -> usize {
     1 << 20
 }
 
