--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -1,12 +1,13 @@
-//! Connections from clients: accepted, counted, and closed when there is no more room or the node stops.
+//! Connections from clients: accepting and counting them, and closing them when sockets run short or the
+//! node stops.
 
-use crate::guests::{close_idle, Guest, Guests};
-use crate::intake::Intake;
-use crate::lengths::Followed;
-use crate::log::note;
+use crate::client_connections::{close_idle, ClientConnection, ClientConnections};
+use crate::client_service::ClientService;
+use crate::log::log;
 use crate::node::Node;
+use crate::observed_stream::ObservedStream;
+use crate::request_framing::RequestObserver;
 use crate::transport::Transport;
-use crate::watched::Watched;
 use hyper::server::conn::http1;
 use hyper_util::rt::TokioIo;
 use hyper_util::service::TowerToHyperService;
@@ -21,205 +22,220 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Listens there; beside a process of the same user that does, if both share it.
+/// Binds and listens. With `shared`, several processes of the same user may listen on the address
+/// (`SO_REUSEPORT`).
 pub fn bind(address: SocketAddr, backlog: u32, shared: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A node that starts again finds its own old connections still winding down.
+    // After a restart, old connections of this address may still be in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(shared)?;
     socket.bind(address)?;
     socket.listen(backlog)
 }
 
-/// Accepts may fail so often in a row before there is a pause: one that fails by chance, or for a connection that has gone,
-/// says nothing of those behind it.
-const FAILURES_BEFORE_PAUSE: u32 = 8;
+/// This many accepts may fail in a row before there is a pause. A single failure, such as for a connection
+/// that was closed before it was accepted, says nothing about the connections queued behind it.
+const MAX_FAILURES_WITHOUT_PAUSE: u32 = 8;
 
-/// Accepts that failed one after another.
+/// Counts accepts that failed in a row.
 #[derive(Default)]
-struct Failures {
-    in_a_row: u32,
+struct AcceptFailures {
+    consecutive: u32,
 }
 
-impl Failures {
-    /// Waits where the cause lasts, as the want of descriptors does.
-    async fn another(&mut self, pause: Duration) {
-        self.in_a_row += 1;
-        if self.in_a_row > FAILURES_BEFORE_PAUSE {
+impl AcceptFailures {
+    /// Pauses if the failures persist, as they do when file descriptors run out.
+    async fn record(&mut self, pause: Duration) {
+        self.consecutive += 1;
+        if self.consecutive > MAX_FAILURES_WITHOUT_PAUSE {
             sleep(pause).await;
         }
     }
 
-    fn over(&mut self) {
-        self.in_a_row = 0;
+    fn reset(&mut self) {
+        self.consecutive = 0;
     }
 }
 
-/// Accepts until the node stops and all that was taken is answered.
-pub async fn accept(listener: Rc<TcpListener>, node: Rc<Node>) {
-    let guests = Rc::new(Guests::default());
-    tokio::task::spawn_local(send_away(guests.clone(), node.clone()));
-    let mut over = pin!(node.stop.past(node.limits.accept_on));
-    let mut failures = Failures::default();
+/// Accepts connections until the node stops and all accepted commands are answered.
+pub async fn accept_connections(listener: Rc<TcpListener>, node: Rc<Node>) {
+    let clients = Rc::new(ClientConnections::default());
+    tokio::task::spawn_local(close_idle_while_draining(clients.clone(), node.clone()));
+    let mut stop_accepting = pin!(node.lifecycle.wait_until_stopped_for(node.limits.accept_after_stop));
+    let mut failures = AcceptFailures::default();
     loop {
-        let held = guests.here.borrow().len();
-        let most = node.limits.client_sockets() + node.limits.surplus_sockets;
-        let succeeded = node.stop.succeeded();
-        if held >= most {
-            close_idle(&guests.here.borrow(), node.limits.settle);
+        let open_count = clients.open.borrow().len();
+        let max_open = node.limits.max_client_sockets() + node.limits.surplus_client_sockets;
+        let has_successor = node.lifecycle.has_successor();
+        if open_count >= max_open {
+            close_idle(&clients.open.borrow(), node.limits.idle_after);
         }
         let accepted = tokio::select! {
-            // A new process takes them: what waits in the kernel's queue is in its queue too.
-            () = node.stop.succession(!succeeded) => continue,
-            accepted = listener.accept(), if held < most && !succeeded => accepted,
-            // Until one goes the kernel keeps the others. Silent ones must not stop that for ever.
-            () = guests.left.notified(), if held >= most => continue,
-            () = sleep(node.limits.settle), if held >= most => continue,
-            () = &mut over => break,
+            // The new process accepts from now on. It has the same listening socket, so it also takes what
+            // is in the kernel's queue.
+            () = node.lifecycle.wait_for_successor(!has_successor) => continue,
+            accepted = listener.accept(), if open_count < max_open && !has_successor => accepted,
+            // At the limit, further connections wait in the kernel's queue until one closes. The sleep lets
+            // the loop close idle ones, as silent connections must not block accepting for ever.
+            () = clients.connection_closed.notified(), if open_count >= max_open => continue,
+            () = sleep(node.limits.idle_after), if open_count >= max_open => continue,
+            () = &mut stop_accepting => break,
         };
         match accepted {
             Ok((stream, _)) => {
-                failures.over();
-                welcome(stream, &guests, &node);
+                failures.reset();
+                start_connection(stream, &clients, &node);
             }
             Err(error) => {
-                note!("accept: {error}");
-                failures.another(node.limits.accept_pause).await;
+                log!("accept: {error}");
+                failures.record(node.limits.accept_retry_pause).await;
             }
         }
     }
-    // What the kernel holds has been accepted as far as its client can tell.
-    let mut idle = pin!(node.stop.past(node.limits.idle_on));
+    // For their clients, connections in the kernel's queue are established already, so they are served too.
+    let mut stop_serving_idle = pin!(node.lifecycle.wait_until_stopped_for(node.limits.keep_idle_after_stop));
     loop {
         let accepted = tokio::select! {
-            accepted = timeout(node.limits.last_look, listener.accept()) => accepted,
-            () = &mut idle => break,
-            () = node.stop.succession(true) => break,
+            accepted = timeout(node.limits.queue_drain_timeout, listener.accept()) => accepted,
+            () = &mut stop_serving_idle => break,
+            () = node.lifecycle.wait_for_successor(true) => break,
         };
         match accepted {
             Ok(Ok((stream, _))) => {
-                failures.over();
-                welcome(stream, &guests, &node);
+                failures.reset();
+                start_connection(stream, &clients, &node);
             }
-            // Descriptors may be short just now: nobody is left behind for that.
-            Ok(Err(_)) => failures.another(node.limits.accept_pause).await,
+            // File descriptors may run out for a moment. That is no reason to abandon the queued
+            // connections.
+            Ok(Err(_)) => failures.record(node.limits.accept_retry_pause).await,
             Err(_) => break,
         }
     }
     drop(listener);
-    node.stop.past(node.limits.idle_on).await;
-    for (_, guest) in guests.here.borrow().iter() {
-        guest.close();
+    node.lifecycle.wait_until_stopped_for(node.limits.keep_idle_after_stop).await;
+    for (_, client) in clients.open.borrow().iter() {
+        client.request_close();
     }
-    let gone = async {
-        while !guests.here.borrow().is_empty() {
-            guests.left.notified().await;
+    let all_closed = async {
+        while !clients.open.borrow().is_empty() {
+            clients.connection_closed.notified().await;
         }
     };
-    // Nothing is waited for but commands in hand: answers that flow go on until the process is killed.
-    let owed = async {
-        node.stop.past(node.limits.end_by.get()).await;
-        while guests.owed(node.limits.body_silent) {
-            sleep(node.limits.settle).await;
+    // The node waits only for commands in flight. Answers that are still streaming continue until the
+    // process is killed.
+    let no_answer_owed = async {
+        node.lifecycle.wait_until_stopped_for(node.limits.exit_after_stop.get()).await;
+        // A stalled client is waited for no longer than `client_silence`.
+        while clients.owes_answer(node.limits.client_silence) {
+            sleep(node.limits.idle_after).await;
         }
     };
     tokio::select! {
-        () = gone => {}
-        () = owed => note!("stop: {} connections still open", guests.here.borrow().len()),
+        () = all_closed => {}
+        () = no_answer_owed => log!("stop: {} connections still open", clients.open.borrow().len()),
     }
 }
 
-/// While the operators send clients away, ends the connections on which nothing is open, as they come to be so.
-async fn send_away(guests: Rc<Guests>, node: Rc<Node>) {
-    let settle = node.limits.settle;
+/// While operators have clients drained, closes each connection as soon as nothing is in progress on it.
+async fn close_idle_while_draining(clients: Rc<ClientConnections>, node: Rc<Node>) {
+    let idle_after = node.limits.idle_after;
     loop {
-        node.stop.away_for(node.limits.idle_on).await;
-        for (_, guest) in guests.here.borrow().iter().filter(|(_, g)| !g.evicted.get() && g.idle(settle)) {
-            guest.evict();
+        node.lifecycle.wait_until_draining_for(node.limits.keep_idle_after_stop).await;
+        for (_, client) in clients
+            .open
+            .borrow()
+            .iter()
+            .filter(|(_, client)| !client.is_evicted.get() && client.is_idle(idle_after))
+        {
+            client.evict();
         }
-        sleep(settle).await;
+        sleep(idle_after).await;
     }
 }
 
-fn welcome(stream: TcpStream, guests: &Rc<Guests>, node: &Rc<Node>) {
+fn start_connection(stream: TcpStream, clients: &Rc<ClientConnections>, node: &Rc<Node>) {
     let stream = Transport::new(stream);
     let limits = &node.limits;
-    if guests.here.borrow().len() >= limits.client_sockets() {
-        // An idle one makes room; the surplus sockets are there for the time that it takes to go.
-        close_idle(&guests.here.borrow(), limits.settle);
-    } else if guests.known.get() > limits.kept_sockets() {
-        // So many asked once and stayed: those that have been idle for a while go, one for each that comes.
-        close_idle(&guests.here.borrow(), limits.first_wait);
+    if clients.open.borrow().len() >= limits.max_client_sockets() {
+        // Closing an idle connection makes room. The surplus sockets cover the time until it is closed.
+        close_idle(&clients.open.borrow(), limits.idle_after);
+    } else if clients.connections_with_command.get() > limits.max_kept_client_sockets() {
+        // Too many clients keep an idle connection: for each new connection, one that has been idle for a
+        // while is closed.
+        close_idle(&clients.open.borrow(), limits.first_head_timeout);
     }
-    if let Some(counts) = node.desk.counts() {
-        counts.connected(node.desk.clock.now());
+    if let Some(counts) = node.dispatcher.counts() {
+        counts.count_connection(node.dispatcher.clock.now());
     }
-    let guest = Rc::new(Guest::new(guests.clone()));
-    let key = guests.here.borrow_mut().insert(guest.clone());
-    limits.sockets.clients.set(guests.here.borrow().len());
-    let (guests, node) = (guests.clone(), node.clone());
+    let client = Rc::new(ClientConnection::new(clients.clone()));
+    let connection_key = clients.open.borrow_mut().insert(client.clone());
+    limits.sockets.clients.set(clients.open.borrow().len());
+    let (clients, node) = (clients.clone(), node.clone());
     tokio::task::spawn_local(async move {
         let mut builder = http1::Builder::new();
         let limits = node.limits.clone();
-        builder.max_buf_size(limits.head_bytes);
-        let followed = Followed::new(guest.clone(), limits.head_bytes);
-        let watched = Watched { stream, watch: followed };
-        let service = TowerToHyperService::new(Intake { node: node.clone(), guest: guest.clone() });
-        let mut connection = builder.serve_connection(TokioIo::new(watched), service);
-        let mut closing = false;
-        let ended = loop {
-            let due = guest.due(&limits).max(Instant::now() + limits.settle);
+        builder.max_buf_size(limits.max_head_bytes);
+        let request_observer = RequestObserver::new(client.clone(), limits.max_head_bytes);
+        let observed = ObservedStream { stream, observer: request_observer };
+        let service = TowerToHyperService::new(ClientService { node: node.clone(), client: client.clone() });
+        let mut connection = builder.serve_connection(TokioIo::new(observed), service);
+        let mut is_closing = false;
+        let is_graceful = loop {
+            let idle_deadline = client.idle_deadline(&limits).max(Instant::now() + limits.idle_after);
             tokio::select! {
-                // First what has come on it: a command that is read by now is answered before the end.
+                // Input comes first: a command that was already read is answered before the connection
+                // closes.
                 biased;
-                // A client that goes ends it: whatever was in hand is dropped and told to the module.
+                // When the client closes, the connection ends: the commands in flight are dropped, and the
+                // balancer is informed.
                 _ = poll_fn(|cx| connection.poll_without_shutdown(cx)) => break true,
-                () = ready(()), if closing => {
+                () = ready(()), if is_closing => {
                     Pin::new(&mut connection).graceful_shutdown();
-                    closing = false;
+                    is_closing = false;
                 }
-                () = guest.look.notified() => {
-                    // Its client's end lay behind something that nobody reads just now.
-                    if guest.gone.get() {
+                () = client.recheck.notified() => {
+                    // The client's close was detected behind data that is not being read at present.
+                    if client.close_detected.get() {
                         break true;
                     }
-                    if guest.close.take() {
-                        // What the kernel already has for it is seen and read before it ends.
+                    if client.close_requested.take() {
+                        // Yield once, so that data already in the kernel's buffer is read before the
+                        // connection closes.
                         yield_now().await;
-                        closing = true;
+                        is_closing = true;
                     }
                 }
-                // Looked for at each turn.
-                () = sleep(limits.settle), if guest.blind() => {}
-                () = sleep(limits.settle), if guest.evicted.get() => {
-                    if !guest.owed(limits.body_silent) {
+                // The loop then checks for the client's close on each turn.
+                () = sleep(limits.idle_after), if client.cannot_detect_close() => {}
+                () = sleep(limits.idle_after), if client.is_evicted.get() => {
+                    if !client.owes_answer(limits.client_silence) {
                         break false;
                     }
                 }
-                () = sleep_until(due), if !guest.evicted.get() => {
-                    if guest.commands.get() == 0 && guest.due(&limits) <= Instant::now() {
-                        guest.evict();
+                () = sleep_until(idle_deadline), if !client.is_evicted.get() => {
+                    if client.commands.get() == 0 && client.idle_deadline(&limits) <= Instant::now() {
+                        client.evict();
                     }
                 }
             }
         };
-        if ended {
-            linger(connection.into_parts().io.into_inner().stream, limits.linger).await;
+        if is_graceful {
+            close_gracefully(connection.into_parts().io.into_inner().stream, limits.close_timeout).await;
         }
-        guests.here.borrow_mut().remove(key);
-        node.limits.sockets.clients.set(guests.here.borrow().len());
-        guests.left.notify_one();
+        clients.open.borrow_mut().remove(connection_key);
+        node.limits.sockets.clients.set(clients.open.borrow().len());
+        clients.connection_closed.notify_one();
     });
 }
 
-/// Ends a connection from this side, and reads on until its client does so too, or for so long: closed with something
-/// unread the kernel resets it, and the answer that is on its way is lost.
-async fn linger(mut stream: Transport, wait: Duration) {
+/// Closes the sending side, then reads until the client closes too or the wait is over. If the connection
+/// were closed with unread data, the kernel would reset it and the answer in transit would be lost.
+async fn close_gracefully(mut stream: Transport, max_wait: Duration) {
     let reading = async {
-        let mut rest = [0; 4096];
+        let mut discarded = [0; 4096];
         if stream.shutdown().await.is_ok() {
-            while stream.read(&mut rest).await.is_ok_and(|n| n > 0) {}
+            while stream.read(&mut discarded).await.is_ok_and(|n| n > 0) {}
         }
     };
-    let _ = timeout(wait, reading).await;
+    let _ = timeout(max_wait, reading).await;
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,20 +1,22 @@
-//! The yarrowfront node: the decision module on sockets. Here the stages are wired to each other. Imports run one
-//! way: what two stages share stands in a file below both (`cargo`, `guests`, `node`, `reply`, `call`).
+//! The yarrowfront node: runs the balancer (the decision module) on sockets. This module wires the stages
+//! together. Imports go in one direction only: what two stages share is defined in a module below both
+//! (`launch_types`, `client_connections`, `node`, `reply`, `admin_request`).
 #![forbid(unsafe_code)]
 
 mod accept;
 mod admin;
+mod admin_request;
 mod bodies;
-mod call;
-mod cargo;
+mod client_connections;
+mod client_service;
+mod config;
 mod counts;
-mod desk;
+mod dispatcher;
 mod fleet;
-mod guests;
 mod handover;
-mod intake;
 mod launch;
-mod lengths;
+mod launch_types;
+mod lifecycle;
 mod limits;
 mod list;
 mod list_age;
@@ -23,57 +25,56 @@
 mod message_reader;
 mod names;
 mod node;
+mod observed_stream;
 mod pool;
 mod probe;
 mod reload;
 mod reply;
+mod request_framing;
 mod serve;
 mod signals;
+mod site_evidence;
 mod sites;
-mod start;
-mod stop;
 mod transport;
 mod trial;
-mod watched;
-mod witness;
 
-use crate::desk::{Clock, Desk};
-use crate::log::note;
+use crate::dispatcher::{Clock, Dispatcher};
+use crate::log::log;
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::task::{spawn_local, LocalSet};
-use yarrowfront::decide::{Balancer, Errand};
+use yarrowfront::decide::{Action, Balancer};
 
-/// The whole program: reads the start from the variables, serves, and ends with the process's code: failure where the
-/// start or a listening address is bad, which is told in one line on standard error.
+/// Runs the whole program: reads the configuration, serves, and returns the exit code. A bad configuration
+/// or listening address is a failure, reported in one line on standard error.
 ///
-/// With `words` as its one argument it only tells which words it speaks with other processes: two builds that speak the
-/// same can stand side by side.
+/// With `words` as the only argument, it just prints the versions of the protocols that it speaks with other
+/// processes: two builds that print the same can run side by side.
 pub fn main() -> ExitCode {
     if std::env::args().nth(1).as_deref() == Some("words") {
-        println!("{}", words());
+        println!("{}", protocol_versions());
         return ExitCode::SUCCESS;
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let ended = runtime.map_err(|e| format!("runtime: {e}")).and_then(|runtime| {
         LocalSet::new().block_on(&runtime, async {
             let signals = signals::Signals::listen().map_err(|e| format!("signals: {e}"))?;
-            run(start::Start::read(|name| std::env::var(name).ok())?, signals).await
+            run(config::Config::read(|name| std::env::var(name).ok())?, signals).await
         })
     });
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            note!("yarrowfront: {text}");
+            log!("yarrowfront: {text}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// The kinds of words between processes, each with its number.
-fn words() -> String {
+/// The protocols spoken between processes, each with its version.
+fn protocol_versions() -> String {
     format!(
         "handover {} view {} counts {}",
         handover::VERSION,
@@ -82,134 +83,155 @@
     )
 }
 
-async fn run(start: start::Start, signals: signals::Signals) -> Result<(), String> {
-    let limits = Rc::new(start.limits);
-    log::allow(limits.notes_per_s);
+async fn run(config: config::Config, signals: signals::Signals) -> Result<(), String> {
+    let limits = Rc::new(config.limits);
+    log::set_lines_per_second(limits.log_lines_per_s);
     let clock = Clock::start();
-    let (must_ask, warm_within) = (start.terms.must_ask, start.terms.warm_within);
-    let ask_within = Duration::from_micros(start.terms.ask_within.0);
-    let said = (start.terms.full_may_have_run, start.terms.longest_come_back);
-    let (errand, mut errands) = mpsc::unbounded_channel();
-    let module = Balancer::new(start.terms, start.seed, clock.now());
-    let witness = start.sites.as_ref().map(|_| Rc::new(witness::Witness::default()));
-    let counts = start.trial.as_ref().map(|terms| Rc::new(counts::Counts::new(terms.seconds)));
-    let desk =
-        Rc::new(Desk::new(module, start.names, clock, limits.tick, errand, (counts, witness.clone()), said));
-    let room = bodies::Room::new(limits.held_bytes);
-    let pool = Rc::new(pool::Pool::new(limits.clone(), room.clone()));
+    let (list_is_requested, warm_up_time) = (config.settings.list_is_requested, config.settings.warm_up_time);
+    let list_request_interval = Duration::from_micros(config.settings.list_request_interval.0);
+    let reply_settings = (config.settings.full_may_have_run, config.settings.max_retry_after);
+    let (action_sender, mut actions) = mpsc::unbounded_channel();
+    let balancer = Balancer::new(config.settings, config.seed, clock.now());
+    let site_evidence = config.sites.as_ref().map(|_| Rc::new(site_evidence::SiteEvidence::default()));
+    let counts = config.trial.as_ref().map(|config| Rc::new(counts::Counts::new(config.seconds)));
+    let dispatcher = Rc::new(Dispatcher::new(
+        balancer,
+        config.names,
+        clock,
+        limits.timer_resolution,
+        action_sender,
+        (counts, site_evidence.clone()),
+        reply_settings,
+    ));
+    let body_memory = bodies::BodyMemory::new(limits.body_memory_bytes);
+    let pool = Rc::new(pool::Pool::new(limits.clone(), body_memory.clone()));
 
-    let lister = list::Lister::new(desk.clone());
-    if let Some(Err(why)) = start.known.map(|known| lister.told(&known, true)) {
-        return Err(format!("known: {why}"));
+    let list_updater = list::ListUpdater::new(dispatcher.clone());
+    if let Some(Err(reason)) = config.cached_list.map(|list| list_updater.apply_message(&list, true)) {
+        return Err(format!("known: {reason}"));
     }
-    let stop = Rc::new(stop::Stop::new());
-    let path = handover::meeting(start.folder, start.listen);
-    let heritage = match &path {
-        Some(path) => handover::inherit(path, &limits)?,
+    let lifecycle = Rc::new(lifecycle::Lifecycle::new());
+    let path = handover::socket_path(config.shared_dir, config.listen);
+    let handover = match &path {
+        Some(path) => handover::request_handover(path, &limits)?,
         None => None,
     };
-    let (mut old, mut life) = (None, 0);
-    let listener = match heritage {
-        Some(handover::Heritage { state, listener, stream }) => {
-            // What the operators have said first, so that the list finds it so.
-            for name in &state.left_out {
-                desk.maint(desk.id(name), true);
+    let (mut old_process, mut generation) = (None, 0);
+    let listener = match handover {
+        Some(handover::Handover { state, listener, stream }) => {
+            // Operators' settings come first, so that they apply to the list.
+            for name in &state.in_maintenance {
+                dispatcher.set_maintenance(dispatcher.backend_id(name), true);
             }
-            stop.drain(state.drained);
-            life = state.life;
-            if let Err(why) = lister.told(&state.list, true) {
-                note!("handover: the list is left out: {why}");
+            lifecycle.set_draining(state.is_draining);
+            generation = state.generation;
+            if let Err(reason) = list_updater.apply_message(&state.list, true) {
+                log!("handover: the list could not be used: {reason}");
             }
-            old = Some(stream);
+            old_process = Some(stream);
             listener.set_nonblocking(true).and_then(|()| tokio::net::TcpListener::from_std(listener))
         }
-        None => accept::bind(start.listen, limits.backlog, path.is_some()),
+        None => accept::bind(config.listen, limits.backlog, path.is_some()),
     };
     let listener = Rc::new(listener.map_err(|e| format!("listen: {e}"))?);
-    let shared = (desk.clone(), stop.clone(), limits.clone(), room.clone());
+    let shared = (dispatcher.clone(), lifecycle.clone(), limits.clone(), body_memory.clone());
     let peer = handover::Peer::new(shared, path, &listener);
-    let fleet = start.view.map(|view| {
-        let own = fleet::Own::of(&start.file, &desk);
-        let parts = (desk.clone(), stop.clone(), peer.clone());
-        fleet::Fleet::new(view, &start.name, own, (life, start.seed), parts)
+    let fleet = config.view.map(|view| {
+        let identity = fleet::NodeIdentity::of(&config.file, &dispatcher);
+        let parts = (dispatcher.clone(), lifecycle.clone(), peer.clone());
+        fleet::Fleet::new(view, &config.name, identity, (generation, config.seed), parts)
     });
-    let sites = match (start.sites, witness) {
-        (Some(plan), Some(witness)) => {
-            let own = fleet::Own::of(&start.file, &desk).site;
-            Some(sites::Sites::new(plan, &own, (desk.clone(), fleet.clone(), witness), warm_within)?)
+    let sites = match (config.sites, site_evidence) {
+        (Some(plan), Some(site_evidence)) => {
+            let identity = fleet::NodeIdentity::of(&config.file, &dispatcher).site;
+            Some(sites::Sites::new(
+                plan,
+                &identity,
+                (dispatcher.clone(), fleet.clone(), site_evidence),
+                warm_up_time,
+            )?)
         }
         _ => None,
     };
-    let (trial, asked) = start.trial.map(trial::Trial::new).transpose()?.unzip();
+    let (trial, trial_actions) = config.trial.map(trial::Trial::new).transpose()?.unzip();
     let trial = trial.map(Rc::new);
-    let (moved, discovery) = watch::channel(start.discovery);
-    let parts = (desk.clone(), limits.clone(), stop.clone());
-    let beside = (fleet.clone(), trial.clone(), sites.clone());
-    let reload = reload::Reload::new(signals.hangup, moved, start.file, parts, beside);
-    if let Some(at) = start.admin {
+    let (discovery_sender, discovery) = watch::channel(config.discovery);
+    let parts = (dispatcher.clone(), limits.clone(), lifecycle.clone());
+    let optional_stages = (fleet.clone(), trial.clone(), sites.clone());
+    let reload = reload::Reload::new(signals.hangup, discovery_sender, config.file, parts, optional_stages);
+    if let Some(at) = config.admin {
         let listener = accept::bind(at, limits.backlog, false).map_err(|e| format!("admin: {at}: {e}"))?;
-        let (desk, stop, limits, peer) = (desk.clone(), stop.clone(), limits.clone(), peer.clone());
-        let (fleet, sites, digest) = (fleet.clone(), sites.clone(), reload.digest());
+        let (dispatcher, lifecycle, limits, peer) =
+            (dispatcher.clone(), lifecycle.clone(), limits.clone(), peer.clone());
+        let (fleet, sites, settings_digest) = (fleet.clone(), sites.clone(), reload.settings_digest());
         let admin = admin::Admin {
-            desk,
-            stop,
+            dispatcher,
+            lifecycle,
             limits,
             peer,
             fleet,
             sites,
             trial,
-            digest,
-            name: start.name.clone(),
-            words: words(),
+            settings_digest,
+            name: config.name.clone(),
+            protocol_versions: protocol_versions(),
         };
         spawn_local(Rc::new(admin).run(listener));
     }
-    spawn_local(reload.run(asked));
-    let (follow, followed) = mpsc::unbounded_channel();
-    if !must_ask {
-        // Where the list comes by itself, on sockets that is a watch from the start.
-        let _ = follow.send(());
+    spawn_local(reload.run(trial_actions));
+    let (list_requests, list_request_receiver) = mpsc::unbounded_channel();
+    if !list_is_requested {
+        // Where the list is pushed, the node still opens a watch, at once.
+        let _ = list_requests.send(());
     }
-    let watches = list_watches::Watches::new(lister, desk.clone(), limits.clone(), start.discovery);
-    spawn_local(watches.run(followed, discovery));
+    let watches =
+        list_watches::Watches::new(list_updater, dispatcher.clone(), limits.clone(), config.discovery);
+    spawn_local(watches.run(list_request_receiver, discovery));
 
-    let prober = probe::Prober { desk: desk.clone(), pool: pool.clone(), limits: limits.clone() };
-    let (pool_of_errands, kept) = (pool.clone(), desk.clone());
+    let prober = probe::Prober { dispatcher: dispatcher.clone(), pool: pool.clone(), limits: limits.clone() };
+    let (idle_connections, timers) = (pool.clone(), dispatcher.clone());
     spawn_local(async move {
-        while let Some(errand) = errands.recv().await {
-            match errand {
-                Errand::Probe(backend) => drop(spawn_local(prober.clone().probe(backend))),
-                Errand::Follow => drop(follow.send(())),
-                Errand::Close(backend) => pool_of_errands.close(backend),
-                // The desk has woken that command itself.
-                Errand::Again(_) => {}
+        while let Some(action) = actions.recv().await {
+            match action {
+                Action::Probe(backend) => drop(spawn_local(prober.clone().probe(backend))),
+                Action::RequestList => drop(list_requests.send(())),
+                Action::CloseIdleConnections(backend) => idle_connections.close(backend),
+                // The dispatcher has already woken that command.
+                Action::Reevaluate(_) => {}
             }
         }
     });
-    spawn_local(async move { kept.upkeep().await });
-    let (swept, addresses, pause) = (pool.clone(), desk.clone(), limits.sweep);
+    spawn_local(async move { timers.run_timers().await });
+    let (swept_pool, addresses, interval) = (pool.clone(), dispatcher.clone(), limits.sweep_interval);
     spawn_local(async move {
         loop {
-            tokio::time::sleep(pause).await;
-            swept.sweep(|backend| addresses.address(backend));
+            tokio::time::sleep(interval).await;
+            swept_pool.sweep(|backend| addresses.address(backend));
         }
     });
-    let stopped = stop.clone();
-    spawn_local(async move { stopped.listen(signals.stop).await });
+    let stop_waiter = lifecycle.clone();
+    spawn_local(async move { stop_waiter.wait_for_stop_signal(signals.stop).await });
 
-    let launcher = launch::Launcher { pool, desk: desk.clone() };
-    peer.take_over(old).await;
+    let launcher = launch::Launcher { pool, dispatcher: dispatcher.clone() };
+    peer.take_over(old_process).await;
     if let Some(fleet) = &fleet {
         spawn_local(fleet.clone().run());
     }
     if let Some(sites) = &sites {
         spawn_local(sites.clone().run());
     }
-    note!("{}: listening on {}", start.name, start.listen);
-    if must_ask {
-        note!("list: discovery is asked; its news counts as known after {} ms", ask_within.as_millis());
+    log!("{}: listening on {}", config.name, config.listen);
+    if list_is_requested {
+        log!(
+            "list: discovery is queried; its changes bind this node after {} ms",
+            list_request_interval.as_millis()
+        );
     }
-    accept::accept(listener, Rc::new(node::Node { desk, launcher, limits, room, stop, sites })).await;
+    accept::accept_connections(
+        listener,
+        Rc::new(node::Node { dispatcher, launcher, limits, body_memory, lifecycle, sites }),
+    )
+    .await;
     if let Some(fleet) = fleet {
         fleet.leave();
     }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,5 +1,5 @@
-//! Notes for whoever is on call, on standard error: so many lines a second from each place. Whoever reads them may go or
-//! stand still, and the node goes on.
+//! Log lines for operators on standard error, rate-limited for each place in the code. A reader that stops
+//! reading or closes the pipe does not block the node.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::cell::Cell;
@@ -7,84 +7,89 @@
 use std::io::{stderr, Write};
 use std::time::{Duration, Instant};
 
-/// Of a line: as much as a pipe that takes anything takes at once.
-const MOST: usize = 4000;
+/// The maximum length of a line in bytes: no more than the amount that a writable pipe accepts at once.
+const MAX_LINE_BYTES: usize = 4000;
 
 thread_local! {
-    /// As many as there are, until the start has said how many.
-    static LINES: Cell<u32> = const { Cell::new(u32::MAX) };
+    /// Unlimited until the configuration is read.
+    static LINES_PER_S: Cell<u32> = const { Cell::new(u32::MAX) };
 }
 
-/// How many lines each place in the code may write a second.
-pub fn allow(lines: u32) {
-    LINES.set(lines);
+/// Sets how many lines per second each place in the code may write.
+pub fn set_lines_per_second(lines_per_second: u32) {
+    LINES_PER_S.set(lines_per_second);
 }
 
-/// One for each place that writes: a noisy one must not hide the others.
-pub struct Gate {
-    since: Cell<Option<Instant>>,
+/// The rate limiter of one place in the code, so that frequent lines do not suppress others.
+pub struct RateLimiter {
+    second_started_at: Cell<Option<Instant>>,
     written: Cell<u32>,
-    left_out: Cell<u32>,
+    suppressed: Cell<u32>,
 }
 
-impl Gate {
-    pub const fn new() -> Gate {
-        Gate { since: Cell::new(None), written: Cell::new(0), left_out: Cell::new(0) }
+impl RateLimiter {
+    /// A limiter that has suppressed nothing yet.
+    pub const fn new() -> RateLimiter {
+        RateLimiter { second_started_at: Cell::new(None), written: Cell::new(0), suppressed: Cell::new(0) }
     }
 
-    /// Whether a line may be written now, and how many were left out before it.
-    pub fn pass(&self) -> Option<u32> {
+    /// Returns whether a line may be written now, and how many were suppressed before it.
+    pub fn try_acquire(&self) -> Option<u32> {
         let now = Instant::now();
-        if self.since.get().is_none_or(|at| now - at >= Duration::from_secs(1)) {
-            self.since.set(Some(now));
+        if self.second_started_at.get().is_none_or(|at| now - at >= Duration::from_secs(1)) {
+            self.second_started_at.set(Some(now));
             self.written.set(0);
         }
-        if self.written.get() >= LINES.get() || !taken() {
-            self.left_out.set(self.left_out.get() + 1);
+        if self.written.get() >= LINES_PER_S.get() || !can_write() {
+            self.suppressed.set(self.suppressed.get() + 1);
             return None;
         }
         self.written.set(self.written.get() + 1);
-        Some(self.left_out.replace(0))
+        Some(self.suppressed.replace(0))
     }
 }
 
-/// Whether somebody takes a line. A write to a pipe that is full would stop the only thread until its reader goes on, and
-/// one to a pipe whose reader is gone would fail. Where that cannot be told it is tried.
-fn taken() -> bool {
+/// Whether a line can be written without blocking. Writing to a full pipe would stop the only thread until
+/// the reader continues, and writing to a pipe without a reader would fail. If `poll` fails, the write is
+/// attempted.
+fn can_write() -> bool {
     let stderr = stderr();
-    let mut asked = [PollFd::new(&stderr, PollFlags::OUT)];
-    match poll(&mut asked, Some(&Timespec::default())) {
-        Ok(_) => asked[0].revents().contains(PollFlags::OUT) && !asked[0].revents().contains(PollFlags::ERR),
+    let mut poll_fds = [PollFd::new(&stderr, PollFlags::OUT)];
+    match poll(&mut poll_fds, Some(&Timespec::default())) {
+        Ok(_) => {
+            poll_fds[0].revents().contains(PollFlags::OUT) && !poll_fds[0].revents().contains(PollFlags::ERR)
+        }
         Err(_) => true,
     }
 }
 
-/// Writes a line, if somebody takes it.
-pub fn line(text: Arguments<'_>) {
-    if taken() {
+/// Writes a line without a rate limit, if it can be written without blocking.
+pub fn write_unlimited(text: Arguments<'_>) {
+    if can_write() {
         write(text);
     }
 }
 
+/// Writes a line without any check, truncated to the maximum length.
 pub fn write(text: Arguments<'_>) {
     let mut line = text.to_string().into_bytes();
-    line.truncate(MOST);
+    line.truncate(MAX_LINE_BYTES);
     line.push(b'\n');
     let _ = stderr().write_all(&line);
 }
 
-macro_rules! note {
+macro_rules! log {
     ($($part:tt)*) => {{
         thread_local! {
-            static GATE: $crate::log::Gate = const { $crate::log::Gate::new() };
+            static RATE_LIMITER: $crate::log::RateLimiter = const { $crate::log::RateLimiter::new() };
         }
-        match GATE.with($crate::log::Gate::pass) {
+        match RATE_LIMITER.with($crate::log::RateLimiter::try_acquire) {
             None => {}
             Some(0) => $crate::log::write(format_args!($($part)*)),
-            Some(more) => {
-                $crate::log::write(format_args!("{} ({more} like it left out)", format_args!($($part)*)));
+            Some(suppressed) => {
+                $crate::log::write(format_args!("{} ({suppressed} more suppressed)", format_args!($($part)*)));
             }
         }
     }};
 }
-pub(crate) use note;
+pub(crate) use log;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,18 +1,19 @@
-//! All that the stages of a command share.
+//! What all stages of serving a command share.
 
-use crate::bodies::Room;
-use crate::desk::Desk;
+use crate::bodies::BodyMemory;
+use crate::dispatcher::Dispatcher;
 use crate::launch::Launcher;
+use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
 use crate::sites::Sites;
-use crate::stop::Stop;
 use std::rc::Rc;
 
+/// The shared parts of a running node.
 pub struct Node {
-    pub desk: Rc<Desk>,
+    pub dispatcher: Rc<Dispatcher>,
     pub launcher: Launcher,
     pub limits: Rc<Limits>,
-    pub room: Room,
-    pub stop: Rc<Stop>,
+    pub body_memory: BodyMemory,
+    pub lifecycle: Rc<Lifecycle>,
     pub sites: Option<Rc<Sites>>,
 }
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,8 +1,9 @@
-//! What operators say by signals. Until a process listens each of them ends it, whatever it has begun: with this one that
-//! comes during the start is heard when that is over.
+//! Operators' signals. The default action of each would kill the process whatever it is doing, so the
+//! handlers are installed first: a signal that arrives during the start is handled when the start is over.
 //!
-//! The runtime's own signals take a read that is interrupted for a fault and end the process, and lose a signal whose write
-//! is. Here a signal sets a flag, and the pair of sockets only says that it is time to look; now and then that is looked at unasked.
+//! tokio's own signal handling ends the process if the read of its self-pipe is interrupted, and loses a
+//! signal if the write is. Here the handler sets a flag, and the socket pair only wakes the reader, which
+//! also checks the flags periodically.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io::{self, ErrorKind};
@@ -14,63 +15,67 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Between two looks that nothing asked for: short beside what is left after a stop before the kill.
-const LOOK: Duration = Duration::from_millis(100);
+/// The interval between two checks without a wake-up: short compared with the time between a stop signal and
+/// the kill.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Tells of each signal, of several that came together once.
+/// Receives one message for each signal; several signals that come together may give one message.
 pub struct Signals {
     pub stop: mpsc::UnboundedReceiver<()>,
     pub hangup: mpsc::UnboundedReceiver<()>,
 }
 
-/// A kind of signal, whether one has come, and whom to tell.
-struct Kind {
-    came: Arc<AtomicBool>,
-    to: mpsc::UnboundedSender<()>,
+/// One kind of signal: a flag that is set when it arrives, and where to report it.
+struct SignalKind {
+    is_pending: Arc<AtomicBool>,
+    sender: mpsc::UnboundedSender<()>,
 }
 
 impl Signals {
-    /// From now on no signal of these ends the process by itself.
+    /// Installs the handlers: from now on these signals no longer kill the process.
     pub fn listen() -> io::Result<Signals> {
         let (reader, writer) = UnixStream::pair()?;
         reader.set_nonblocking(true)?;
-        let (stop, told_to_stop) = Kind::register(&[SIGTERM, SIGINT], &writer)?;
-        let (hangup, told_to_reload) = Kind::register(&[SIGHUP], &writer)?;
-        spawn_local(deliver(tokio::net::UnixStream::from_std(reader)?, [stop, hangup]));
-        Ok(Signals { stop: told_to_stop, hangup: told_to_reload })
+        let (stop, stop_receiver) = SignalKind::register(&[SIGTERM, SIGINT], &writer)?;
+        let (hangup, hangup_receiver) = SignalKind::register(&[SIGHUP], &writer)?;
+        spawn_local(dispatch_signals(tokio::net::UnixStream::from_std(reader)?, [stop, hangup]));
+        Ok(Signals { stop: stop_receiver, hangup: hangup_receiver })
     }
 }
 
-impl Kind {
-    fn register(signals: &[i32], writer: &UnixStream) -> io::Result<(Kind, mpsc::UnboundedReceiver<()>)> {
-        let came = Arc::new(AtomicBool::new(false));
+impl SignalKind {
+    fn register(
+        signals: &[i32],
+        writer: &UnixStream,
+    ) -> io::Result<(SignalKind, mpsc::UnboundedReceiver<()>)> {
+        let is_pending = Arc::new(AtomicBool::new(false));
         for signal in signals {
-            // In this order: whoever is woken finds the flag.
-            signal_hook::flag::register(*signal, came.clone())?;
+            // In this order, so that the reader finds the flag set when it is woken.
+            signal_hook::flag::register(*signal, is_pending.clone())?;
             signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
         }
-        let (to, told) = mpsc::unbounded_channel();
-        Ok((Kind { came, to }, told))
+        let (sender, receiver) = mpsc::unbounded_channel();
+        Ok((SignalKind { is_pending, sender }, receiver))
     }
 }
 
-async fn deliver(woken: tokio::net::UnixStream, kinds: [Kind; 2]) {
+async fn dispatch_signals(wakeups: tokio::net::UnixStream, signal_kinds: [SignalKind; 2]) {
     loop {
-        let _ = timeout(LOOK, woken.readable()).await;
-        empty(&woken);
-        for kind in &kinds {
-            if kind.came.swap(false, Ordering::SeqCst) {
-                // Nobody listens only when the process is coming down.
-                let _ = kind.to.send(());
+        let _ = timeout(CHECK_INTERVAL, wakeups.readable()).await;
+        drain(&wakeups);
+        for signal_kind in &signal_kinds {
+            if signal_kind.is_pending.swap(false, Ordering::SeqCst) {
+                // The receiver is dropped only while the process shuts down.
+                let _ = signal_kind.sender.send(());
             }
         }
     }
 }
 
-fn empty(woken: &tokio::net::UnixStream) {
-    let mut some = [0; 64];
+fn drain(wakeups: &tokio::net::UnixStream) {
+    let mut buffer = [0; 64];
     loop {
-        match woken.try_read(&mut some) {
+        match wakeups.try_read(&mut buffer) {
             Ok(count) if count > 0 => {}
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             _ => return,
--- a/crates/node/src/trial.rs
+++ b/crates/node/src/trial.rs
@@ -1,10 +1,12 @@
-//! Settings on trial: whoever leads a rolling change tells them by a call, and unless its word comes again in time the
-//! node goes back to the former ones by itself. Only where an operators' file asks for it.
+//! Trial settings: the leader of a rollout sends them in a request. Unless further requests from the leader
+//! follow in time, the node returns to the former settings by itself. Available only if a rollout file is
+//! configured.
 //!
-//! A leader is a term and a token. The node remembers the greatest term that it was told, on disk before it says yes, and
-//! refuses every other leader: one that was cut off and is back has no say any more.
+//! A leader is identified by a term and a name. The node stores the highest term that it has seen on disk
+//! before it accepts a request, and refuses every other leader: one that was cut off and comes back has no
+//! authority any more.
 
-use crate::log::note;
+use crate::log::log;
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -15,197 +17,204 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// The operators' file.
+/// The operators' rollout file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TrialTerms {
-    /// Where the term is remembered.
+pub struct TrialConfig {
+    /// The file that stores the leader's term.
     pub term_file: PathBuf,
-    /// The last seconds of which counts are kept, and the longest that settings may be on trial without a word.
-    #[serde(default = "seconds")]
+    /// For how many seconds statistics are kept.
+    #[serde(default = "default_seconds")]
     pub seconds: usize,
-    #[serde(default = "seconds_of_trial")]
+    /// How long settings may be on trial without a request from the leader, in seconds.
+    #[serde(default = "default_longest_trial_s")]
     pub longest_trial_s: u64,
-    /// The largest settings that are taken by a call, in bytes.
-    #[serde(default = "bytes")]
+    /// The maximum size of settings in a request, in bytes.
+    #[serde(default = "default_settings_bytes")]
     pub settings_bytes: usize,
 }
 
-fn seconds() -> usize {
+fn default_seconds() -> usize {
     300
 }
 
-fn seconds_of_trial() -> u64 {
+fn default_longest_trial_s() -> u64 {
     600
 }
 
-fn bytes() -> usize {
+fn default_settings_bytes() -> usize {
     1 << 20
 }
 
-impl TrialTerms {
-    /// Reads the file; an error names the line or the key.
-    pub fn from_toml(text: &str) -> Result<TrialTerms, String> {
-        let terms: TrialTerms = toml::from_str(text).map_err(|error| {
+impl TrialConfig {
+    /// Parses the file; an error names the line or the key.
+    pub fn from_toml(text: &str) -> Result<TrialConfig, String> {
+        let config: TrialConfig = toml::from_str(text).map_err(|error| {
             let line = error.span().map_or(0, |at| text[..at.start].matches('\n').count() + 1);
             format!("line {line}: {}", error.message().lines().next().unwrap_or_default())
         })?;
         let ranges = [
-            ("seconds", terms.seconds as u64, 10, 3600),
-            ("longest_trial_s", terms.longest_trial_s, 1, 86_400),
-            ("settings_bytes", terms.settings_bytes as u64, 1 << 10, 16 << 20),
+            ("seconds", config.seconds as u64, 10, 3600),
+            ("longest_trial_s", config.longest_trial_s, 1, 86_400),
+            ("settings_bytes", config.settings_bytes as u64, 1 << 10, 16 << 20),
         ];
-        for (key, value, least, most) in ranges {
-            if !(least..=most).contains(&value) {
-                return Err(format!("{key} has to be from {least} to {most}, and is {value}"));
+        for (key, value, min, max) in ranges {
+            if !(min..=max).contains(&value) {
+                return Err(format!("{key} must be from {min} to {max}, but is {value}"));
             }
         }
-        Ok(terms)
+        Ok(config)
     }
 }
 
-/// Who leads: the greater term wins, and of one term there is one leader.
+/// The leader of a rollout. A higher term wins, and each term has one leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Leader {
     pub term: u64,
-    pub by: String,
+    #[serde(rename = "by")]
+    pub name: String,
 }
 
-/// What a leader says.
+/// A request of a rollout's leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum Word {
-    /// It leads from now on.
+pub enum TrialAction {
+    /// The sender becomes the leader.
     Lead,
-    /// Anybody may ask whether the node would take these settings, and by what digest; and what it goes by.
-    Weigh {
-        settings: Value,
-    },
-    Tell,
-    /// These settings, in place of those with that digest, until so long after its last word.
-    Try {
-        from: String,
-        settings: Value,
-        for_ms: u64,
-    },
-    /// They may go on for so long from now.
-    Keep {
-        for_ms: u64,
-    },
-    /// They hold from now on, after a restart too.
+    /// Checks whether the node would accept these settings, and returns their digest. Like `GetSettings`, it
+    /// needs no leader.
+    #[serde(rename = "weigh")]
+    Check { settings: Value },
+    /// Returns the settings in force.
+    #[serde(rename = "tell")]
+    GetSettings,
+    /// Puts these settings on trial in place of those with the digest `from`, until this long after the
+    /// leader's last request.
+    Try { from: String, settings: Value, for_ms: u64 },
+    /// Extends the trial until this long from now.
+    #[serde(rename = "keep")]
+    Extend { for_ms: u64 },
+    /// Makes the settings on trial permanent, across restarts.
     Confirm,
-    /// Back to the former ones at once.
-    Back,
+    /// Returns to the former settings at once.
+    #[serde(rename = "back")]
+    RollBack,
 }
 
+/// A request together with the leader that sends it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Said {
+pub struct LeaderRequest {
     #[serde(flatten, default)]
     pub leader: Leader,
     #[serde(flatten)]
-    pub word: Word,
+    pub action: TrialAction,
 }
 
-/// What is now so, or why not.
-pub type Answer = Result<String, (StatusCode, String)>;
-pub type Asked = (Word, oneshot::Sender<Answer>);
+/// The new state, or the reason why the request failed.
+pub type TrialReply = Result<String, (StatusCode, String)>;
+/// An action with the channel for its reply.
+pub type QueuedAction = (TrialAction, oneshot::Sender<TrialReply>);
 
-/// A trial that is on: what it came after, and when it lapses.
+/// An active trial: the digest of the settings before it, and when it expires.
 #[derive(Clone, Debug)]
-pub struct On {
-    pub former: String,
-    pub until: Instant,
+pub struct ActiveTrial {
+    pub former_digest: String,
+    pub expires_at: Instant,
 }
 
+/// This node's part in rollouts: the leader, and the settings on trial.
 pub struct Trial {
-    pub terms: TrialTerms,
+    pub config: TrialConfig,
     leader: RefCell<Leader>,
-    pub on: RefCell<Option<On>>,
-    /// Trials that lapsed since the start, for want of their leader's word.
-    pub lapsed: Cell<u64>,
-    asks: mpsc::UnboundedSender<Asked>,
+    pub active: RefCell<Option<ActiveTrial>>,
+    /// The number of trials since the start that expired without a request from their leader.
+    pub expired: Cell<u64>,
+    queue: mpsc::UnboundedSender<QueuedAction>,
 }
 
-fn conflict(why: String) -> (StatusCode, String) {
-    (StatusCode::CONFLICT, why)
+fn conflict(reason: String) -> (StatusCode, String) {
+    (StatusCode::CONFLICT, reason)
 }
 
 impl Trial {
-    /// Whoever reads the asks carries them out.
-    pub fn new(terms: TrialTerms) -> Result<(Trial, mpsc::UnboundedReceiver<Asked>), String> {
-        let file = &terms.term_file;
+    /// Returns the queue of requests, which its reader has to carry out.
+    pub fn new(config: TrialConfig) -> Result<(Trial, mpsc::UnboundedReceiver<QueuedAction>), String> {
+        let file = &config.term_file;
         let leader = match std::fs::read(file) {
             Ok(bytes) => serde_json::from_slice(&bytes)
-                .map_err(|e| format!("rollout: {}: no remembered term: {e}", file.display()))?,
+                .map_err(|e| format!("rollout: {}: invalid stored term: {e}", file.display()))?,
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => Leader::default(),
             Err(error) => return Err(format!("rollout: {}: {error}", file.display())),
         };
-        let (asks, asked) = mpsc::unbounded_channel();
-        let (leader, on, lapsed) = (RefCell::new(leader), RefCell::default(), Cell::new(0));
-        Ok((Trial { terms, leader, on, lapsed, asks }, asked))
+        let (queue, actions) = mpsc::unbounded_channel();
+        let (leader, active, expired) = (RefCell::new(leader), RefCell::default(), Cell::new(0));
+        Ok((Trial { config, leader, active, expired, queue }, actions))
     }
 
+    /// The leader of the present term.
     pub fn leader(&self) -> Leader {
         self.leader.borrow().clone()
     }
 
-    /// A leader's word, as it came.
-    pub async fn told(&self, body: &[u8]) -> Answer {
-        let said: Said = serde_json::from_slice(body)
-            .map_err(|e| (StatusCode::BAD_REQUEST, format!("no word of a rolling change: {e}")))?;
-        if !matches!(said.word, Word::Weigh { .. } | Word::Tell) {
-            self.admit(&said)?;
+    /// Handles a request in its serialized form.
+    pub async fn handle(&self, body: &[u8]) -> TrialReply {
+        let request: LeaderRequest = serde_json::from_slice(body)
+            .map_err(|e| (StatusCode::BAD_REQUEST, format!("not a rollout request: {e}")))?;
+        if !matches!(request.action, TrialAction::Check { .. } | TrialAction::GetSettings) {
+            self.check_leader(&request)?;
         }
-        if said.word == Word::Lead {
-            return Ok(format!("led by {} in term {}", said.leader.by, said.leader.term));
+        if request.action == TrialAction::Lead {
+            return Ok(format!("led by {} in term {}", request.leader.name, request.leader.term));
         }
-        self.ask(said.word).await
+        self.submit(request.action).await
     }
 
-    /// Has it carried out.
-    pub async fn ask(&self, word: Word) -> Answer {
+    /// Has a request carried out and returns the answer.
+    pub async fn submit(&self, action: TrialAction) -> TrialReply {
         let (reply, answer) = oneshot::channel();
-        let gone = || (StatusCode::SERVICE_UNAVAILABLE, "this process takes no settings any more".to_owned());
-        self.asks.send((word, reply)).map_err(|_| gone())?;
-        answer.await.map_err(|_| gone())?
+        let unavailable =
+            || (StatusCode::SERVICE_UNAVAILABLE, "this process accepts no settings any more".to_owned());
+        self.queue.send((action, reply)).map_err(|_| unavailable())?;
+        answer.await.map_err(|_| unavailable())?
     }
 
-    /// Whether this leader has the say. A greater term is remembered before anything is done for it.
-    fn admit(&self, said: &Said) -> Result<(), (StatusCode, String)> {
+    /// Checks that the sender is the leader. A higher term is stored on disk before anything else is done
+    /// for it.
+    fn check_leader(&self, request: &LeaderRequest) -> Result<(), (StatusCode, String)> {
         let known = self.leader();
-        if said.leader.term > known.term && said.word == Word::Lead {
-            let bytes = serde_json::to_vec(&said.leader).unwrap_or_default();
-            replace(&self.terms.term_file, &bytes).map_err(|e| {
-                (StatusCode::INTERNAL_SERVER_ERROR, format!("the term cannot be remembered: {e}"))
+        if request.leader.term > known.term && request.action == TrialAction::Lead {
+            let bytes = serde_json::to_vec(&request.leader).unwrap_or_default();
+            write_atomically(&self.config.term_file, &bytes).map_err(|e| {
+                (StatusCode::INTERNAL_SERVER_ERROR, format!("the term cannot be stored: {e}"))
             })?;
-            note!("rollout: led by {} in term {}", said.leader.by, said.leader.term);
-            *self.leader.borrow_mut() = said.leader.clone();
+            log!("rollout: led by {} in term {}", request.leader.name, request.leader.term);
+            *self.leader.borrow_mut() = request.leader.clone();
             return Ok(());
         }
-        match said.leader == known && known.term > 0 {
+        match request.leader == known && known.term > 0 {
             true => Ok(()),
-            false => Err(conflict(format!("led by {:?} in term {}", known.by, known.term))),
+            false => Err(conflict(format!("led by {:?} in term {}", known.name, known.term))),
         }
     }
 
-    /// How long a leader may be silent, by what it asks for.
-    pub fn span(&self, for_ms: u64) -> Result<Duration, (StatusCode, String)> {
-        let most = self.terms.longest_trial_s * 1000;
-        match (100..=most).contains(&for_ms) {
+    /// Checks the time that a leader requests until its next request.
+    pub fn trial_duration(&self, for_ms: u64) -> Result<Duration, (StatusCode, String)> {
+        let max = self.config.longest_trial_s * 1000;
+        match (100..=max).contains(&for_ms) {
             true => Ok(Duration::from_millis(for_ms)),
-            false => Err((StatusCode::BAD_REQUEST, format!("for_ms has to be from 100 to {most}"))),
+            false => Err((StatusCode::BAD_REQUEST, format!("for_ms must be from 100 to {max}"))),
         }
     }
 
-    /// When the trial that is on lapses.
-    pub fn due(&self) -> Option<Instant> {
-        self.on.borrow().as_ref().map(|on| on.until)
+    /// When the active trial expires.
+    pub fn expiry(&self) -> Option<Instant> {
+        self.active.borrow().as_ref().map(|active| active.expires_at)
     }
 }
 
-/// Puts a file in place whole: whoever reads it, also after a loss of power, finds the one or the other.
-pub fn replace(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
+/// Replaces a file atomically: a reader finds either the old or the new content, even after a power failure.
+pub fn write_atomically(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let new = path.with_extension("new");
     let mut file = std::fs::File::create(&new)?;
     file.write_all(bytes)?;
@@ -221,47 +230,48 @@
 mod tests {
     use super::*;
 
-    fn said(term: u64, by: &str, word: Word) -> Said {
-        Said { leader: Leader { term, by: by.to_owned() }, word }
+    fn request(term: u64, name: &str, action: TrialAction) -> LeaderRequest {
+        LeaderRequest { leader: Leader { term, name: name.to_owned() }, action }
     }
 
-    /// A leader that was cut off and comes back must not have a say beside the one that took its place, nor two
-    /// that chose the same term; a node that starts again remembers whom it obeys.
+    /// A leader that was cut off must not have authority beside its successor, nor may two leaders share a
+    /// term. A restarted node must remember its leader.
     #[test]
-    fn one_leader_at_a_time() {
+    fn only_one_leader_is_accepted_at_a_time() {
         let file = std::env::temp_dir().join(format!("yarrowfront-term-{}", std::process::id()));
         let text = format!("term_file = {:?}", file.display().to_string());
-        let terms = TrialTerms::from_toml(&text).expect("good terms");
+        let config = TrialConfig::from_toml(&text).expect("good terms");
         let _ = std::fs::remove_file(&file);
-        let (trial, _asked) = Trial::new(terms.clone()).expect("a trial");
-        let admitted = |trial: &Trial, term, by, word| trial.admit(&said(term, by, word)).is_ok();
-        assert!(!admitted(&trial, 0, "", Word::Confirm), "nobody leads yet");
-        assert!(!admitted(&trial, 3, "a", Word::Confirm), "it has not said that it leads");
-        assert!(admitted(&trial, 3, "a", Word::Lead));
-        assert!(admitted(&trial, 3, "a", Word::Keep { for_ms: 100 }));
-        assert!(!admitted(&trial, 3, "b", Word::Lead), "of one term there is one leader");
-        assert!(!admitted(&trial, 2, "b", Word::Lead));
-        assert!(admitted(&trial, 4, "b", Word::Lead));
-        assert!(!admitted(&trial, 3, "a", Word::Back), "its time is over");
-        let (again, _asked) = Trial::new(terms.clone()).expect("a trial");
-        assert_eq!(again.leader(), Leader { term: 4, by: "b".to_owned() });
+        let (trial, _asked) = Trial::new(config.clone()).expect("a trial");
+        let admitted =
+            |trial: &Trial, term, name, action| trial.check_leader(&request(term, name, action)).is_ok();
+        assert!(!admitted(&trial, 0, "", TrialAction::Confirm), "nobody leads yet");
+        assert!(!admitted(&trial, 3, "a", TrialAction::Confirm), "it has not said that it leads");
+        assert!(admitted(&trial, 3, "a", TrialAction::Lead));
+        assert!(admitted(&trial, 3, "a", TrialAction::Extend { for_ms: 100 }));
+        assert!(!admitted(&trial, 3, "b", TrialAction::Lead), "of one term there is one leader");
+        assert!(!admitted(&trial, 2, "b", TrialAction::Lead));
+        assert!(admitted(&trial, 4, "b", TrialAction::Lead));
+        assert!(!admitted(&trial, 3, "a", TrialAction::RollBack), "its time is over");
+        let (again, _asked) = Trial::new(config.clone()).expect("a trial");
+        assert_eq!(again.leader(), Leader { term: 4, name: "b".to_owned() });
         std::fs::write(&file, "half a ter").expect("written");
-        assert!(Trial::new(terms).is_err(), "a term that cannot be read is not none");
+        assert!(Trial::new(config).is_err(), "a term that cannot be read is not none");
         let _ = std::fs::remove_file(&file);
     }
 
-    /// The example that operators begin with says what is taken where nothing is said.
+    /// The example file for operators states the default values.
     #[test]
-    fn the_example() {
+    fn example_file_states_the_defaults() {
         let example =
-            TrialTerms::from_toml(include_str!("../../../deploy/rollout.example.toml")).expect("terms");
+            TrialConfig::from_toml(include_str!("../../../deploy/rollout.example.toml")).expect("terms");
         let bare = format!("term_file = {:?}", example.term_file.display().to_string());
-        assert_eq!(TrialTerms::from_toml(&bare), Ok(example));
+        assert_eq!(TrialConfig::from_toml(&bare), Ok(example));
     }
 
-    /// What is wrong in the operators' file is named.
+    /// An error in the operators' file must name the key or the line.
     #[test]
-    fn bad_files() {
+    fn errors_name_the_key_or_line() {
         let cases = [
             ("", "term_file"),
             ("term_file = 3", "line 1"),
@@ -270,8 +280,8 @@
             ("term_file = \"t\"\nterm = 1", "line 2"),
         ];
         for (text, key) in cases {
-            let why = TrialTerms::from_toml(text).expect_err(text);
-            assert!(why.contains(key), "{text}: {why}");
+            let reason = TrialConfig::from_toml(text).expect_err(text);
+            assert!(reason.contains(key), "{text}: {reason}");
         }
     }
 }
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -1,47 +1,53 @@
-//! Judges: they see what clients and backends saw, in words of their own, and share no code with what they
-//! judge. Both clocks tell them the same sightings.
+//! Judges check a play from the outside: from what clients, backends and discovery observed. They have types of their own
+//! and share no code with what they judge. The virtual and the real clock report the same observations.
 
+pub mod observation;
 pub mod result;
 pub mod rules;
-pub mod seen;
 pub mod service;
 pub mod views;
 
 use crate::scenario::Scenario;
-use result::Played;
-use rules::Rules;
-pub use seen::{Ending, Final, Seen};
-use service::Service;
-use views::Views;
-use yarrowfront::times::Moment;
+pub use observation::{CommandOutcome, FinalAnswer, Observation};
+use result::PlayResult;
+use rules::RuleJudge;
+use service::ServiceJudge;
+use views::ViewJudge;
+use yarrowfront::times::Timestamp;
 
-/// All judges.
+/// All judges of a play.
 pub struct Judges {
-    pub rules: Rules,
-    pub service: Service,
-    pub views: Views,
-    origin: Moment,
+    pub rules: RuleJudge,
+    pub service: ServiceJudge,
+    pub views: ViewJudge,
+    /// Where the scenario's time starts on the clock.
+    origin: Timestamp,
 }
 
 impl Judges {
-    pub fn new(scenario: &Scenario, origin: Moment, backends: usize) -> Judges {
-        let (rules, service) = (Rules::new(scenario, origin), Service::new(scenario, origin, backends));
-        Judges { rules, service, views: Views::new(scenario, origin), origin }
+    /// Judges for a scenario that starts at `origin` with this many backends.
+    pub fn new(scenario: &Scenario, origin: Timestamp, backends: usize) -> Judges {
+        let (rules, service) =
+            (RuleJudge::new(scenario, origin), ServiceJudge::new(scenario, origin, backends));
+        Judges { rules, service, views: ViewJudge::new(scenario, origin), origin }
     }
 
-    /// What it has come to.
-    pub fn result(&self, scenario: &Scenario, of: (&str, &str), seed: u64) -> Played {
-        let mut played = Played::of(scenario, (&self.rules.broken, &self.service), of, seed);
-        let (rules, found) = (&mut played.rules, &self.views.found);
+    /// The result of the play so far; `labels` are the names of the policy and of the clock.
+    pub fn result(&self, scenario: &Scenario, labels: (&str, &str), seed: u64) -> PlayResult {
+        let mut result =
+            PlayResult::from_judges(scenario, (&self.rules.violations, &self.service), labels, seed);
+        let (rules, found) = (&mut result.rules, &self.views.violations);
         (rules.deaths, rules.portions, rules.views) = (found.deaths, found.portions, found.views);
-        let told =
-            |(at, text): &(Moment, String)| format!("{:.3} s: {text}", at.since(self.origin).micros() / 1e6);
-        rules.cases.extend(found.cases.iter().take(rules::CASES).map(told));
-        played
+        let describe = |(at, text): &(Timestamp, String)| {
+            format!("{:.3} s: {text}", at.since(self.origin).as_f64() / 1e6)
+        };
+        rules.cases.extend(found.cases.iter().take(rules::MAX_DESCRIBED_CASES).map(describe));
+        result
     }
 
-    pub fn see(&mut self, seen: Seen) {
-        self.rules.see(&seen);
-        self.service.see(&seen);
+    /// Takes note of an observation.
+    pub fn observe(&mut self, observation: Observation) {
+        self.rules.observe(&observation);
+        self.service.observe(&observation);
     }
 }
--- a/crates/rehearsal/src/model/settings.rs
+++ b/crates/rehearsal/src/model/settings.rs
@@ -1,23 +1,26 @@
-//! The settings that a node is given for a scenario: one text for the module on the virtual clock and for the
-//! node's file on the real one.
+//! The settings that a node is given for a scenario: the same JSON for the balancer module on the virtual clock and for
+//! the node's configuration file on the real one.
 
-use crate::scenario::{EffectOf, Follow, Scenario, Scope};
+use crate::scenario::{CommandEffect, ListMode, Scenario, Scope};
 use serde_json::{json, Value};
 
+/// The name of a zone in settings and in discovery's list.
 pub fn zone_name(zone: u16) -> String {
     format!("zone-{zone}")
 }
 
-/// What a load report is called by the settings; the stand-in backends call the fields by their own names.
-pub const REPORT: [&str; 3] = ["outstanding", "backlog", "utilization"];
+/// The names of the fields of a load report in the settings. The simulated backends name the fields differently in their
+/// answers.
+pub const LOAD_REPORT_FIELDS: [&str; 3] = ["outstanding", "backlog", "utilization"];
 
-pub fn settings(scenario: &Scenario, node: usize) -> Value {
+/// The settings of one node.
+pub fn node_settings(scenario: &Scenario, node: usize) -> Value {
     let zone = node as u16 % scenario.zones;
     let profile = |p: &crate::scenario::Profile| {
         let effect = match p.effect {
-            EffectOf::Repeatable => "repeatable",
-            EffectOf::Tagged => "by_key",
-            EffectOf::OnceOnly => "once",
+            CommandEffect::Repeatable => "repeatable",
+            CommandEffect::Tagged => "by_key",
+            CommandEffect::OnceOnly => "once",
         };
         let scope = match p.scope {
             Scope::All => "all",
@@ -28,7 +31,7 @@
                "group": scope, "memorySpan": p.memory.nanos(), "payoff": p.payoff})
     };
     let allow = &scenario.allow;
-    // What backends state of themselves is the least of any kind: a node cannot tell them apart before.
+    // The guarantees are the lowest of all kinds, because a node does not know beforehand what kind a backend is of.
     let cold = scenario.backends.iter().map(|k| k.cold).fold(1.0, f64::min);
     let warm = scenario.backends.iter().map(|k| k.warm.nanos()).max().unwrap_or_default();
     json!({
@@ -37,7 +40,7 @@
         "zone": zone,
         "zones": (0..scenario.zones).map(zone_name).collect::<Vec<_>>(),
         "flavors": scenario.backends.iter().map(|k| &k.kind).collect::<Vec<_>>(),
-        "discovery": if scenario.list.mode == Follow::Ask { "ask" } else { "push" },
+        "discovery": if scenario.list.mode == ListMode::Ask { "ask" } else { "push" },
         "profiles": scenario.profiles.iter().map(profile).collect::<Vec<_>>(),
         "tenants": scenario.customers.iter()
             .map(|c| json!({"name": c.name, "quotaPerS": c.quota_per_s})).collect::<Vec<_>>(),
@@ -49,7 +52,7 @@
             "maxRetryAfter": allow.come_back.map_or(0, |t| t.nanos()),
             "dialTimeout": scenario.net.dial.nanos(), "connIdle": 30_000_000_000u64
         },
-        "report": if allow.probes { json!({"how": "pull", "names": REPORT}) } else { Value::Null },
+        "report": if allow.probes { json!({"how": "pull", "names": LOAD_REPORT_FIELDS}) } else { Value::Null },
         "penalties": {"probe": allow.probe_price, "crossZone": allow.crossing_price},
         "guarantees": {
             "startCapacity": cold, "warmWithin": warm, "tipMultiple": allow.push_over,
--- a/crates/rehearsal/src/policy.rs
+++ b/crates/rehearsal/src/policy.rs
@@ -1,333 +1,403 @@
-//! Policies on the virtual clock: yarrowfront's own module, unchanged, and simple ones to compare it with.
+//! Policies on the virtual clock: yarrowfront's own balancer, unchanged, and simple policies to compare it with.
 
-use crate::draw::{Draw, Stream};
 use crate::model::fleet::Fleet;
-use crate::model::settings::settings;
-use crate::scenario::{EffectOf, Scenario};
-use yarrowfront::command::{Command, Fate, Outcome};
-use yarrowfront::decide::{Balancer, Errand, ListKind, Listed, Say, State};
-use yarrowfront::ids::{BackendId, Hand};
-use yarrowfront::terms::Terms;
-use yarrowfront::times::{Moment, Span};
-
-/// A launch as its node's driver keeps it.
+use crate::model::settings::node_settings;
+use crate::rng::{RngStream, SeededRng};
+use crate::scenario::{CommandEffect, Scenario};
+use yarrowfront::command::{Command, LaunchState, Outcome};
+use yarrowfront::decide::{Action, BackendState, Balancer, Decision, ListEntry, ListUpdateKind};
+use yarrowfront::ids::{BackendId, CommandHandle};
+use yarrowfront::settings::Settings;
+use yarrowfront::times::{Micros, Timestamp};
+
+/// A launch of a command.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
+pub struct SentLaunch {
     pub backend: usize,
-    pub fate: Fate,
+    pub state: LaunchState,
 }
 
-/// A command in a node's hand.
-pub struct Task {
+/// A command that a node has received and not answered, with its launches.
+pub struct ActiveCommand {
     pub command: Command,
-    pub sent: Vec<Sent>,
+    pub launches: Vec<SentLaunch>,
 }
 
-impl Task {
-    pub fn out(&self) -> usize {
-        self.sent.iter().filter(|s| s.fate == Fate::Out).count()
+impl ActiveCommand {
+    /// The number of launches that have not ended.
+    pub fn in_flight(&self) -> usize {
+        self.launches.iter().filter(|s| s.state == LaunchState::InFlight).count()
     }
 }
 
-/// The module's three questions and what it is told. `fleet` is the true state: only a policy that is allowed
-/// sight of it looks there.
+/// The decisions of a node, and the events that it is informed of. `fleet` is the true state of the backends, which only the
+/// policies `shortest` and `sighted` use.
 pub trait Policy {
-    fn place(&mut self, now: Moment, hand: Hand, task: &mut Task, fleet: &Fleet) -> Say;
-    /// `task.sent` has the launch's fate already.
-    fn after(
+    /// What to do with a command now. `command` is the key of the command in the node.
+    fn decide(
         &mut self,
-        now: Moment,
-        hand: Hand,
-        task: &mut Task,
-        launch: u8,
+        now: Timestamp,
+        command: CommandHandle,
+        active: &mut ActiveCommand,
+        fleet: &Fleet,
+    ) -> Decision;
+    /// What to do with a command after one of its launches has ended. `active.launches` already has the new state of the
+    /// launch.
+    fn on_launch_outcome(
+        &mut self,
+        now: Timestamp,
+        command: CommandHandle,
+        active: &mut ActiveCommand,
+        launch_index: u8,
         outcome: Outcome,
         fleet: &Fleet,
-    ) -> Say;
-    fn wait(&self, now: Moment, task: Option<&Task>) -> Option<Span>;
-    fn dropped(&mut self, task: &mut Task);
-    fn list(&mut self, now: Moment, kind: ListKind, lines: &[Listed]);
-    fn report(&mut self, now: Moment, at: BackendId, found: bool, trip: Span, values: &[f32]);
-    fn errand(&mut self, now: Moment) -> Option<Errand>;
+    ) -> Decision;
+    /// When the command has to be decided on again, or, without a command, when `next_action` has to be called.
+    fn wakeup_delay(&self, now: Timestamp, active: Option<&ActiveCommand>) -> Option<Micros>;
+    /// The client of the command has left.
+    fn on_client_gone(&mut self, active: &mut ActiveCommand);
+    fn apply_list(&mut self, now: Timestamp, kind: ListUpdateKind, entries: &[ListEntry]);
+    /// A probe has ended after `round_trip`; `found` tells whether it brought a load report with these values.
+    fn on_load_report(
+        &mut self,
+        now: Timestamp,
+        backend: BackendId,
+        found: bool,
+        round_trip: Micros,
+        values: &[f32],
+    );
+    /// The next action besides decisions on commands, until there is none.
+    fn next_action(&mut self, now: Timestamp) -> Option<Action>;
 }
 
-/// A node's start.
-pub struct Birth<'a> {
+/// What a policy is created from when a node starts.
+pub struct NodeContext<'a> {
     pub scenario: &'a Scenario,
     pub node: usize,
     pub seed: u64,
-    pub now: Moment,
+    pub now: Timestamp,
 }
 
-pub type Make<'a> = dyn Fn(&Birth) -> Result<Box<dyn Policy>, String> + Sync + 'a;
+/// Creates the policy of a node that starts.
+pub type PolicyFactory<'a> = dyn Fn(&NodeContext) -> Result<Box<dyn Policy>, String> + Sync + 'a;
 
+/// The names of all policies.
 pub const NAMES: [&str; 6] = ["yarrowfront", "random", "round-robin", "less-busy", "shortest", "sighted"];
 
-/// The policy of this name for a node that starts.
-pub fn make(name: &str, birth: &Birth) -> Result<Box<dyn Policy>, String> {
-    let pick = match name {
-        "yarrowfront" => return Yarrowfront::new(birth).map(|y| Box::new(y) as Box<dyn Policy>),
-        "random" => Pick::Random,
-        "round-robin" => Pick::RoundRobin,
-        "less-busy" => Pick::LessBusy,
-        "shortest" => Pick::Shortest,
-        "sighted" => Pick::Sighted,
-        _ => return Err(format!("there is no policy {name:?}: one of {}", NAMES.join(", "))),
+/// Creates the policy with this name.
+pub fn create(name: &str, context: &NodeContext) -> Result<Box<dyn Policy>, String> {
+    let strategy = match name {
+        "yarrowfront" => return Yarrowfront::new(context).map(|y| Box::new(y) as Box<dyn Policy>),
+        "random" => Strategy::Random,
+        "round-robin" => Strategy::RoundRobin,
+        "less-busy" => Strategy::LessBusy,
+        "shortest" => Strategy::Shortest,
+        "sighted" => Strategy::Sighted,
+        _ => return Err(format!("there is no policy {name:?}; the policies are {}", NAMES.join(", "))),
     };
-    Ok(Box::new(Simple::new(pick, birth)))
+    Ok(Box::new(SimplePolicy::new(strategy, context)))
 }
 
+/// The balancer that real nodes use.
 pub struct Yarrowfront(Balancer);
 
 impl Yarrowfront {
-    pub fn new(birth: &Birth) -> Result<Yarrowfront, String> {
-        let terms = Terms::from_json(settings(birth.scenario, birth.node).to_string().as_bytes())?;
-        Ok(Yarrowfront(Balancer::new(terms, birth.seed, birth.now)))
+    pub fn new(context: &NodeContext) -> Result<Yarrowfront, String> {
+        let settings =
+            Settings::from_json(node_settings(context.scenario, context.node).to_string().as_bytes())?;
+        Ok(Yarrowfront(Balancer::new(settings, context.seed, context.now)))
     }
 }
 
 impl Policy for Yarrowfront {
-    fn place(&mut self, now: Moment, hand: Hand, task: &mut Task, _: &Fleet) -> Say {
-        self.0.place(now, hand, &mut task.command)
+    fn decide(
+        &mut self,
+        now: Timestamp,
+        command: CommandHandle,
+        active: &mut ActiveCommand,
+        _: &Fleet,
+    ) -> Decision {
+        self.0.decide(now, command, &mut active.command)
     }
 
-    fn after(&mut self, now: Moment, hand: Hand, task: &mut Task, n: u8, outcome: Outcome, _: &Fleet) -> Say {
-        self.0.after(now, hand, &mut task.command, n, outcome)
+    fn on_launch_outcome(
+        &mut self,
+        now: Timestamp,
+        command: CommandHandle,
+        active: &mut ActiveCommand,
+        launch_index: u8,
+        outcome: Outcome,
+        _: &Fleet,
+    ) -> Decision {
+        self.0.on_launch_outcome(now, command, &mut active.command, launch_index, outcome)
     }
 
-    fn wait(&self, now: Moment, task: Option<&Task>) -> Option<Span> {
-        self.0.wait(now, task.map(|t| &t.command))
+    fn wakeup_delay(&self, now: Timestamp, active: Option<&ActiveCommand>) -> Option<Micros> {
+        self.0.wakeup_delay(now, active.map(|active| &active.command))
     }
 
-    fn dropped(&mut self, task: &mut Task) {
-        self.0.dropped(&mut task.command);
+    fn on_client_gone(&mut self, active: &mut ActiveCommand) {
+        self.0.on_client_gone(&mut active.command);
     }
 
-    fn list(&mut self, now: Moment, kind: ListKind, lines: &[Listed]) {
-        self.0.list(now, kind, lines.iter().copied());
+    fn apply_list(&mut self, now: Timestamp, kind: ListUpdateKind, entries: &[ListEntry]) {
+        self.0.apply_list(now, kind, entries.iter().copied());
     }
 
-    fn report(&mut self, now: Moment, at: BackendId, found: bool, trip: Span, values: &[f32]) {
-        self.0.report(now, at, found, Some(trip), values);
+    fn on_load_report(
+        &mut self,
+        now: Timestamp,
+        backend: BackendId,
+        found: bool,
+        round_trip: Micros,
+        values: &[f32],
+    ) {
+        self.0.on_load_report(now, backend, found, Some(round_trip), values);
     }
 
-    fn errand(&mut self, now: Moment) -> Option<Errand> {
-        self.0.errand(now)
+    fn next_action(&mut self, now: Timestamp) -> Option<Action> {
+        self.0.next_action(now)
     }
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Pick {
+enum Strategy {
     Random,
     RoundRobin,
-    /// The one of two random ones with fewer own launches out.
+    /// Of two random backends, the one with fewer launches of this node in flight.
     LessBusy,
-    /// The one that would be done first, with sight of every backend's true state; what nobody would finish
-    /// within its goal time is turned back. No real node can know this.
+    /// The backend that would finish the command first according to the true state of all backends, which no real node can
+    /// know. Commands that no backend would finish within the goal time are rejected.
     Shortest,
-    /// The same, which also keeps backends from collapsing and lets in the dearest where not all can be done:
-    /// what a policy that knew everything would reach about.
+    /// Like `Shortest`, but it also keeps backends from collapsing, and admits the commands with the highest payoff for their
+    /// work if not all can be served. This is about the best that a policy with full knowledge can reach.
     Sighted,
 }
 
-/// The part of the goal time from which on the fleet counts as filling up: enough is left for what is dearer.
-const TIGHT: f64 = 0.4;
-
-/// One that holds nothing, learns nothing and keeps the rules as simply as can be.
-struct Simple {
-    pick: Pick,
-    draw: Draw,
-    turn: usize,
-    listed: Vec<Listed>,
+/// If the best backend needs more than this share of the remaining goal time, the fleet counts as filling up. Enough is
+/// left then for commands with a higher payoff.
+const TIGHT_SHARE_OF_GOAL_TIME: f64 = 0.4;
+
+/// A policy that queues nothing, learns nothing and keeps the rules in the simplest way.
+struct SimplePolicy {
+    strategy: Strategy,
+    rng: SeededRng,
+    /// For `RoundRobin`.
+    next_index: usize,
+    listed: Vec<ListEntry>,
+    /// The backends that the list shows as ready.
     ready: Vec<usize>,
-    out: Vec<u32>,
-    effects: Vec<EffectOf>,
-    goals: Vec<Span>,
-    works: Vec<f64>,
-    /// Payoff for each microsecond of work, and what a command must bring to be let in at present.
-    density: Vec<f64>,
-    price: f64,
-    most: usize,
-    come_back: Span,
-    follow: bool,
-    follow_at: Moment,
-    ask_within: Span,
+    /// The number of launches in flight, by backend.
+    in_flight: Vec<u32>,
+    effects: Vec<CommandEffect>,
+    goal_times: Vec<Micros>,
+    mean_work_us: Vec<f64>,
+    /// Payoff per microsecond of work, by profile.
+    payoff_density: Vec<f64>,
+    /// The payoff per microsecond of work that a command needs at present to be admitted while the fleet fills up.
+    min_payoff_density: f64,
+    max_launches: usize,
+    retry_after: Micros,
+    needs_list: bool,
+    request_list_at: Timestamp,
+    list_request_interval: Micros,
 }
 
-impl Simple {
-    fn new(pick: Pick, birth: &Birth) -> Simple {
-        let scenario = birth.scenario;
-        let draw = Draw::new(birth.seed, Stream::Nodes);
-        Simple {
-            pick,
-            draw,
-            turn: birth.node,
+impl SimplePolicy {
+    fn new(strategy: Strategy, context: &NodeContext) -> SimplePolicy {
+        let scenario = context.scenario;
+        let rng = SeededRng::new(context.seed, RngStream::Nodes);
+        SimplePolicy {
+            strategy,
+            rng,
+            next_index: context.node,
             listed: Vec::new(),
             ready: Vec::new(),
-            out: Vec::new(),
+            in_flight: Vec::new(),
             effects: scenario.profiles.iter().map(|p| p.effect).collect(),
-            goals: scenario.profiles.iter().map(|p| p.goal.span()).collect(),
-            works: scenario.profiles.iter().map(|p| p.work.micros()).collect(),
-            density: scenario.profiles.iter().map(|p| p.payoff / p.work.micros()).collect(),
-            price: 0.0,
-            most: scenario.allow.launches as usize,
-            come_back: scenario.allow.come_back.map_or(Span(0), |t| t.span().scaled(0.2)),
-            follow: true,
-            follow_at: birth.now,
-            ask_within: scenario.list.ask_within.span(),
+            goal_times: scenario.profiles.iter().map(|p| p.goal.span()).collect(),
+            mean_work_us: scenario.profiles.iter().map(|p| p.work.micros()).collect(),
+            payoff_density: scenario.profiles.iter().map(|p| p.payoff / p.work.micros()).collect(),
+            min_payoff_density: 0.0,
+            max_launches: scenario.allow.launches as usize,
+            retry_after: scenario.allow.come_back.map_or(Micros(0), |t| t.span().scaled(0.2)),
+            needs_list: true,
+            request_list_at: context.now,
+            list_request_interval: scenario.list.ask_within.span(),
         }
     }
 
-    fn choose(&mut self, now: Moment, task: &Task, fleet: &Fleet) -> Option<usize> {
-        let fresh = |b: &usize| !task.sent.iter().any(|s| s.backend == *b);
-        let open: Vec<usize> = self.ready.iter().copied().filter(fresh).collect();
-        if open.is_empty() {
+    fn choose_backend(&mut self, now: Timestamp, active: &ActiveCommand, fleet: &Fleet) -> Option<usize> {
+        let is_untried = |b: &usize| !active.launches.iter().any(|s| s.backend == *b);
+        let candidates: Vec<usize> = self.ready.iter().copied().filter(is_untried).collect();
+        if candidates.is_empty() {
             return None;
         }
-        Some(match self.pick {
-            Pick::Random => open[self.draw.below(open.len())],
-            Pick::RoundRobin => {
-                self.turn += 1;
-                open[self.turn % open.len()]
+        Some(match self.strategy {
+            Strategy::Random => candidates[self.rng.below(candidates.len())],
+            Strategy::RoundRobin => {
+                self.next_index += 1;
+                candidates[self.next_index % candidates.len()]
             }
-            Pick::LessBusy => {
-                let two = [self.draw.below(open.len()), self.draw.below(open.len())].map(|i| open[i]);
-                if self.out[two[1]] < self.out[two[0]] {
-                    two[1]
+            Strategy::LessBusy => {
+                let pair = [self.rng.below(candidates.len()), self.rng.below(candidates.len())]
+                    .map(|i| candidates[i]);
+                if self.in_flight[pair[1]] < self.in_flight[pair[0]] {
+                    pair[1]
                 } else {
-                    two[0]
+                    pair[0]
                 }
             }
-            Pick::Shortest | Pick::Sighted => {
-                let careful = self.pick == Pick::Sighted;
-                let profile = usize::from(task.command.profile.0);
-                let (work, goal) = (self.works[profile], self.goals[profile]);
-                let start = self.draw.below(open.len());
+            Strategy::Shortest | Strategy::Sighted => {
+                let avoids_overload = self.strategy == Strategy::Sighted;
+                let profile = usize::from(active.command.profile.0);
+                let (work, goal) = (self.mean_work_us[profile], self.goal_times[profile]);
+                let start = self.rng.below(candidates.len());
                 let mut best = (f64::MAX, None);
-                for k in 0..open.len() {
-                    let i = open[(start + k) % open.len()];
+                for k in 0..candidates.len() {
+                    let i = candidates[(start + k) % candidates.len()];
                     let b = &fleet.backends[i];
-                    let full = b.held() as f64 >= b.cores() * (1.0 + b.kind.queue);
-                    let brink = b.kind.collapse.is_some_and(|c| b.held() as f64 + 1.0 >= c.at * b.cores());
-                    let full = full || careful && brink;
-                    if !b.up || b.cut || b.draining || full || b.rate() <= 0.0 || b.would_fall(now, work) {
+                    let is_full = b.held_commands() as f64 >= b.cores() * (1.0 + b.kind.queue);
+                    let would_collapse =
+                        b.kind.collapse.is_some_and(|c| b.held_commands() as f64 + 1.0 >= c.at * b.cores());
+                    let is_full = is_full || avoids_overload && would_collapse;
+                    if !b.is_up
+                        || b.is_cut_off
+                        || b.is_draining
+                        || is_full
+                        || b.rate() <= 0.0
+                        || b.would_crash(now, work)
+                    {
                         continue;
                     }
-                    let wait = if (b.held() as f64) < b.cores() { 0.0 } else { b.ahead() / b.cores() };
-                    let took = (wait + work) / b.rate();
-                    if took < best.0 {
-                        best = (took, Some(i));
+                    let wait = if (b.held_commands() as f64) < b.cores() {
+                        0.0
+                    } else {
+                        b.remaining_work() / b.cores()
+                    };
+                    let finish_in = (wait + work) / b.rate();
+                    if finish_in < best.0 {
+                        best = (finish_in, Some(i));
                     }
                 }
-                let left = (task.command.arrived + goal).since(now).micros();
-                let fits = best.0 <= left;
-                if !careful {
-                    return best.1.filter(|_| fits);
+                let time_left = (active.command.arrived_at + goal).since(now).as_f64();
+                let is_in_time = best.0 <= time_left;
+                if !avoids_overload {
+                    return best.1.filter(|_| is_in_time);
                 }
-                // The price rises while the best place leaves little of the goal time, and falls otherwise.
-                let tight = best.0 > TIGHT * left;
-                let (low, high) = (self.density.iter().copied().fold(f64::MAX, f64::min), self.dearest());
-                self.price = match tight {
-                    true => (self.price * 1.05).clamp(0.5 * low, 1.05 * high),
-                    false => self.price * 0.97,
+                // The threshold rises while the best backend leaves little of the goal time, and falls otherwise.
+                let is_tight = best.0 > TIGHT_SHARE_OF_GOAL_TIME * time_left;
+                let (min, max) =
+                    (self.payoff_density.iter().copied().fold(f64::MAX, f64::min), self.max_payoff_density());
+                self.min_payoff_density = match is_tight {
+                    true => (self.min_payoff_density * 1.05).clamp(0.5 * min, 1.05 * max),
+                    false => self.min_payoff_density * 0.97,
                 };
-                let dear = self.density[profile] >= self.price;
-                return best.1.filter(|_| fits && (dear || !tight));
+                let pays_enough = self.payoff_density[profile] >= self.min_payoff_density;
+                return best.1.filter(|_| is_in_time && (pays_enough || !is_tight));
             }
         })
     }
 
-    fn dearest(&self) -> f64 {
-        self.density.iter().copied().fold(0.0, f64::max)
+    fn max_payoff_density(&self) -> f64 {
+        self.payoff_density.iter().copied().fold(0.0, f64::max)
     }
 
-    fn end(&mut self, task: &mut Task) -> Say {
-        if task.out() > 0 {
-            return Say::NotYet;
+    fn give_up(&mut self, active: &mut ActiveCommand) -> Decision {
+        if active.in_flight() > 0 {
+            return Decision::Wait;
         }
-        task.command.closed = true;
-        let effect = self.effects[usize::from(task.command.profile.0)];
-        let harmless = effect == EffectOf::Repeatable || task.sent.iter().all(|s| s.fate == Fate::NotRun);
-        if harmless {
-            Say::TurnBack(self.come_back)
+        active.command.is_closed = true;
+        let effect = self.effects[usize::from(active.command.profile.0)];
+        let retry_is_safe = effect == CommandEffect::Repeatable
+            || active.launches.iter().all(|s| s.state == LaunchState::NotRun);
+        if retry_is_safe {
+            Decision::Reject(self.retry_after)
         } else {
-            Say::Errored
+            Decision::Fail
         }
     }
 }
 
-impl Policy for Simple {
-    fn place(&mut self, now: Moment, _: Hand, task: &mut Task, fleet: &Fleet) -> Say {
-        if task.command.closed || task.out() > 0 {
-            return Say::NotYet;
+impl Policy for SimplePolicy {
+    fn decide(
+        &mut self,
+        now: Timestamp,
+        _: CommandHandle,
+        active: &mut ActiveCommand,
+        fleet: &Fleet,
+    ) -> Decision {
+        if active.command.is_closed || active.in_flight() > 0 {
+            return Decision::Wait;
         }
-        match self.choose(now, task, fleet) {
+        match self.choose_backend(now, active, fleet) {
             Some(i) => {
-                self.out[i] += 1;
-                Say::Launch(BackendId(i as u32))
+                self.in_flight[i] += 1;
+                Decision::Launch(BackendId(i as u32))
             }
-            None => self.end(task),
+            None => self.give_up(active),
         }
     }
 
-    fn after(
+    fn on_launch_outcome(
         &mut self,
-        now: Moment,
-        hand: Hand,
-        task: &mut Task,
-        n: u8,
+        now: Timestamp,
+        command: CommandHandle,
+        active: &mut ActiveCommand,
+        launch_index: u8,
         outcome: Outcome,
         fleet: &Fleet,
-    ) -> Say {
-        self.out[task.sent[usize::from(n)].backend] -= 1;
-        if task.command.closed || outcome == Outcome::Finished {
-            return Say::NotYet;
+    ) -> Decision {
+        self.in_flight[active.launches[usize::from(launch_index)].backend] -= 1;
+        if active.command.is_closed || outcome == Outcome::Finished {
+            return Decision::Wait;
         }
-        let effect = self.effects[usize::from(task.command.profile.0)];
-        let harmless = effect == EffectOf::Repeatable || outcome.proves_not_run(false);
-        if harmless && task.sent.len() < self.most && now < task.command.ends {
-            return self.place(now, hand, task, fleet);
+        let effect = self.effects[usize::from(active.command.profile.0)];
+        let retry_is_safe = effect == CommandEffect::Repeatable || outcome.proves_not_run(false);
+        if retry_is_safe && active.launches.len() < self.max_launches && now < active.command.deadline {
+            return self.decide(now, command, active, fleet);
         }
-        self.end(task)
+        self.give_up(active)
     }
 
-    fn wait(&self, now: Moment, task: Option<&Task>) -> Option<Span> {
-        (task.is_none() && self.follow).then(|| self.follow_at.since(now))
+    fn wakeup_delay(&self, now: Timestamp, active: Option<&ActiveCommand>) -> Option<Micros> {
+        (active.is_none() && self.needs_list).then(|| self.request_list_at.since(now))
     }
 
-    fn dropped(&mut self, task: &mut Task) {
-        task.command.closed = true;
+    fn on_client_gone(&mut self, active: &mut ActiveCommand) {
+        active.command.is_closed = true;
     }
 
-    fn list(&mut self, now: Moment, kind: ListKind, lines: &[Listed]) {
+    fn apply_list(&mut self, now: Timestamp, kind: ListUpdateKind, entries: &[ListEntry]) {
         match kind {
-            ListKind::Failed | ListKind::Silent => {
-                self.follow = true;
-                self.follow_at = now + Span(self.ask_within.0.min(1_000_000) / 4);
+            ListUpdateKind::Failed | ListUpdateKind::Silent => {
+                self.needs_list = true;
+                self.request_list_at = now + Micros(self.list_request_interval.0.min(1_000_000) / 4);
                 return;
             }
-            ListKind::Whole | ListKind::Changes => self.follow = false,
-            ListKind::Cached => {}
+            ListUpdateKind::Snapshot | ListUpdateKind::Delta => self.needs_list = false,
+            ListUpdateKind::Cached => {}
         }
-        if kind != ListKind::Changes {
+        if kind != ListUpdateKind::Delta {
             self.listed.clear();
         }
-        for line in lines {
-            match self.listed.iter_mut().find(|l| l.backend == line.backend) {
-                Some(old) => *old = *line,
-                None => self.listed.push(*line),
+        for entry in entries {
+            match self.listed.iter_mut().find(|l| l.backend == entry.backend) {
+                Some(old) => *old = *entry,
+                None => self.listed.push(*entry),
             }
-            self.out.resize(self.out.len().max(line.backend.0 as usize + 1), 0);
+            self.in_flight.resize(self.in_flight.len().max(entry.backend.0 as usize + 1), 0);
         }
-        let ready = self.listed.iter().filter(|l| l.state == State::Ready);
+        let ready = self.listed.iter().filter(|l| l.state == BackendState::Ready);
         self.ready = ready.map(|l| l.backend.0 as usize).collect();
     }
 
-    fn report(&mut self, _: Moment, _: BackendId, _: bool, _: Span, _: &[f32]) {}
+    fn on_load_report(&mut self, _: Timestamp, _: BackendId, _: bool, _: Micros, _: &[f32]) {}
 
-    fn errand(&mut self, now: Moment) -> Option<Errand> {
-        if self.follow && now >= self.follow_at {
-            self.follow_at = now + self.ask_within.scaled(0.5);
-            return Some(Errand::Follow);
+    fn next_action(&mut self, now: Timestamp) -> Option<Action> {
+        if self.needs_list && now >= self.request_list_at {
+            self.request_list_at = now + self.list_request_interval.scaled(0.5);
+            return Some(Action::RequestList);
         }
         None
     }
--- a/crates/view/src/share.rs
+++ b/crates/view/src/share.rs
@@ -1,195 +1,223 @@
-//! What the decisions may take from a view: how many nodes share what all share, and this node's place among them.
+//! What the balancing decisions may take from a view: among how many nodes the fleet-wide limits are divided, and this
+//! node's index among them.
 //!
-//! A view may be wrong, and a cold backend must not be pushed over for that. Of `S` places that the settings state a
-//! node that has one may count on `1/S`. It counts on less whenever it sees more nodes than places. It counts on more
-//! only while it sees a majority of the places without a break for longer than `sure`, and then leaves a half portion,
-//! `1/2S`, to each place that is missing. A node that has not seen a majority within `release`, has just begun, or was
-//! kept from its work keeps to that half portion; one without a place of its own takes nothing until it has been
-//! among a majority for `sure`. Majorities of one number of places meet in a node, so at most one side of any partition
-//! counts on more, and by the time it does (`sure` is at least four times `release`) whoever is not of it has let go:
-//! portions sum to one at most. `docs/view.md` has the argument whole, and a search shows it.
+//! A view may be wrong, and a cold backend must not be overloaded because of that. The settings configure `S` slots. A
+//! node that owns a slot may use a share of `1/S`. It uses less whenever it sees more nodes than slots. It uses more only
+//! while it has seen a majority of the slots without interruption for longer than `takeover_delay`, and even then it
+//! leaves a half share, `1/2S`, to each missing slot. A node keeps to the half share if it has not seen a majority within
+//! `release_after`, has just started, or was stalled. A node without a slot of its own takes nothing until it has been in
+//! a majority for `takeover_delay`. Two majorities of the same slots have a node in common, so at most one side of a
+//! partition uses more than its share. By the time it does (`takeover_delay` is at least four times `release_after`) the
+//! nodes outside have released theirs: the shares sum to at most one. `docs/view.md` has the full argument, and the
+//! search in `crates/fleet` checks it.
 
-use crate::card::Standing;
-use crate::terms::Times;
+use crate::config::Timing;
+use crate::node_info::MemberState;
 use crate::view::View;
 use std::collections::BTreeMap;
-use yarrowfront::times::{Moment, Span};
+use yarrowfront::times::{Micros, Timestamp};
 
-/// One part of so many, for nodes that take nothing of what all share.
-pub const NONE: u32 = 1_000_000;
+/// The node count that stands for no share: a share of one millionth, which counts as nothing.
+pub const NO_SHARE: u32 = 1_000_000;
 
-/// Plain facts for the decisions: as one of so many nodes, at that place among them.
+/// A node's share: one of `nodes` equal parts, at position `index`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
     pub nodes: u32,
-    pub me: u32,
-    /// Past this the facts are too old: `Sharer::without` holds.
-    pub until: Moment,
-    pub why: Why,
+    pub index: u32,
+    /// After this time the share is stale and `ShareTracker::fallback` applies.
+    pub valid_until: Timestamp,
+    pub reason: ShareReason,
 }
 
-/// Why a node takes the portion that it takes.
+/// Why a node takes the share that it takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// As the settings have it.
-    Stated,
-    /// It has just begun, or come back to a majority.
-    Fresh,
-    /// It does not see a majority of the places.
-    Unsure,
-    /// More nodes than places are there, or it has no place of its own.
-    Crowded,
-    /// Places have been missing for so long that the others share most of their portions.
-    Missing,
+pub enum ShareReason {
+    /// The share that the settings configure.
+    Configured,
+    /// The node has just started, or has just returned to a majority.
+    Settling,
+    /// The node does not see a majority of the slots.
+    NoMajority,
+    /// There are more nodes than slots, or the node has no slot of its own.
+    ExtraNodes,
+    /// Slots have been missing for so long that the other nodes divide most of their shares.
+    SlotsMissing,
 }
 
-impl Why {
-    pub fn word(self) -> &'static str {
+impl ShareReason {
+    /// The reason in words. The answer of `GET /fleet` contains these texts, so they are part of the operators' interface
+    /// and must not change.
+    pub fn as_str(self) -> &'static str {
         match self {
-            Why::Stated => "as the settings have it",
-            Why::Fresh => "this node has just begun, or come back",
-            Why::Unsure => "this node sees no majority of the places",
-            Why::Crowded => "there are more nodes than places",
-            Why::Missing => "places have been missing for long",
+            ShareReason::Configured => "as the settings have it",
+            ShareReason::Settling => "this node has just begun, or come back",
+            ShareReason::NoMajority => "this node sees no majority of the places",
+            ShareReason::ExtraNodes => "there are more nodes than places",
+            ShareReason::SlotsMissing => "places have been missing for long",
         }
     }
 }
 
-/// What a look at the view finds of the places.
+/// How the configured slots are occupied, according to a view.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Places {
-    /// Places whose one holder is taken to be alive, this node's own among them.
-    pub seen: u32,
-    /// Places that nobody has held for longer than `sure`.
+pub struct SlotOccupancy {
+    /// Slots with exactly one holder, which is alive. This node's own slot is included.
+    pub live: u32,
+    /// Slots that no node has held for longer than `takeover_delay`.
     pub missing: u32,
-    /// Nodes without a place of their own that may be there.
-    pub extra: u32,
-    /// Whether this node has a place of its own.
-    pub own: bool,
-    /// How many with a place come before this node's, of those that are not missing.
-    pub before: u32,
+    /// Nodes without a slot of their own that may be running.
+    pub extra_nodes: u32,
+    /// Whether this node has a slot of its own.
+    pub owns_slot: bool,
+    /// The number of slots before this node's that are not missing.
+    pub preceding: u32,
 }
 
-impl Places {
-    /// Of so many places, at that moment.
-    pub fn of(view: &View, places: u32, now: Moment, sure: Span) -> Places {
-        let mut held: BTreeMap<u32, (u32, bool, bool)> = BTreeMap::new();
-        let mut extra = 0;
-        let mine = view.card();
-        let own = [(view.name(), mine, Standing::Alive, Moment(0))];
-        let others = view.members().map(|(name, m)| (name, &m.card, m.standing, m.since));
-        for (_, card, standing, since) in own.into_iter().chain(others) {
-            // Gone, but not for long enough: it may be there.
-            let gone = !standing.here() && now.since(since) >= sure;
-            if gone {
+impl SlotOccupancy {
+    /// Counts the occupancy of the configured slots.
+    pub fn from_view(view: &View, slots: u32, now: Timestamp, takeover_delay: Micros) -> SlotOccupancy {
+        let mut holders: BTreeMap<u32, (u32, bool, bool)> = BTreeMap::new();
+        let mut extra_nodes = 0;
+        let own_info = view.info();
+        let own = [(view.name(), own_info, MemberState::Alive, Timestamp(0))];
+        let others = view.members().map(|(name, m)| (name, &m.info, m.state, m.state_since));
+        for (_, info, state, since) in own.into_iter().chain(others) {
+            // A node that has been gone for less than the delay may still be running.
+            let is_gone = !state.is_present() && now.since(since) >= takeover_delay;
+            if is_gone {
                 continue;
             }
-            if card.places == places && card.place < places {
-                let place = held.entry(card.place).or_default();
-                place.0 += 1;
-                place.1 |= standing == Standing::Alive;
-                extra += u32::from(place.0 > 1);
+            if info.slots == slots && info.slot < slots {
+                let slot = holders.entry(info.slot).or_default();
+                slot.0 += 1;
+                slot.1 |= state == MemberState::Alive;
+                extra_nodes += u32::from(slot.0 > 1);
             } else {
-                extra += 1;
+                extra_nodes += 1;
             }
         }
-        let single = |place: &&(u32, bool, bool)| place.0 == 1 && place.1;
-        Places {
-            seen: held.values().filter(single).count() as u32,
-            missing: places - held.len() as u32,
-            extra,
-            own: mine.places == places && held.get(&mine.place).is_some_and(|place| place.0 == 1),
-            before: held.range(..mine.place).count() as u32,
+        let has_live_holder = |slot: &&(u32, bool, bool)| slot.0 == 1 && slot.1;
+        SlotOccupancy {
+            live: holders.values().filter(has_live_holder).count() as u32,
+            missing: slots - holders.len() as u32,
+            extra_nodes,
+            owns_slot: own_info.slots == slots && holders.get(&own_info.slot).is_some_and(|slot| slot.0 == 1),
+            preceding: holders.range(..own_info.slot).count() as u32,
         }
     }
 
-    pub fn majority(&self, places: u32) -> bool {
-        self.seen * 2 > places
+    /// Whether this node sees more than half of the slots.
+    pub fn has_majority(&self, slots: u32) -> bool {
+        self.live * 2 > slots
     }
 }
 
-/// Keeps what it takes to know how long something has been so.
+/// Derives a node's share from its view and remembers for how long it has seen a majority.
 #[derive(Clone, Debug)]
-pub struct Sharer {
-    times: Times,
-    began: Moment,
-    /// Without a break since, and seen last.
-    since: Option<Moment>,
-    seen: Option<Moment>,
-    /// It has not yet been among a majority for `sure` since it was out of one, or began.
-    out: bool,
+pub struct ShareTracker {
+    timing: Timing,
+    started_at: Timestamp,
+    /// Since when a majority has been seen without interruption, and when one was seen last.
+    majority_since: Option<Timestamp>,
+    majority_seen: Option<Timestamp>,
+    /// The node keeps to the half share: since it started, or last lost the majority, it has not yet been in one for
+    /// `takeover_delay`.
+    holds_back: bool,
 }
 
-impl Sharer {
-    pub fn new(now: Moment, times: Times) -> Sharer {
-        Sharer { times, began: now, since: None, seen: None, out: true }
+impl ShareTracker {
+    pub fn new(now: Timestamp, timing: Timing) -> ShareTracker {
+        ShareTracker { timing, started_at: now, majority_since: None, majority_seen: None, holds_back: true }
     }
 
-    /// What holds while nothing is known: the half portion of a place, or none.
-    pub fn without(places: u32, me: u32, now: Moment) -> Share {
-        let (places, me) = (places.max(1), me);
-        let nodes = if places == 1 { 1 } else { places * 2 };
-        Share { nodes, me: (me % places) * (nodes / places), until: now, why: Why::Unsure }
+    /// The share while nothing is known: the half share of a slot, or the whole if there is only one slot.
+    pub fn fallback(slots: u32, index: u32, now: Timestamp) -> Share {
+        let (slots, index) = (slots.max(1), index);
+        let nodes = if slots == 1 { 1 } else { slots * 2 };
+        Share {
+            nodes,
+            index: (index % slots) * (nodes / slots),
+            valid_until: now,
+            reason: ShareReason::NoMajority,
+        }
     }
 
-    /// Looks at the view, for a node whose settings state so many places and that it has that one.
-    pub fn look(&mut self, now: Moment, view: &View, places: u32, me: u32) -> Share {
-        let found = Places::of(view, places.max(1), now, self.times.sure);
-        let lately = |at: Moment| now.since(at) <= self.times.release;
-        let heard = view.here() == 1 || view.answered().is_some_and(lately);
-        self.awake(view.awake_since());
-        self.choose(now, &found, heard, places.max(1), me)
+    /// Computes the share of the node at slot `index` of the configured `slots` from its view.
+    pub fn update(&mut self, now: Timestamp, view: &View, slots: u32, index: u32) -> Share {
+        let occupancy = SlotOccupancy::from_view(view, slots.max(1), now, self.timing.takeover_delay);
+        let is_recent = |at: Timestamp| now.since(at) <= self.timing.release_after;
+        let has_recent_answer = view.present_count() == 1 || view.last_answered().is_some_and(is_recent);
+        self.resumed(view.running_since());
+        self.decide(now, &occupancy, has_recent_answer, slots.max(1), index)
     }
 
-    /// It began, or was kept from its work until then: what it saw of a majority before that counts for nothing, and
-    /// whoever took over from it meanwhile has to be seen first.
-    pub fn awake(&mut self, since: Moment) {
-        if since > self.began {
-            (self.began, self.since, self.out) = (since, None, true);
+    /// Tells the tracker that the node started, or resumed after a stall, at `since`. A majority seen before that no
+    /// longer counts, because other nodes may have taken over the share meanwhile and have to be seen first.
+    pub fn resumed(&mut self, since: Timestamp) {
+        if since > self.started_at {
+            (self.started_at, self.majority_since, self.holds_back) = (since, None, true);
         }
     }
 
-    /// The rule itself.
-    pub fn choose(&mut self, now: Moment, found: &Places, heard: bool, places: u32, me: u32) -> Share {
-        let release = self.times.release;
-        let majority = found.majority(places) && (heard || places == 1);
+    /// Decides the share by the rule in the module documentation. `has_recent_answer` states whether another node has
+    /// answered recently.
+    pub fn decide(
+        &mut self,
+        now: Timestamp,
+        occupancy: &SlotOccupancy,
+        has_recent_answer: bool,
+        slots: u32,
+        index: u32,
+    ) -> Share {
+        let release = self.timing.release_after;
+        let majority = occupancy.has_majority(slots) && (has_recent_answer || slots == 1);
         if !majority {
-            self.since = None;
+            self.majority_since = None;
         }
         if majority {
-            self.since = self.since.or(Some(now));
-            self.seen = Some(now);
+            self.majority_since = self.majority_since.or(Some(now));
+            self.majority_seen = Some(now);
         }
-        let settled = |span: Span| self.since.is_some_and(|since| now.since(since) >= span);
-        let seen = self.seen.is_some_and(|at| at >= self.began && now.since(at) < release);
-        let until = now + release;
-        let half = Share { until, ..Sharer::without(places, me, now) };
-        // The only place's own node has the whole from its start on, as it has without a view: nothing is left beside it.
-        if !found.own && (places == 1 || !settled(self.times.sure)) {
-            return Share { nodes: NONE, me: 0, until, why: Why::Crowded };
+        let settled_for = |span: Micros| self.majority_since.is_some_and(|since| now.since(since) >= span);
+        let recently_seen =
+            self.majority_seen.is_some_and(|at| at >= self.started_at && now.since(at) < release);
+        let valid_until = now + release;
+        let half_share = Share { valid_until, ..ShareTracker::fallback(slots, index, now) };
+        // With a single slot its owner has the whole share from its start on, as it has without a view, so nothing is
+        // left for another node.
+        if !occupancy.owns_slot && (slots == 1 || !settled_for(self.timing.takeover_delay)) {
+            return Share { nodes: NO_SHARE, index: 0, valid_until, reason: ShareReason::ExtraNodes };
         }
-        // Whoever comes back is seen to be there only when its news has gone round: until then the others may still
-        // have left it no more than a half.
-        self.out = !seen || self.out && !settled(self.times.sure);
-        if self.out {
-            return Share { why: if seen { Why::Fresh } else { Why::Unsure }, ..half };
+        // The other nodes notice a returning node only when its updates have spread. Until then they may still leave it
+        // no more than a half share.
+        self.holds_back = !recently_seen || self.holds_back && !settled_for(self.timing.takeover_delay);
+        if self.holds_back {
+            return Share {
+                reason: if recently_seen { ShareReason::Settling } else { ShareReason::NoMajority },
+                ..half_share
+            };
         }
-        let missing = if settled(self.times.sure) { found.missing } else { 0 };
-        // All that are there share what the half portions of the missing leave.
-        let holders = u64::from(places - missing + found.extra).max(1);
-        let (whole, left) = (u64::from(2 * places), u64::from(2 * places - missing));
-        let nodes = (holders * whole).div_ceil(left) as u32;
-        let why = match () {
-            () if found.extra > 0 => Why::Crowded,
-            () if missing > 0 => Why::Missing,
-            () => Why::Stated,
+        let missing = if settled_for(self.timing.takeover_delay) { occupancy.missing } else { 0 };
+        // The nodes present divide what the half shares of the missing slots leave.
+        let node_count = u64::from(slots - missing + occupancy.extra_nodes).max(1);
+        let (half_shares, remaining) = (u64::from(2 * slots), u64::from(2 * slots - missing));
+        let nodes = (node_count * half_shares).div_ceil(remaining) as u32;
+        let reason = match () {
+            () if occupancy.extra_nodes > 0 => ShareReason::ExtraNodes,
+            () if missing > 0 => ShareReason::SlotsMissing,
+            () => ShareReason::Configured,
+        };
+        let index = if reason == ShareReason::Configured {
+            index
+        } else {
+            spread_index(occupancy.preceding, node_count as u32, nodes)
         };
-        let me = if why == Why::Stated { me } else { spread(found.before, holders as u32, nodes) };
-        Share { nodes, me, until, why }
+        Share { nodes, index, valid_until, reason }
     }
 }
 
-/// A place among `holders` as one among `nodes`, evenly apart.
-fn spread(place: u32, holders: u32, nodes: u32) -> u32 {
-    (u64::from(place) * u64::from(nodes) / u64::from(holders.max(1))) as u32
+/// Maps a position among `holders` to one among `nodes`, evenly spaced.
+fn spread_index(slot: u32, holders: u32, nodes: u32) -> u32 {
+    (u64::from(slot) * u64::from(nodes) / u64::from(holders.max(1))) as u32
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Every kind of id is a type of its own. Ids tell nothing beyond identity.
+//! Id types, one for each kind of thing. An id stands for its identity only.
 
 macro_rules! ids {
     ($($name:ident($inner:ty);)*) => {$(
@@ -11,8 +11,9 @@
     CommandId(u32);
     BackendId(u32);
     ZoneId(u16);
-    KindId(u8);
+    BackendTypeId(u8);
     GroupId(u16);
     ProfileId(u16);
-    Hand(u32);
+    // The index under which the caller keeps a command, chosen by the caller.
+    CommandHandle(u32);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,15 @@
-//! Load balancing decisions for fleets of HTTP servers. No I/O: see `decide` for the three calls.
+//! Load-balancing decisions for fleets of HTTP servers, without any I/O. The entry point is `decide::Balancer`.
 #![forbid(unsafe_code)]
 
 mod allowance;
 mod backend;
-mod chance;
+pub mod backend_list;
 pub mod command;
 pub mod decide;
+pub mod decision;
 pub mod ids;
 mod list_calls;
-pub mod listed;
 mod portion;
-pub mod say;
-pub mod terms;
+mod random;
+pub mod settings;
 pub mod times;
