--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -66,18 +66,16 @@
             self.trial.as_ref().filter(|_| head.uri.path() == "/rollout").map(|t| t.config.settings_bytes);
         let body = Limited::new(body, max_body_bytes.unwrap_or(self.limits.max_admin_body_bytes));
         let Ok(body) = body.collect().await else {
-            return text_reply(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large for this request");
+            return text_reply(StatusCode::PAYLOAD_TOO_LARGE, "a call has no body, or not so large a one");
         };
         connection_state.is_request_complete.set(true);
         match parse_request(&head.method, head.uri.path()) {
             Ok(AdminRequest::Rollout) => self.rollout(&body.to_bytes()).await,
             Ok(admin_request) => self.execute_request(admin_request).await,
-            Err(RequestError::NoSuchPath) => text_reply(StatusCode::NOT_FOUND, "no such path"),
+            Err(RequestError::NoSuchPath) => text_reply(StatusCode::NOT_FOUND, "no such call"),
             Err(RequestError::Method(expected_method)) => {
-                let mut reply = text_reply(
-                    StatusCode::METHOD_NOT_ALLOWED,
-                    &format!("the method must be {expected_method}"),
-                );
+                let mut reply =
+                    text_reply(StatusCode::METHOD_NOT_ALLOWED, &format!("this takes {expected_method}"));
                 reply.headers_mut().insert(ALLOW, HeaderValue::from_static(expected_method));
                 reply
             }
@@ -103,14 +101,14 @@
             }
             None => {
                 log!("admin: {admin_request:?}: this backend was never listed");
-                text_reply(StatusCode::NOT_FOUND, "no backend with this name was ever listed")
+                text_reply(StatusCode::NOT_FOUND, "no backend of this name was ever listed")
             }
         }
     }
 
     fn fleet(&self, as_text: bool) -> Reply {
         match &self.fleet {
-            None => text_reply(StatusCode::NOT_FOUND, "no fleet view is configured"),
+            None => text_reply(StatusCode::NOT_FOUND, "no view of the fleet is kept here"),
             Some(fleet) if as_text => text_reply(StatusCode::OK, fleet.to_text().trim_end()),
             Some(fleet) => json_reply(&fleet.to_json()),
         }
@@ -119,7 +117,7 @@
     /// The node's statistics, the digest of its settings, and its resource usage.
     fn counts(&self, after: u64) -> Reply {
         let (Some(trial), Some(counts)) = (&self.trial, self.dispatcher.counts()) else {
-            return text_reply(StatusCode::NOT_FOUND, "no statistics are kept: rollout is not configured");
+            return text_reply(StatusCode::NOT_FOUND, "nothing is counted here");
         };
         let now = self.dispatcher.clock.now();
         let mut json = counts.to_json(now, after);
@@ -150,7 +148,7 @@
 
     fn sites(&self) -> Reply {
         match &self.sites {
-            None => text_reply(StatusCode::NOT_FOUND, "no site failover plan is configured"),
+            None => text_reply(StatusCode::NOT_FOUND, "no plan for the loss of sites is gone by here"),
             Some(sites) => json_reply(&sites.to_json()),
         }
     }
@@ -162,16 +160,15 @@
                 log!("admin: {new_state}");
                 text_reply(StatusCode::OK, &new_state)
             }
-            None => text_reply(
-                StatusCode::NOT_FOUND,
-                "the site is not in the plan, or the action is not one of lost, hold and free",
-            ),
+            None => {
+                text_reply(StatusCode::NOT_FOUND, "no such site in the plan, or none of lost, hold and free")
+            }
         }
     }
 
     async fn settings(&self) -> Reply {
         let Some(trial) = &self.trial else {
-            return text_reply(StatusCode::NOT_FOUND, "rollout is not configured");
+            return text_reply(StatusCode::NOT_FOUND, "no settings are told here");
         };
         match trial.submit(TrialAction::GetSettings).await {
             Ok(settings) => json_reply(&serde_json::from_str(&settings).unwrap_or_default()),
@@ -181,13 +178,10 @@
 
     async fn rollout(&self, body: &[u8]) -> Reply {
         let Some(trial) = &self.trial else {
-            return text_reply(StatusCode::NOT_FOUND, "rollout is not configured");
+            return text_reply(StatusCode::NOT_FOUND, "no rolling change is taken part in here");
         };
         if self.lifecycle.is_stopping() || self.lifecycle.has_successor() {
-            return text_reply(
-                StatusCode::SERVICE_UNAVAILABLE,
-                "this process is stopping or has been succeeded",
-            );
+            return text_reply(StatusCode::SERVICE_UNAVAILABLE, "this process is going");
         }
         match trial.handle(body).await {
             Ok(new_state) => text_reply(StatusCode::OK, &new_state),
--- a/crates/node/src/client_service.rs
+++ b/crates/node/src/client_service.rs
@@ -55,7 +55,7 @@
         Box::pin(async move {
             let mut reply = match is_unambiguous {
                 true => node.answer(&client, request).await,
-                false => text_reply(StatusCode::BAD_REQUEST, "ambiguous body length"),
+                false => text_reply(StatusCode::BAD_REQUEST, "two lengths"),
             };
             // After a client error the boundaries of what follows on the connection cannot be trusted.
             let is_client_error = reply.status().is_client_error();
@@ -76,7 +76,7 @@
         match request.uri().path() {
             "/up" if request.method() == Method::GET => {
                 return match self.lifecycle.is_closing_connections() || !self.dispatcher.has_list() {
-                    true => text_reply(StatusCode::SERVICE_UNAVAILABLE, "not accepting commands"),
+                    true => text_reply(StatusCode::SERVICE_UNAVAILABLE, "not taking commands"),
                     false => text_reply(StatusCode::OK, "up"),
                 };
             }
@@ -95,16 +95,14 @@
         let body = match self.body_memory.read(body, self.limits.request_bodies, stopped).await {
             Ok(body) => body,
             Err(ReadError::TooLarge) => return text_reply(StatusCode::PAYLOAD_TOO_LARGE, "body too large"),
-            Err(ReadError::Broken) => {
-                return text_reply(StatusCode::BAD_REQUEST, "body was not received completely")
-            }
+            Err(ReadError::Broken) => return text_reply(StatusCode::BAD_REQUEST, "body broken off"),
             // No launch was made, so the command certainly has not run.
             Err(ReadError::BudgetExhausted) => {
-                return text_reply(StatusCode::SERVICE_UNAVAILABLE, "body memory exhausted")
+                return text_reply(StatusCode::SERVICE_UNAVAILABLE, "too many bytes held")
             }
             Err(ReadError::Abandoned) => return text_reply(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
             Err(ReadError::TooSlow) => {
-                return text_reply(StatusCode::REQUEST_TIMEOUT, "body was not received in time")
+                return text_reply(StatusCode::REQUEST_TIMEOUT, "body not here in time")
             }
         };
         // From here on the command is accepted, and its connection is not closed before the answer is
@@ -158,15 +156,14 @@
         if header(CORRELATION_ID_HEADER).is_none_or(str::is_empty)
             || headers.get_all(CORRELATION_ID_HEADER).iter().count() != 1
         {
-            return Err(format!("{CORRELATION_ID_HEADER} must be present exactly once"));
+            return Err(format!("{CORRELATION_ID_HEADER} is missing, or there are more of them"));
         }
         let name = header(PROFILE_HEADER).ok_or_else(|| format!("{PROFILE_HEADER} is missing"))?;
         let names = self.dispatcher.names();
-        let (profile, definition) = names
-            .find_profile(name)
-            .ok_or_else(|| format!("{PROFILE_HEADER} is not a configured profile"))?;
+        let (profile, definition) =
+            names.find_profile(name).ok_or_else(|| format!("{PROFILE_HEADER} is unknown"))?;
         if method != Method::GET && method != Method::POST {
-            return Err("a command must use the method GET or POST".into());
+            return Err("only GET and POST are commands".into());
         }
         // Without its key a repeat could not be recognized as one.
         if definition.idempotency == Idempotency::ByKey
@@ -175,9 +172,8 @@
             return Err(format!("{IDEMPOTENCY_KEY_HEADER} is missing"));
         }
         let time_left = header(TIME_LEFT_HEADER).ok_or_else(|| format!("{TIME_LEFT_HEADER} is missing"))?;
-        let time_left: u64 = time_left
-            .parse()
-            .map_err(|_| format!("{TIME_LEFT_HEADER} is not a whole number of milliseconds"))?;
+        let time_left: u64 =
+            time_left.parse().map_err(|_| format!("{TIME_LEFT_HEADER} is not whole milliseconds"))?;
         let time_left = Duration::from_millis(time_left).min(self.limits.max_command_time);
         let now = self.dispatcher.clock.now();
         let mut command = Command::new(CommandId(0), profile, now, Micros(time_left.as_micros() as u64));
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -188,9 +188,9 @@
 
     /// Carries out a request of the rollout's leader.
     fn execute(&mut self, action: TrialAction) -> TrialReply {
-        let Some(trial) = self.trial.clone() else { return Err(conflict("no rollout is configured here")) };
+        let Some(trial) = self.trial.clone() else { return Err(conflict("no trial is possible here")) };
         if self.lifecycle.is_stopping() || self.lifecycle.has_successor() {
-            return Err(conflict("this process is stopping or has been succeeded"));
+            return Err(conflict("this process is going"));
         }
         let settings_digest = |cell: &Cell<u64>| format!("{:016x}", cell.get());
         match action {
@@ -214,7 +214,7 @@
                 }
                 let current_digest = settings_digest(&self.settings_digest);
                 if former_digest.is_none() && current_digest != from {
-                    return Err(conflict(&format!("the settings in force here are {current_digest}")));
+                    return Err(conflict(&format!("this node goes by {current_digest}")));
                 }
                 let mut file = self.file.clone();
                 let unprocessable = |reason| (StatusCode::UNPROCESSABLE_ENTITY, reason);
@@ -280,11 +280,11 @@
         Some(name) => {
             let zones = settings["zones"].as_array().map(Vec::as_slice).unwrap_or_default();
             let found = zones.iter().position(|z| z.as_str() == Some(&name));
-            found.ok_or_else(|| format!("settings.zones: this node's {name:?} is missing"))?
+            found.ok_or_else(|| format!("settings.zones: this node's {name:?} is not there"))?
         }
         None => zone,
     };
-    let Some(fields) = settings.as_object_mut() else { return Err("settings is not an object".to_owned()) };
+    let Some(fields) = settings.as_object_mut() else { return Err("settings are no object".to_owned()) };
     fields.insert("zone".to_owned(), zone_index.into());
     match own_settings.get("me") {
         Some(me) => drop(fields.insert("me".to_owned(), me.clone())),
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -85,7 +85,7 @@
     let dispatcher = &node.dispatcher;
     let deadline = command.deadline;
     let Some((handle, reevaluation_due)) = dispatcher.register(command, client_id) else {
-        return text_reply(StatusCode::CONFLICT, "a command with this id is in flight");
+        return text_reply(StatusCode::CONFLICT, "a command with this id is in hand");
     };
     let (end, results) = mpsc::unbounded_channel();
     let recorder = dispatcher.start_recorder(handle);
--- a/crates/node/src/trial.rs
+++ b/crates/node/src/trial.rs
@@ -160,7 +160,7 @@
     /// Handles a request in its serialized form.
     pub async fn handle(&self, body: &[u8]) -> TrialReply {
         let request: LeaderRequest = serde_json::from_slice(body)
-            .map_err(|e| (StatusCode::BAD_REQUEST, format!("not a rollout request: {e}")))?;
+            .map_err(|e| (StatusCode::BAD_REQUEST, format!("no word of a rolling change: {e}")))?;
         if !matches!(request.action, TrialAction::Check { .. } | TrialAction::GetSettings) {
             self.check_leader(&request)?;
         }
@@ -174,7 +174,7 @@
     pub async fn submit(&self, action: TrialAction) -> TrialReply {
         let (reply, answer) = oneshot::channel();
         let unavailable =
-            || (StatusCode::SERVICE_UNAVAILABLE, "this process accepts no settings any more".to_owned());
+            || (StatusCode::SERVICE_UNAVAILABLE, "this process takes no settings any more".to_owned());
         self.queue.send((action, reply)).map_err(|_| unavailable())?;
         answer.await.map_err(|_| unavailable())?
     }
@@ -186,7 +186,7 @@
         if request.leader.term > known.term && request.action == TrialAction::Lead {
             let bytes = serde_json::to_vec(&request.leader).unwrap_or_default();
             write_atomically(&self.config.term_file, &bytes).map_err(|e| {
-                (StatusCode::INTERNAL_SERVER_ERROR, format!("the term cannot be stored: {e}"))
+                (StatusCode::INTERNAL_SERVER_ERROR, format!("the term cannot be remembered: {e}"))
             })?;
             log!("rollout: led by {} in term {}", request.leader.name, request.leader.term);
             *self.leader.borrow_mut() = request.leader.clone();
@@ -203,7 +203,7 @@
         let max = self.config.longest_trial_s * 1000;
         match (100..=max).contains(&for_ms) {
             true => Ok(Duration::from_millis(for_ms)),
-            false => Err((StatusCode::BAD_REQUEST, format!("for_ms must be from 100 to {max}"))),
+            false => Err((StatusCode::BAD_REQUEST, format!("for_ms has to be from 100 to {max}"))),
         }
     }
 
--- a/crates/rehearsal/src/real/backends.rs
+++ b/crates/rehearsal/src/real/backends.rs
@@ -143,7 +143,7 @@
     let id = request.headers().get(ATTEMPT_ID_HEADER).and_then(|v| v.to_str().ok());
     let attempt = id.and_then(|id| u64::from_str_radix(id, 16).ok());
     let Some((attempt, info)) = attempt.and_then(|a| Some((a, harness.attempt_info(a)?))) else {
-        return Ok(text_response(StatusCode::BAD_REQUEST, "unknown request id"));
+        return Ok(text_response(StatusCode::BAD_REQUEST, "no client has sent this"));
     };
     let announced_time_left = request.headers().get("x-time-left-ms").and_then(|v| v.to_str().ok());
     let announced_time_left =
@@ -186,7 +186,7 @@
 
 async fn answer_probe(harness: &Harness, backend: usize) -> AnswerResult {
     if !harness.scenario.allow.probes {
-        return Ok(text_response(StatusCode::NOT_FOUND, "probes are not allowed"));
+        return Ok(text_response(StatusCode::NOT_FOUND, "no probes here"));
     }
     harness.observe(Observation::ProbeReceived);
     harness.add_overhead(backend, false);
