--- a/crates/rollout-run/src/processes.rs
+++ b/crates/rollout-run/src/processes.rs
@@ -91,7 +91,7 @@
         false => (&program.start_former_command, &program.former_build),
     };
     let Some(other) = node.other_admin else {
-        return ActionOutcome::Refused("the node has no other_admin address".to_owned());
+        return ActionOutcome::Refused("it has no other address".to_owned());
     };
     let deadline = Instant::now() + timeout;
     let (free_address, old) = match (poll_without_seconds(node.admin), poll_without_seconds(other)) {
@@ -99,7 +99,7 @@
         (PollOutcome::Report(a), PollOutcome::Report(b)) => match (a.build == *build, b.build == *build) {
             (true, false) => return end_process(program, &b, other, deadline),
             (false, true) => return end_process(program, &a, node.admin, deadline),
-            _ => return ActionOutcome::Refused("two processes of the node are running already".to_owned()),
+            _ => return ActionOutcome::Refused("two processes of the node run already".to_owned()),
         },
         (PollOutcome::Report(report), PollOutcome::Gone) => (other, Some((report, node.admin))),
         (PollOutcome::Gone, PollOutcome::Report(report)) => (node.admin, Some((report, other))),
@@ -126,15 +126,12 @@
         }
         let ended = child.try_wait().ok().flatten();
         if let Some(status) = ended.filter(|status| !status.success()) {
-            return ActionOutcome::Refused(format!(
-                "the start command has ended with {status}: {}",
-                last_line(&log)
-            ));
+            return ActionOutcome::Refused(format!("the start has ended with {status}: {}", last_line(&log)));
         }
         if Instant::now() >= deadline {
             let _ = (child.kill(), child.wait());
             return ActionOutcome::Refused(format!(
-                "the process is not ready within {} s: {}",
+                "it is not ready within {} s: {}",
                 timeout.as_secs(),
                 last_line(&log)
             ));
@@ -154,7 +151,7 @@
     let _ = std::fs::remove_file(&log);
     match ended {
         Ok(status) if !status.success() => {
-            return ActionOutcome::Refused(format!("the end command has ended with {status}: {output}"))
+            return ActionOutcome::Refused(format!("the end has ended with {status}: {output}"))
         }
         Err(why) => return ActionOutcome::Refused(why),
         Ok(_) => {}
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -67,11 +67,11 @@
         match self {
             HoldReason::Paused => "paused by an operator".to_owned(),
             HoldReason::FleetDegraded => {
-                "unchanged nodes do worse than usual as well, so the change is not the cause".to_owned()
+                "unchanged nodes do worse than they used to: it is not the change".to_owned()
             }
             HoldReason::Missing(names) => format!("missing: {}", names.join(", ")),
             HoldReason::Undecided(names) => {
-                format!("undecided within the longest watch time: {}", names.join(", "))
+                format!("not known within the longest time: {}", names.join(", "))
             }
             HoldReason::Blocked(why) => why.clone(),
         }
@@ -350,7 +350,7 @@
             OperatorOrder::Accept => return Err("no stage is being watched".to_owned()),
             OperatorOrder::Back if matches!(self.phase, Phase::Advancing | Phase::Confirming) => {
                 self.pending_records.push(Record::Ordered { order });
-                self.start_rollback(now, "an operator's order".to_owned());
+                self.start_rollback(now, "an operator's word".to_owned());
                 return Ok(());
             }
             _ => return Err("the change is not advancing".to_owned()),
@@ -462,19 +462,19 @@
             if state.has_restarted
                 || state.changed.is_some_and(|(_, generation)| has_other_generation(generation))
             {
-                return Some(format!("{name} has restarted after its change"));
+                return Some(format!("{name} has started again after its change"));
             }
             if let Some(growth) = report.and_then(|report| self.resource_growth(state, report)) {
                 return Some(format!("{name}: {growth}"));
             }
             if let Some((why, _)) = &state.last_failure {
-                return Some(format!("{name} refused the change: {why}"));
+                return Some(format!("{name} does not take it: {why}"));
             }
             let is_overdue = |since: Timestamp| {
                 now > since + self.plan.timing.command_timeout + self.plan.timing.silent_timeout
             };
             if state.in_progress.is_some_and(|(action, since)| action == Action::Apply && is_overdue(since)) {
-                return Some(format!("{name} is not serving in time after its change"));
+                return Some(format!("{name} does not come up"));
             }
         }
         None
@@ -529,7 +529,7 @@
             () if self.is_paused => Some(HoldReason::Paused),
             () if foreign.is_some() => {
                 let name = foreign.map(|id| self.node_name(id)).unwrap_or_default();
-                Some(HoldReason::Blocked(format!("{name} has neither the former nor the new version")))
+                Some(HoldReason::Blocked(format!("{name} has neither the former nor the new")))
             }
             () if missing.iter().any(|id| self.nodes[id.0].in_progress.is_none()) => {
                 Some(HoldReason::Missing(names(&missing)))
@@ -573,7 +573,7 @@
         let watched_since = *self.watched_since.get_or_insert(now);
         let verdict_due = *self.verdict_due.get_or_insert(now + timing.max_watch);
         if std::mem::take(&mut self.is_accepted) {
-            return self.pass_stage(now, "an operator's order");
+            return self.pass_stage(now, "an operator's word");
         }
         // The verdict lags by the seconds that have not been reported yet.
         if now < watched_since + timing.min_watch + Micros(REPORT_DELAY_SECONDS * 1_000_000) {
@@ -586,14 +586,13 @@
         let comparable = self.plan.node_ids().any(|id| unchanged(&id));
         match answer {
             _ if !comparable && self.has_compared => {
-                self.pass_stage(now, "the earlier stages, because no unchanged node is left to compare with")
+                self.pass_stage(now, "the stages before: nobody is left to compare with")
             }
             StageVerdict::NoWorse if comparable => self.pass_stage(now, "its figures"),
             _ if self.ignore_verdict => self.pass_stage(now, "time alone"),
             _ if now < verdict_due => {}
             StageVerdict::Undecided(names) if comparable => self.set_hold(Some(HoldReason::Undecided(names))),
-            _ => self
-                .set_hold(Some(HoldReason::Undecided(vec!["no unchanged node to compare with".to_owned()]))),
+            _ => self.set_hold(Some(HoldReason::Undecided(vec!["nobody to compare with".to_owned()]))),
         }
     }
 
@@ -622,10 +621,9 @@
         let names = || remaining.iter().map(|id| self.node_name(*id)).collect::<Vec<_>>().join(", ");
         match failed {
             Some(why) => self.set_hold(Some(HoldReason::Blocked(why))),
-            None if is_overdue => self.set_hold(Some(HoldReason::Blocked(format!(
-                "still without the target version: {}",
-                names()
-            )))),
+            None if is_overdue => {
+                self.set_hold(Some(HoldReason::Blocked(format!("still not there: {}", names()))))
+            }
             None => self.set_hold(None),
         }
     }
--- a/crates/rollout/src/simulation.rs
+++ b/crates/rollout/src/simulation.rs
@@ -243,7 +243,7 @@
         let (now, trial_lease) = (self.now, self.trial_lease);
         let node = &mut self.nodes[id.0];
         if !node.is_up || node.silent_until.is_some_and(|until| until > now) {
-            return ActionOutcome::Unknown("the node does not answer".to_owned());
+            return ActionOutcome::Unknown("it does not answer".to_owned());
         }
         match action {
             Action::Apply if !node.has_new => {
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -252,10 +252,8 @@
             self.observe_profile(&name, &sides, seen);
         }
         if double_runs.0 > 0 && double_runs.1 == 0 {
-            self.violation = Some(format!(
-                "{} launches of commands that may run only once, after one that may have run",
-                double_runs.0
-            ));
+            self.violation =
+                Some(format!("{} launches of what may run once after one that may have run", double_runs.0));
         }
         self.update_slow_threshold(second_latencies);
         self.update_usual_loss(unchanged_lost, unchanged_ended);
