--- a/crates/fleet/src/http.rs
+++ b/crates/fleet/src/http.rs
@@ -37,7 +37,7 @@
         }
     }
     let text = String::from_utf8_lossy(&bytes);
-    let (head, body) = text.split_once("\r\n\r\n").ok_or_else(|| Error::other("the response is not HTTP"))?;
+    let (head, body) = text.split_once("\r\n\r\n").ok_or_else(|| Error::other("no HTTP answer"))?;
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
     let length = head
         .lines()
@@ -46,7 +46,7 @@
     let is_complete = length.is_none_or(|(_, length)| length.trim().parse() == Ok(body.len()));
     match status.filter(|_| is_complete) {
         Some(status) => Ok((status, body.to_owned())),
-        None => Err(Error::other("the HTTP response is incomplete")),
+        None => Err(Error::other("half an HTTP answer")),
     }
 }
 
